--- a/internal/settings/json.go
+++ b/internal/settings/json.go
@@ -12,20 +12,20 @@
 	"tealledge/policy"
 )
 
-// Names are what the settings call things; the module knows their numbers, which are the places in these lists.
+// Names are the names in the settings. The decision module uses their indexes in these lists.
 type Names struct {
 	Classes, Zones, Kinds, Tenants, Fields []string
 }
 
-// Limits on nested settings: a damaged file must end in a message.
+// Limits on nested settings, so that a damaged file ends in an error message.
 const (
 	maxDepth = 8
 	maxPairs = 20_000
 )
 
-// FromJSON reads settings given as nested JSON, under the simulator's names and units. Values that can't be used are
-// named in bad and count as absent; err tells that it is no settings at all.
-func FromJSON(raw []byte) (s policy.Settings, names Names, bad []string, err error) {
+// FromJSON reads settings from nested JSON, with the names and units of the simulator. Unusable values are listed in
+// unusable and count as absent; err is set if the input as a whole is not valid settings.
+func FromJSON(raw []byte) (s policy.Settings, names Names, unusable []string, err error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
 	var tree map[string]any
@@ -33,63 +33,67 @@
 		return s, names, nil, fmt.Errorf("settings: %w", err)
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return s, names, nil, fmt.Errorf("settings: more follows after the object")
+		return s, names, nil, fmt.Errorf("settings: unexpected data after the object")
 	}
 	if tree == nil {
-		return s, names, nil, fmt.Errorf("settings: no object")
+		return s, names, nil, fmt.Errorf("settings: not a JSON object")
 	}
-	p := &pairs{m: map[string]string{}}
+	p := &settingsMap{values: map[string]string{}}
 	p.flatten("", tree, 0)
-	names = Names{Classes: p.named("request-classes"), Tenants: p.named("realms"), Zones: texts(tree["zones"]), Kinds: texts(tree["shapes"])}
+	names = Names{Classes: p.itemNames("request-classes"), Tenants: p.itemNames("realms"),
+		Zones: stringItems(tree["zones"]), Kinds: stringItems(tree["shapes"])}
 	if t, ok := tree["telemetry"].(map[string]any); ok {
-		names.Fields = texts(t["fields"])
+		names.Fields = stringItems(t["fields"])
 	}
 	s = p.read()
-	if err := servable(s, names); err != nil {
-		return s, names, p.bad, fmt.Errorf("settings: %w", err)
+	if err := validate(s, names); err != nil {
+		return s, names, p.unusable, fmt.Errorf("settings: %w", err)
 	}
-	return s, names, p.bad, nil
+	return s, names, p.unusable, nil
 }
 
-// servable tells what of the settings leaves nothing that could be served, by its key. Danger: a front that is ready, and refuses
-// all that it is asked.
-func servable(s policy.Settings, names Names) error {
+// validate returns an error with the key of a setting that leaves nothing to serve. Otherwise a front would be ready
+// and refuse all requests.
+func validate(s policy.Settings, names Names) error {
 	switch {
 	case len(s.Classes) == 0:
-		return errors.New("request-classes: none")
+		return errors.New("request-classes: must not be empty")
 	case len(s.RungKB) == 0:
-		return errors.New("family-info.level-kb: none")
+		return errors.New("family-info.level-kb: must not be empty")
 	case len(s.RungWorth) < len(s.RungKB):
 		return fmt.Errorf("family-info.level-worth: %d values for %d of level-kb", len(s.RungWorth), len(s.RungKB))
 	case s.Cells < 1:
-		return errors.New("family-info.positions: none")
+		return errors.New("family-info.positions: must be at least 1")
 	case s.WeightKB <= 0:
-		return errors.New("family-info.weight-kb: none, a server could carry nothing")
+		return errors.New("family-info.weight-kb: must be over 0, or servers have no capacity")
 	}
 	seen := map[string]bool{}
 	for i, c := range s.Classes {
 		name := names.Classes[i]
 		switch {
 		case name == "":
-			return fmt.Errorf("request-classes.%d.name: none", i)
+			return fmt.Errorf("request-classes.%d.name: must not be empty", i)
 		case seen[name]:
-			return fmt.Errorf("request-classes.%d.name: %.64q names another class too", i, name)
+			return fmt.Errorf("request-classes.%d.name: %.64q is not unique", i, name)
 		case c.Floor >= len(s.RungKB):
-			return fmt.Errorf("family-info.lowest-rung: %d for class %.64q, of %d rungs", c.Floor, name, len(s.RungKB))
+			return fmt.Errorf("family-info.lowest-rung: %d for class %.64q, with only %d rungs",
+				c.Floor, name, len(s.RungKB))
 		}
 		seen[name] = true
 	}
 	return nil
 }
 
-func (p *pairs) named(list string) (out []string) {
+// itemNames gives the names of the items of a list.
+func (p *settingsMap) itemNames(list string) (out []string) {
 	for i := range p.count(list + ".count") {
-		out = append(out, p.m[list+"."+strconv.Itoa(i)+".name"])
+		out = append(out, p.values[list+"."+strconv.Itoa(i)+".name"])
 	}
 	return out
 }
 
-func texts(v any) (out []string) {
+// stringItems gives the items of a JSON list as strings; items of other types are empty.
+func stringItems(v any) (out []string) {
 	list, _ := v.([]any)
 	for _, x := range list {
 		s, _ := x.(string)
@@ -98,14 +102,14 @@
 	return out
 }
 
-// flatten books a tree's leaves under their paths: a list of plain values joined by commas, a list of objects as its
-// count and its items.
-func (p *pairs) flatten(path string, v any, depth int) {
-	if depth > maxDepth || len(p.m) >= maxPairs {
-		p.bad = append(p.bad, path+" is nested too deeply, or too much")
+// flatten stores the leaves of a tree by path: a list of scalars joined by commas, a list of objects as its count and
+// its items.
+func (p *settingsMap) flatten(path string, v any, depth int) {
+	if depth > maxDepth || len(p.values) >= maxPairs {
+		p.unusable = append(p.unusable, path+" is nested too deeply or has too many values")
 		return
 	}
-	under := func(k string) string {
+	childPath := func(k string) string {
 		if path == "" {
 			return k
 		}
@@ -114,34 +118,35 @@
 	switch x := v.(type) {
 	case map[string]any:
 		for k, item := range x {
-			p.flatten(under(k), item, depth+1)
+			p.flatten(childPath(k), item, depth+1)
 		}
 	case []any:
 		objects := 0
-		var plain []string
+		var scalars []string
 		for i, item := range x {
 			if _, ok := item.(map[string]any); ok {
 				objects++
-				p.flatten(under(strconv.Itoa(i)), item, depth+1)
+				p.flatten(childPath(strconv.Itoa(i)), item, depth+1)
 				continue
 			}
-			plain = append(plain, leaf(item))
+			scalars = append(scalars, scalarText(item))
 		}
 		switch {
-		case objects == 0 && len(plain) > 0:
-			p.m[path] = strings.Join(plain, ",")
-		case len(plain) > 0:
-			p.bad = append(p.bad, path+" mixes objects and plain values")
+		case objects == 0 && len(scalars) > 0:
+			p.values[path] = strings.Join(scalars, ",")
+		case len(scalars) > 0:
+			p.unusable = append(p.unusable, path+" mixes objects and scalar values")
 		default:
-			p.m[under("count")] = strconv.Itoa(objects)
+			p.values[childPath("count")] = strconv.Itoa(objects)
 		}
 	case nil:
 	default:
-		p.m[path] = leaf(x)
+		p.values[path] = scalarText(x)
 	}
 }
 
-func leaf(v any) string {
+// scalarText formats a scalar JSON value as text.
+func scalarText(v any) string {
 	switch x := v.(type) {
 	case string:
 		return x
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads what a front is told when it starts, in the names and units of the operators' simulator: as
-// path=value lines, or as the nested JSON of their platform, which is flattened to the same paths.
+// Package settings reads the settings of a front, with the names and units of the operators' simulator: as path=value
+// lines, or as the nested JSON of their platform, which is flattened to the same paths.
 package settings
 
 import (
@@ -10,15 +10,15 @@
 	"tealledge/policy"
 )
 
-// pairs holds the path=value lines of an instance's settings and what could not be used of them.
-type pairs struct {
-	m   map[string]string
-	bad []string
+// settingsMap holds the values of a front's settings by path, and messages about unusable ones.
+type settingsMap struct {
+	values   map[string]string
+	unusable []string
 }
 
-// Parse reads path=value lines. Unknown keys are skipped; values that can't be used are named in bad and count as absent.
-func Parse(text string) (s policy.Settings, bad []string) {
-	p := &pairs{m: map[string]string{}}
+// Parse reads path=value lines. Unknown keys are skipped; unusable values are listed in unusable and count as absent.
+func Parse(text string) (s policy.Settings, unusable []string) {
+	p := &settingsMap{values: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" {
@@ -26,100 +26,109 @@
 		}
 		k, v, ok := strings.Cut(line, "=")
 		if !ok {
-			p.bad = append(p.bad, "no '=' in "+strconv.Quote(line))
+			p.unusable = append(p.unusable, "no '=' in "+strconv.Quote(line))
 			continue
 		}
-		p.m[k] = v
+		p.values[k] = v
 	}
-	return p.read(), p.bad
+	return p.read(), p.unusable
 }
 
-func (p *pairs) read() (s policy.Settings) {
-	const fam, lim = "family-info.", "policy-limits."
+// read converts the values to settings.
+func (p *settingsMap) read() (s policy.Settings) {
+	const family, limits = "family-info.", "policy-limits."
 	s.Me, s.Fleet, s.Zone = p.count("me"), p.count("fleet-size"), p.count("zone")
-	s.OverShare = p.num("over-share-worth")
-	s.RungKB, s.RungWorth = p.nums(fam+"level-kb"), p.nums(fam+"level-worth")
-	s.FleetKB, s.RackKB, s.WeightKB = p.num(fam+"fleet-kb"), p.num(fam+"rack-link-kb"), p.num(fam+"weight-kb")
-	if p.m[fam+"rack-link-kb"] == "" {
-		s.RackKB = noLimit
+	s.OverShare = p.number("over-share-worth")
+	s.RungKB, s.RungWorth = p.numbers(family+"level-kb"), p.numbers(family+"level-worth")
+	s.FleetKB, s.RackKB, s.WeightKB = p.number(family+"fleet-kb"), p.number(family+"rack-link-kb"),
+		p.number(family+"weight-kb")
+	if p.values[family+"rack-link-kb"] == "" {
+		s.RackKB = unlimitedKB
 	}
-	s.Racks, s.Cells = p.count(fam+"shelves"), p.count(fam+"positions")
-	s.KindSlots = p.nums(fam + "kind-slots")
-	s.SeeLate, s.TellEvery = p.span(fam+"see-ns"), p.span(fam+"reports-every-ns")
-	s.FullFrom, s.StallCost = p.num(fam+"full-from"), p.num(fam+"stall-cost")
-	s.ChangeCost, s.Join = p.num(fam+"change-costs-s"), p.num(fam+"join")
-	for _, f := range p.list("telemetry.fields") {
+	s.Racks, s.Cells = p.count(family+"shelves"), p.count(family+"positions")
+	s.KindSlots = p.numbers(family + "kind-slots")
+	s.SeeLate, s.TellEvery = p.duration(family+"see-ns"), p.duration(family+"reports-every-ns")
+	s.FullFrom, s.StallCost = p.number(family+"full-from"), p.number(family+"stall-cost")
+	s.ChangeCost, s.Join = p.number(family+"change-costs-s"), p.number(family+"join")
+	for _, f := range p.items("telemetry.fields") {
 		s.Fields = append(s.Fields, fieldByName[f])
 	}
-	s.AskList = p.m["discovery"] == "subscribe"
-	s.Inline = p.m["telemetry.how"] == "inline"
-	s.MayProbe = p.flag(lim+"may-probe") && p.m["telemetry.how"] != "off"
-	s.MaxAttempts, s.ConnectWait = p.count(lim+"max-attempts"), p.span(lim+"connect-timeout-ns")
-	s.RetryAfter, s.MaxRetry = p.flag(lim+"retry-after"), p.span(lim+"max-retry-after-ns")
-	s.DrainGrace, s.ColdSpan = p.span("rules.drain-grace-ns"), p.span("rules.cold-ns")
-	s.FallSpan, s.ColdFrom, s.ColdTimes = p.span("rules.fall-ns"), p.num("rules.cold-from"), p.num("rules.tip-multiple")
+	s.SubscribeList = p.values["discovery"] == "subscribe"
+	s.Inline = p.values["telemetry.how"] == "inline"
+	s.MayProbe = p.boolean(limits+"may-probe") && p.values["telemetry.how"] != "off"
+	s.MaxAttempts, s.ConnectWait = p.count(limits+"max-attempts"), p.duration(limits+"connect-timeout-ns")
+	s.RetryAfter, s.MaxRetry = p.boolean(limits+"retry-after"), p.duration(limits+"max-retry-after-ns")
+	s.DrainGrace, s.ColdSpan = p.duration("rules.drain-grace-ns"), p.duration("rules.cold-ns")
+	s.FallSpan, s.ColdFrom, s.ColdTimes = p.duration("rules.fall-ns"), p.number("rules.cold-from"),
+		p.number("rules.tip-multiple")
 	for _, k := range []string{"spare-attempts", "extra-ratio", "extra-window-ns"} {
-		_, ok := p.m["rules."+k]
+		_, ok := p.values["rules."+k]
 		s.Budgeted = s.Budgeted || ok
 	}
-	s.SpareAttempts, s.Ratio = p.num("rules.spare-attempts"), p.num("rules.extra-ratio")
-	s.BudgetSpan = p.span("rules.extra-window-ns")
-	s.PriceMove, s.PriceProbe = p.num("prices.moves"), p.num("prices.probe")
-	s.PriceCross, s.LateFail = p.num("prices.cross-zone"), p.num("prices.late-fail")
-	floors, tops := p.nums(fam+"lowest-rung"), p.nums(fam+"class-top")
-	scales, seats, live := p.nums(fam+"scale-by-class"), p.nums(fam+"seats"), p.list(fam+"class-live")
+	s.SpareAttempts, s.Ratio = p.number("rules.spare-attempts"), p.number("rules.extra-ratio")
+	s.BudgetSpan = p.duration("rules.extra-window-ns")
+	s.PriceMove, s.PriceProbe = p.number("prices.moves"), p.number("prices.probe")
+	s.PriceCross, s.LateFail = p.number("prices.cross-zone"), p.number("prices.late-fail")
+	floors, tops := p.numbers(family+"lowest-rung"), p.numbers(family+"class-top")
+	scales, seats, live := p.numbers(family+"scale-by-class"), p.numbers(family+"seats"), p.items(family+"class-live")
 	for i := 0; i < p.count("request-classes.count"); i++ {
-		at := "request-classes." + strconv.Itoa(i) + "."
-		c := policy.Class{Aim: p.span(at + "slo-ns"), Deadline: p.span(at + "deadline-ns"),
-			Paid: p.m[at+"effect"] != "safe", Worth: p.num(at + "importance"),
-			Scale: pick(scales, i, 1), Floor: int(pick(floors, i, 0)),
-			Top: int(pick(tops, i, float64(len(s.RungKB)-1))), Seats: int(pick(seats, i, 0))}
+		prefix := "request-classes." + strconv.Itoa(i) + "."
+		c := policy.Class{Aim: p.duration(prefix + "slo-ns"), Deadline: p.duration(prefix + "deadline-ns"),
+			Paid: p.values[prefix+"effect"] != "safe", Worth: p.number(prefix + "importance"),
+			Scale: itemOr(scales, i, 1), Floor: int(itemOr(floors, i, 0)),
+			Top: int(itemOr(tops, i, float64(len(s.RungKB)-1))), Seats: int(itemOr(seats, i, 0))}
 		c.Live = i < len(live) && live[i] == "true"
 		s.Classes = append(s.Classes, c)
 	}
 	for i := 0; i < p.count("realms.count"); i++ {
-		s.Tenants = append(s.Tenants, policy.Tenant{PerSecond: p.num("realms." + strconv.Itoa(i) + ".quota-rps")})
+		s.Tenants = append(s.Tenants, policy.Tenant{PerSecond: p.number("realms." + strconv.Itoa(i) + ".quota-rps")})
 	}
 	return s
 }
 
-// noLimit is an uplink's size where none is stated: it is never what is short.
-const noLimit = 1e15
+// unlimitedKB is the capacity of an uplink if none is given: it never is the bottleneck.
+const unlimitedKB = 1e15
 
-// maxCount bounds how many items a settings list may claim to have.
+// maxCount is the highest number of items accepted in a settings list.
 const maxCount = 10_000
 
+// fieldByName maps the names of load report values to fields; all others are FieldOther.
 var fieldByName = map[string]policy.Field{
 	"load_share": policy.FieldUtil, "x0": policy.FieldLink, "x1": policy.FieldUplink,
 }
 
-func pick(list []float64, i int, otherwise float64) float64 {
+// itemOr gives the item at an index, or the fallback if the list is shorter.
+func itemOr(list []float64, i int, fallback float64) float64 {
 	if i < len(list) {
 		return list[i]
 	}
-	return otherwise
+	return fallback
 }
 
-func (p *pairs) unusable(key string) {
-	p.bad = append(p.bad, fmt.Sprintf("%s has an unusable value %q", key, p.m[key]))
+// reportUnusable adds a message about an unusable value.
+func (p *settingsMap) reportUnusable(key string) {
+	p.unusable = append(p.unusable, fmt.Sprintf("%s has an unusable value %q", key, p.values[key]))
 }
 
-func (p *pairs) list(key string) []string {
-	v := p.m[key]
+// items gives the comma-separated items of a value.
+func (p *settingsMap) items(key string) []string {
+	v := p.values[key]
 	if v == "" {
 		return nil
 	}
 	return strings.Split(v, ",")
 }
 
-func usable(v float64) bool { return v >= 0 && v <= 1e18 }
+// inRange tells whether a number is acceptable as a setting; NaN is not.
+func inRange(v float64) bool { return v >= 0 && v <= 1e18 }
 
-func (p *pairs) nums(key string) []float64 {
+// numbers gives the items of a value as numbers, or none if one of them is unusable.
+func (p *settingsMap) numbers(key string) []float64 {
 	var out []float64
-	for _, item := range p.list(key) {
+	for _, item := range p.items(key) {
 		v, err := strconv.ParseFloat(item, 64)
-		if err != nil || !usable(v) {
-			p.unusable(key)
+		if err != nil || !inRange(v) {
+			p.reportUnusable(key)
 			return nil
 		}
 		out = append(out, v)
@@ -127,30 +136,34 @@
 	return out
 }
 
-func (p *pairs) num(key string) float64 {
-	list := p.nums(key)
+// number gives a value as a single number.
+func (p *settingsMap) number(key string) float64 {
+	list := p.numbers(key)
 	if len(list) > 1 {
-		p.unusable(key)
+		p.reportUnusable(key)
 		return 0
 	}
-	return pick(list, 0, 0)
+	return itemOr(list, 0, 0)
 }
 
-func (p *pairs) span(key string) policy.Time { return policy.Time(p.num(key)) }
+// duration gives a value in nanoseconds.
+func (p *settingsMap) duration(key string) policy.Time { return policy.Time(p.number(key)) }
 
-func (p *pairs) count(key string) int {
-	v := p.num(key)
+// count gives a value as an integer up to maxCount.
+func (p *settingsMap) count(key string) int {
+	v := p.number(key)
 	if v > maxCount || v != float64(int(v)) {
-		p.unusable(key)
+		p.reportUnusable(key)
 		return 0
 	}
 	return int(v)
 }
 
-func (p *pairs) flag(key string) bool {
-	v, ok := p.m[key]
+// boolean gives a value as true or false.
+func (p *settingsMap) boolean(key string) bool {
+	v, ok := p.values[key]
 	if ok && v != "true" && v != "false" {
-		p.unusable(key)
+		p.reportUnusable(key)
 	}
 	return v == "true"
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,103 +1,104 @@
-// Package policy decides where a media session plays, at which rung, and when it moves.
-// This file is the whole interface: settings and events in, actions out. Decisions are in the files that deploy/balancer.toml names.
+// Package policy decides where a media session plays, at which rung, and when it moves. This file is the
+// whole interface: settings and events in, actions out. The decisions are in the files listed in
+// deploy/balancer.toml.
 package policy
 
-// Time is a clock reading or a span, in nanoseconds.
+// Time is a point of time or a duration, in nanoseconds.
 type Time = int64
 
-// Handy spans.
+// Common durations.
 const (
 	Millisecond Time = 1_000_000
 	Second      Time = 1_000_000_000
 )
 
-// Settings is what a front is told when it starts. Absent figures are zero.
+// Settings are the settings of a front, fixed at its start. Absent numbers are zero.
 type Settings struct {
-	Me, Fleet  int // this front's number, and how many fronts there are
+	Me, Fleet  int // index of this front, and number of fronts
 	Zone       int
 	Classes    []Class
 	Tenants    []Tenant
-	OverShare  float64   // worth of traffic beyond a tenant's share, as a part of the usual
-	RungKB     []float64 // the ladder of rates, kB a second, lowest first
-	RungWorth  []float64 // what each rung earns
-	FleetKB    float64   // all links together
-	RackKB     float64   // mean uplink of a rack
-	WeightKB   float64   // link of a server for each unit of its size
+	OverShare  float64   // worth of traffic over a tenant's share, as a part of the normal worth
+	RungKB     []float64 // rate ladder, in kB a second, lowest first
+	RungWorth  []float64 // worth of each rung
+	FleetKB    float64   // capacity of all links together
+	RackKB     float64   // mean capacity of a rack's uplink
+	WeightKB   float64   // link capacity of a server for each unit of its size
 	Racks      int
 	Cells      int
-	KindSlots  []float64 // streams a server of each kind runs at most
-	SeeLate    Time      // how late short-delivery notes come
-	TellEvery  Time      // time between use notes; 0: none
-	FullFrom   float64   // servers turn set-ups away from this use of their link; 0: never
-	StallCost  float64   // points lost for each point of the rate that is missing
-	ChangeCost float64   // seconds of worth that a change of rung costs
-	Join       float64   // what a further viewer of a live title adds; 1: nothing is shared
-
-	Fields      []Field // the values of a load report, in order
-	Inline      bool    // reports come with outcomes
+	KindSlots  []float64 // maximum number of streams on a server of each kind
+	SeeLate    Time      // delay of notes on low delivered shares
+	TellEvery  Time      // interval of notes on use; 0: none
+	FullFrom   float64   // use of their link from which servers refuse set-ups; 0: never
+	StallCost  float64   // points lost for each point of the rate that is not delivered
+	ChangeCost float64   // cost of a change of rung, in seconds of worth
+	Join       float64   // load that a further viewer of a live title adds; 1: nothing is shared
+
+	Fields      []Field // values of a load report, in order
+	Inline      bool    // outcomes carry load reports
 	MayProbe    bool
 	MaxAttempts int
 	ConnectWait Time
 	RetryAfter  bool
-	MaxRetry    Time // longest come-back time that viewers honour
+	MaxRetry    Time // longest retry delay that viewers honour
 
-	AskList              bool // the server list must be asked for
+	SubscribeList        bool // the server list must be requested
 	DrainGrace           Time
-	ColdSpan, FallSpan   Time    // a cold server warms within ColdSpan; overload counts over FallSpan
-	ColdFrom, ColdTimes  float64 // capacity at the start, and the multiple that pushes a server over
-	Budgeted             bool    // further attempts are rationed
+	ColdSpan, FallSpan   Time    // warm-up of a cold server; window in which overload counts
+	ColdFrom, ColdTimes  float64 // capacity at the start, and the multiple of it that overloads
+	Budgeted             bool    // retries have a budget: spare ones, and a ratio of the requests
 	SpareAttempts, Ratio float64
 	BudgetSpan           Time
 
-	PriceMove, PriceProbe, PriceCross float64 // per session moved, probed or crossing zones
+	PriceMove, PriceProbe, PriceCross float64 // per move, probe or session in another zone
 	LateFail                          float64
 }
 
-// Field names a value of a load report.
+// Field identifies a value of a load report.
 type Field uint8
 
-// The values a report may hold; others are carried but not read.
+// Fields of a load report. FieldOther is ignored.
 const (
 	FieldOther  Field = iota
-	FieldUtil         // share of the link that is asked, 1 at most
-	FieldLink         // what is asked of the link over what it gives
+	FieldUtil         // demand on the link over its capacity, at most 1
+	FieldLink         // demand on the link over its capacity
 	FieldUplink       // the same for the rack's uplink
 )
 
-// Class is a kind of session.
+// Class is a class of sessions.
 type Class struct {
 	Aim, Deadline Time
 	Paid          bool // must not be set up twice
 	Worth         float64
-	Scale         float64 // its rates over those of the ladder
+	Scale         float64 // factor of its rates over those of the ladder
 	Floor, Top    int     // rungs
-	Seats         int     // sessions of one title a front may hold; 0: no cap
+	Seats         int     // maximum number of sessions of one title on a front; 0: no limit
 	Live          bool
 }
 
 // Tenant is a customer with a share of the service.
 type Tenant struct {
-	PerSecond float64 // requests a second, over all fronts, within its share
+	PerSecond float64 // its share: requests a second over all fronts
 }
 
-// Event is something that happened to this front.
+// Event is an input of the front.
 type Event interface{}
 
-// ListKind tells how a List is to be read.
+// ListKind is the kind of a List.
 type ListKind uint8
 
-// The kinds of list.
+// Kinds of lists.
 const (
 	ListDelta  ListKind = iota // changes only
-	ListFailed                 // the list could not be had; the old one stands
-	ListCached                 // complete, perhaps old
+	ListFailed                 // the list is not available; the old one stays in force
+	ListCached                 // complete, may be old
 	ListFull                   // complete
 )
 
-// Health is what the server list says of a process.
+// Health is the health of a server process on the list.
 type Health uint8
 
-// States of a listed server.
+// Health states of a listed server.
 const (
 	Ready Health = iota
 	Draining
@@ -115,28 +116,28 @@
 	Started Time // 0: long ago
 }
 
-// List brings the server list or changes to it.
+// List is an event with the server list or changes to it.
 type List struct {
 	Kind    ListKind
 	Entries []Entry
 }
 
-// Ask is what a viewer wants.
+// Ask holds the parameters of a viewer's request.
 type Ask struct {
 	ID       uint64
 	Title    uint64
-	Viewer   uint64 // the same when the viewer comes again
+	Viewer   uint64 // the same on retries and after a move
 	Class    int
 	Tenant   int
 	Home     int      // first cell that holds the title
-	Copies   int      // cells in a row that hold it
-	Holders  []Holder // in place of both, if not nil
+	Copies   int      // number of consecutive cells that hold it
+	Holders  []Holder // replaces Home and Copies if not nil
 	Top      int      // highest rung the viewer can use
 	Deadline Time
 	Length   Time // expected length; meaningful if Hinted
 	Hinted   bool
-	Moved    bool // comes back from a move by this front
-	Again    bool // not the first try
+	Moved    bool // request after a move by this front
+	Again    bool // repeated request
 }
 
 // Holder is a server that holds a title, up to a rung.
@@ -145,16 +146,16 @@
 	Top    int
 }
 
-// Request is a new session to place.
+// Request is an event: a new session is to be placed.
 type Request struct{ Ask }
 
-// Handed is a session that plays already when the front starts.
+// Restored is an event: a session was already playing when the front started.
 type Handed struct {
 	Ask
 	Server uint32
 }
 
-// Playing tells that the session has started.
+// Playing is an event: a session has started.
 type Playing struct {
 	ID      uint64
 	Attempt int
@@ -162,18 +163,18 @@
 	Took    Time
 }
 
-// NoteKind tells what a Note's value is.
+// NoteKind is the kind of a Note's value.
 type NoteKind uint8
 
-// The kinds of note.
+// Kinds of notes.
 const (
-	NoteShare  NoteKind = 1 // share of the rate delivered
+	NoteShare  NoteKind = 1 // delivered share of the rate
 	NoteRung   NoteKind = 2 // rung in force
-	NoteLink   NoteKind = 3 // link asked over link given
+	NoteLink   NoteKind = 3 // use of the link: demand over capacity
 	NoteUplink NoteKind = 4 // the same for the rack's uplink
 )
 
-// Note is news on a session under way.
+// Note is an event: a server sent a value about a playing session.
 type Note struct {
 	ID      uint64
 	Attempt int
@@ -182,10 +183,10 @@
 	Value   float64
 }
 
-// Status is how an attempt or a probe ended.
+// Status is the result of an attempt or a probe.
 type Status uint16
 
-// How attempts end.
+// Results of attempts and probes. The comments tell whether the set-up ran at the server.
 const (
 	OK          Status = 0
 	Errored     Status = 5
@@ -197,7 +198,7 @@
 	CancelledSt Status = 125
 )
 
-// Outcome ends an attempt, or the session that it started.
+// Outcome is an event: an attempt, or the session that it started, has ended.
 type Outcome struct {
 	ID      uint64
 	Attempt int
@@ -208,13 +209,13 @@
 	Report  []float64
 }
 
-// Gone tells that the viewer left.
+// ViewerLeft is an event: the viewer left.
 type Gone struct{ ID uint64 }
 
-// Alarm is a timer that fell due.
+// TimerFired is an event: a Timer expired.
 type Alarm struct{ Token uint32 }
 
-// Probed is the result of a probe.
+// Probed is an event: the result of a probe.
 type Probed struct {
 	Server uint32
 	Status Status
@@ -222,7 +223,7 @@
 	Report []float64
 }
 
-// Action is something this front wants done.
+// Action is an output of the front, to be carried out by the caller.
 type Action interface{}
 
 // Send asks a server to start a session.
@@ -232,22 +233,22 @@
 	Timeout Time
 }
 
-// Refuse turns a request away; After is a come-back time, 0 for none.
+// Refuse refuses a request; After is the delay before a retry, 0 for none.
 type Refuse struct {
 	ID    uint64
 	After Time
 }
 
-// Fail ends a request with no word on what ran.
+// Fail fails a request; an attempt may have run.
 type Fail struct{ ID uint64 }
 
-// Cancel ends the wait on an attempt; its Outcome still comes.
+// Cancel cancels an attempt; its Outcome still follows.
 type Cancel struct {
 	ID      uint64
 	Attempt int
 }
 
-// Move takes a playing session off its server; the viewer comes back as a new Request.
+// Move takes a playing session off its server; the viewer returns with a new Request.
 type Move struct{ ID uint64 }
 
 // Rate sets a session's rung.
@@ -256,23 +257,24 @@
 	Rung int
 }
 
-// Timer asks for an Alarm.
+// Timer requests a TimerFired with the token after a delay.
 type Timer struct {
 	Token uint32
 	After Time
 }
 
-// Follow asks for the server list and its changes.
+// Subscribe requests the server list and its changes.
 type Follow struct{}
 
-// Probe asks a server for its load.
+// Probe requests a load report from a server.
 type Probe struct{ Server uint32 }
 
-// Log puts a line in the operators' log.
+// Log writes a line to the operators' log.
 type Log struct{ Text string }
 
-// Vacate tells that a server is to be empty by a time: its sessions that would last longer are moved, paced, as others have
-// room. Until 0 takes that back. That nothing new goes there is the list's word (Draining).
+// Vacate is an event: a server is to be empty by a deadline. Sessions that would last longer are moved, at
+// a limited rate, as other servers have spare capacity. Until 0 cancels it. New sessions are kept off by
+// the server list (Draining), not by this event.
 type Vacate struct {
 	Server uint32
 	Until  Time
--- a/policy/budget_test.go
+++ b/policy/budget_test.go
@@ -5,72 +5,77 @@
 	"testing"
 )
 
-// budgeted has a front whose first window is over: all of its budget is its own.
-func budgeted(t *testing.T, spare, ratio float64, span Time) *world {
-	set := settings()
-	set.Budgeted, set.SpareAttempts, set.Ratio, set.BudgetSpan, set.ConnectWait = true, spare, ratio, span, Second/4
-	w := newWorld(t, set)
-	w.now += span
+// retryBudgetWorld returns a world whose front is past its first window, so that the whole budget is
+// available.
+func retryBudgetWorld(t *testing.T, spare, ratio float64, window Time) *world {
+	cfg := settings()
+	cfg.Budgeted, cfg.SpareAttempts, cfg.Ratio, cfg.BudgetSpan, cfg.ConnectWait =
+		true, spare, ratio, window, Second/4
+	w := newWorld(t, cfg)
+	w.now += window
 	return w
 }
 
-// The budget at a front's start was its spare attempts too; a restarted front may have spent them in its earlier life.
-func TestFurtherAttemptsStayInTheirBudget(t *testing.T) {
-	w := budgeted(t, 1, 0, 10*Second)
-	s := one[Send](t, w.do(Request{w.ask(1, 0)}))
-	s = one[Send](t, w.end(1, 0, s.Server, Full))
-	one[Refuse](t, w.end(1, 1, s.Server, Full))
+// A front used its spare retries right after its start, which it may have spent already before a restart.
+// After the first window they are available, and replenished in each later one.
+func TestRetriesStayWithinBudget(t *testing.T) {
+	w := retryBudgetWorld(t, 1, 0, 10*Second)
+	s := onlyOne[Send](t, w.handle(Request{w.newRequest(1, 0)}))
+	s = onlyOne[Send](t, w.finish(1, 0, s.Server, Full))
+	onlyOne[Refuse](t, w.finish(1, 1, s.Server, Full))
 	w.now += 11 * Second
-	s = one[Send](t, w.do(Request{w.ask(2, 0)}))
-	one[Send](t, w.end(2, 0, s.Server, Full))
+	s = onlyOne[Send](t, w.handle(Request{w.newRequest(2, 0)}))
+	onlyOne[Send](t, w.finish(2, 0, s.Server, Full))
 }
 
-func TestARestartedFrontSpendsNothingItMayHaveSpent(t *testing.T) {
-	w := budgeted(t, 2, 0.5, 10*Second)
-	w.f.born = w.now // its life begins here
+// Guards against a restarted front that spends the spare retries a second time in one window.
+func TestRestartedFrontHasNoSpareRetriesForOneWindow(t *testing.T) {
+	w := retryBudgetWorld(t, 2, 0.5, 10*Second)
+	w.front.startedAt = w.now // restarts now
 	w.now += Second
-	s := one[Send](t, w.do(Request{w.ask(1, 0)}))
-	one[Refuse](t, w.end(1, 0, s.Server, Full))
+	s := onlyOne[Send](t, w.handle(Request{w.newRequest(1, 0)}))
+	onlyOne[Refuse](t, w.finish(1, 0, s.Server, Full))
 	w.now += Second
-	for id := uint64(2); id <= 3; id++ { // what it took itself it may count
-		s = one[Send](t, w.do(Request{w.ask(id, 0)}))
-		w.do(Playing{ID: id, Server: s.Server})
+	for id := uint64(2); id <= 3; id++ { // requests since the restart count for the budget
+		s = onlyOne[Send](t, w.handle(Request{w.newRequest(id, 0)}))
+		w.handle(Playing{ID: id, Server: s.Server})
 	}
 	w.now += Second
-	s = one[Send](t, w.do(Request{w.ask(4, 0)}))
-	one[Send](t, w.end(4, 0, s.Server, Full))
+	s = onlyOne[Send](t, w.handle(Request{w.newRequest(4, 0)}))
+	onlyOne[Send](t, w.finish(4, 0, s.Server, Full))
 }
 
-// An attempt that waits for its connection is sent up to ConnectWait after it was chosen. In every window that ends where one is
-// sent, whichever of them waited and for how long, those sent are within the budget. Before, windows were those of the choices.
-func TestTheBudgetHoldsWhereAttemptsAreSent(t *testing.T) {
+// An attempt that waits for its connection is sent up to ConnectTimeout after its server was chosen. The
+// budget must hold in every window that ends when a retry is sent, whichever attempts waited and for how
+// long. It used to hold only in windows of the times of the choices.
+func TestRetryBudgetHoldsAtSendTime(t *testing.T) {
 	for seed := range int64(200) {
 		rng := rand.New(rand.NewSource(seed))
-		spare, ratio, span := float64(rng.Intn(4)), rng.Float64()/2, Time(1+rng.Intn(4))*Second/2
-		w := budgeted(t, spare, ratio, span)
-		var taken, sent []Time
+		spare, ratio, window := float64(rng.Intn(4)), rng.Float64()/2, Time(1+rng.Intn(4))*Second/2
+		w := retryBudgetWorld(t, spare, ratio, window)
+		var requests, retries []Time
 		for id := uint64(1); id < 400; id++ {
 			w.now += Time(rng.Int63n(int64(Second / 5)))
-			taken = append(taken, w.now)
-			list := of[Send](w.do(Request{w.ask(id, 0)}))
-			for n := 0; len(list) == 1; n++ {
+			requests = append(requests, w.now)
+			sends := actionsOf[Send](w.handle(Request{w.newRequest(id, 0)}))
+			for n := 0; len(sends) == 1; n++ {
 				if n > 0 {
-					sent = append(sent, w.now+Time(rng.Int63n(int64(w.f.set.ConnectWait)+1)))
+					retries = append(retries, w.now+Time(rng.Int63n(int64(w.front.cfg.ConnectWait)+1)))
 				}
-				list = of[Send](w.end(id, n, list[0].Server, Moot))
+				sends = actionsOf[Send](w.finish(id, n, sends[0].Server, Moot))
 			}
 		}
-		for _, end := range sent {
-			within := func(list []Time) (n float64) {
-				for _, at := range list {
-					if at > end-span && at <= end {
+		for _, end := range retries {
+			within := func(sends []Time) (n float64) {
+				for _, at := range sends {
+					if at > end-window && at <= end {
 						n++
 					}
 				}
 				return n
 			}
-			if n, most := within(sent), spare+ratio*within(taken); n > most {
-				t.Fatalf("seed %d: %v further attempts in %v, %.2f allowed", seed, n, span, most)
+			if n, limit := within(retries), spare+ratio*within(requests); n > limit {
+				t.Fatalf("seed %d: %v retries in %v, %.2f allowed", seed, n, window, limit)
 			}
 		}
 	}
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,12 +1,13 @@
 package policy
 
-// Which servers are kept off for a while: those that failed, and those that may be cold.
+// Circuit breakers for servers that failed, and slow start of servers that may be cold.
 
-// failing books a failure. With trip the breaker opens: a server that hangs, vanished, died or fails set-ups
-// fast would eat attempts while it reports low use. Harm: a server slow for a moment rests a second.
-func (f *Front) failing(v *server, trip bool) {
-	v.bad.add(f.now, 1)
-	if !trip || f.now < v.openUntil {
+// recordFailure counts a failure. With openBreaker set the breaker opens: a server that hangs, disappeared,
+// died or fails set-ups fast would take attempts while it reports low use. The cost is that a server that
+// is slow for a moment gets no set-ups for a second.
+func (f *Front) recordFailure(v *server, openBreaker bool) {
+	v.failures.add(f.now, 1)
+	if !openBreaker || f.now < v.openUntil {
 		return
 	}
 	v.backoff = min(max(2*v.backoff, backoffMin), backoffMax)
@@ -14,62 +15,70 @@
 	v.failed = true
 }
 
-// erring books an error; a few open the breaker.
-func (f *Front) erring(v *server) { f.failing(v, 1+v.bad.sum(f.now, tallyWindow) >= errorsTrip) }
+// recordError counts an error; errorsToOpen errors open the breaker.
+func (f *Front) recordError(v *server) {
+	f.recordFailure(v, 1+v.failures.total(f.now, failureWindow) >= errorsToOpen)
+}
 
-// proved books a success: the breaker closes. A server that was seen failing may have restarted, cold.
-func (f *Front) proved(v *server) {
+// recordSuccess closes the breaker. A server that failed may have restarted and be cold.
+func (f *Front) recordSuccess(v *server) {
 	if v.failed {
 		v.failed = false
-		v.coldUntil = max(v.coldUntil, f.now+f.set.ColdSpan)
+		v.coldUntil = max(v.coldUntil, f.now+f.cfg.ColdSpan)
 	}
 	if f.now >= v.openUntil {
 		v.backoff = 0
 	}
 }
 
-// open tells whether the breaker keeps a session off: after a failure for a while, then (half-open) for all
-// but one safe session until that has started. Paid set-ups, which can't be repeated, never try it.
-func (f *Front) open(v *server, s *session) bool {
+// breakerBlocks tells whether the breaker blocks a session: after a failure for the backoff, then
+// (half-open) for all but one safe session until that one has started. Paid set-ups can't be repeated and
+// never go to a half-open server.
+func (f *Front) breakerBlocks(v *server, s *session) bool {
 	if f.now < v.openUntil {
 		return true
 	}
 	return v.failed && (f.class(s).Paid || v.trial != nil)
 }
 
-// inSlowStart tells whether a server may be cold for all this front knows: it failed, it was told started,
-// or this front is itself new, was given no complete list that tells the starts, and has no report that the
-// server carries others' sessions, as one just started would not. Harm: it is slow to fill idle servers.
+// inSlowStart tells whether a server may be cold: it failed, the list gave a recent start, or this front is
+// itself new, has no complete list with start times, and has no report that the server carries other
+// fronts' sessions, which a server just started would not. The cost is that idle servers are filled slowly.
 func (f *Front) inSlowStart(v *server) bool {
-	carries := v.link.told && f.others(&v.link) > min(busyIsWarm, f.mean/2)
-	unknown := f.now-f.born < f.set.ColdSpan && !carries && !f.starts
-	falls := f.set.ColdTimes > 0 && f.set.FallSpan > 0 // else nothing is stated that pushes a server over
-	return falls && f.set.ColdSpan > 0 && (v.failed || f.now < v.coldUntil || unknown)
+	carries := v.link.reported && f.othersUse(&v.link) > min(maxWarmThreshold, f.meanUse/2)
+	startUnknown := f.now-f.startedAt < f.cfg.ColdSpan && !carries && !f.startsKnown
+	// Without these settings nothing states what overloads a cold server.
+	overloadKnown := f.cfg.ColdTimes > 0 && f.cfg.FallSpan > 0
+	return overloadKnown && f.cfg.ColdSpan > 0 && (v.failed || f.now < v.coldUntil || startUnknown)
 }
 
-// cold guards a server that may be cold from being pushed over: one token bucket, this front's part of the
-// pace. Also covers crowds coming back to a server. Harm: it fills a little later than it could.
-func (f *Front) cold(v *server) bool { return f.inSlowStart(v) && f.slowStartTokens(v) < 1 }
+// slowStartBlocks protects a server that may be cold from overload, by a token bucket with this front's
+// part of the rate. It also covers many viewers returning to a server at once. The cost is that the server
+// fills a little later than it could.
+func (f *Front) slowStartBlocks(v *server) bool { return f.inSlowStart(v) && f.slowStartTokens(v) < 1 }
 
+// slowStartTokens refills the slow-start bucket of a server and gives its tokens.
 func (f *Front) slowStartTokens(v *server) float64 {
 	slots := 1.0
-	if v.Kind < len(f.set.KindSlots) {
-		slots = f.set.KindSlots[v.Kind]
+	if v.Kind < len(f.cfg.KindSlots) {
+		slots = f.cfg.KindSlots[v.Kind]
 	}
-	fleet, span := float64(max(f.set.Fleet, 1)), float64(f.set.FallSpan)/float64(Second)
-	pushes := slots / (float64(f.set.ColdSpan) / float64(Second)) * f.set.ColdFrom * f.set.ColdTimes
-	perS, most := pushes*slowStartPart/fleet, 1.0
-	// Where a token of each front is more than it may be sent within the span, fronts start anywhere between
-	// two tokens, and one not used for that span lapses: saved up, they would come all at once.
-	many := fleet > pushes*span
-	if many {
-		most += perS * span
+	fronts, seconds := float64(max(f.cfg.Fleet, 1)), float64(f.cfg.FallSpan)/float64(Second)
+	overloadRate := slots / (float64(f.cfg.ColdSpan) / float64(Second)) *
+		f.cfg.ColdFrom * f.cfg.ColdTimes
+	perSecond, limit := overloadRate*slowStartPart/fronts, 1.0
+	// Where one token for each front exceeds what the server may get within the overload window, fronts
+	// start at a random point between two tokens, and a token not used for that window expires: saved
+	// tokens would otherwise be used all at once.
+	spread := fronts > overloadRate*seconds
+	if spread {
+		limit += perSecond * seconds
 	}
-	// A front younger than the server can't know what its earlier life sent there: it starts so too.
-	if v.slowStart.at == 0 && (many || f.born > v.Started) {
-		v.slowStart = bucket{tokens: f.rng.Float64(), at: f.now}
+	// A front younger than the server can't know what it sent there before its restart: it starts so too.
+	if v.slowStart.filledAt == 0 && (spread || f.startedAt > v.Started) {
+		v.slowStart = tokenBucket{tokens: f.rng.Float64(), filledAt: f.now}
 	}
-	if v.slowStart.fill(f.now, perS, most) >= most && many {
+	if v.slowStart.refill(f.now, perSecond, limit) >= limit && spread {
 		v.slowStart.tokens = 0
 	}
 	return v.slowStart.tokens
--- a/policy/place.go
+++ b/policy/place.go
@@ -2,119 +2,126 @@
 
 import "sort"
 
-// Where a session is set up, and at which rung; when it is held, tried again or given up.
+// Placement of sessions: choice of server and rung, holding, retries and refusal.
 
-// candidates ranks the holders that may take a session now: by use, tally and distance.
+// candidates ranks the holders that may take a session now, by use, recent failures and zone.
 func (f *Front) candidates(s *session) []*server {
 	var list, cold []*server
 	holders := f.holders(s)
-	collect := func(evenOpen bool) {
+	collect := func(blocked bool) {
 		for _, v := range holders {
-			if v == s.from || s.hasTried(v) || f.open(v, s) != evenOpen {
+			if v == s.movedFrom || s.hasTried(v) || f.breakerBlocks(v, s) != blocked {
 				continue
 			}
-			if f.cold(v) {
+			if f.slowStartBlocks(v) {
 				if !v.failed && f.now >= v.coldUntil {
 					cold = append(cold, v)
 				}
 				continue
 			}
-			v.score = f.busy(v) + tallyWeight*v.bad.sum(f.now, tallyWindow)
-			if v.Zone != f.set.Zone {
-				v.score += f.set.PriceCross
+			v.score = f.highestUse(v) + failureWeight*v.failures.total(f.now, failureWindow)
+			if v.Zone != f.cfg.Zone {
+				v.score += f.cfg.PriceCross
 			}
-			if s.from != nil && v.rack == s.from.rack {
-				v.score++ // it was moved off that rack: only if nothing else has room
+			if s.movedFrom != nil && v.rack == s.movedFrom.rack {
+				v.score++ // the session was moved off this rack: last choice
 			}
 			list = append(list, v)
 		}
 	}
 	collect(false)
 	if len(list) == 0 {
-		for _, i := range f.rng.Perm(len(cold))[:min(len(cold), lookAt)] {
-			f.inspect(cold[i], probeBlock) // it may tell that it is warm, and spare a refusal: never too dear
+		for _, i := range f.rng.Perm(len(cold))[:min(len(cold), probesPerChoice)] {
+			// The report may show that the server is warm and avoid a refusal: worth its price in any case.
+			f.sendProbe(cold[i], blockedProbeAge)
 		}
 	}
-	// If all look bad, the trouble may lie elsewhere: a safe request may go to one all the same.
-	if s.despite = len(list) == 0 && !f.class(s).Paid; s.despite {
+	// If all holders are blocked the fault may lie elsewhere: a safe request may still go to one of them.
+	if s.breakersIgnored = len(list) == 0 && !f.class(s).Paid; s.breakersIgnored {
 		collect(true)
 	}
-	// Of holders alike, as those never heard from are, each front takes another first: in the order of the
-	// list hundreds of fronts would all take the same.
+	// Holders with equal scores, such as those without reports, are shuffled: in list order hundreds of
+	// fronts would all choose the same one.
 	f.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	sort.SliceStable(list, func(i, j int) bool { return list[i].score < list[j].score })
-	return list[:min(len(list), listLen)]
+	return list[:min(len(list), maxFallbacks)]
 }
 
-// place sends a session to the best-ranked holder with room, or the next on its list. A paid one that may
-// have run is never sent again nor refused; no second attempt goes out before the first one's outcome. What
-// came too late, as to a front that stood still, is answered and not begun.
+// place sends a session to the best-ranked holder with spare capacity, or to the next on its fallback list.
+// A paid set-up that may have run is never sent again nor refused; no attempt starts before the outcome of
+// the previous one. A request that arrives too late, as after a stall of this front, gets a reply without
+// an attempt.
 func (f *Front) place(s *session) {
-	if f.now >= s.Deadline-lastTry || s.attempts > 0 && (s.attempts >= f.set.MaxAttempts ||
-		s.unsure && f.class(s).Paid || !f.withinRetryBudget()) {
+	if f.now >= s.Deadline-minAttemptTime || s.attempts > 0 && (s.attempts >= f.cfg.MaxAttempts ||
+		s.mayHaveRun && f.class(s).Paid || !f.withinRetryBudget()) {
 		f.giveUp(s)
 		return
 	}
-	if s.attempts == 0 || len(s.list) == 0 {
-		s.list = f.candidates(s)
+	if s.attempts == 0 || len(s.fallbacks) == 0 {
+		s.fallbacks = f.candidates(s)
 	}
 	seats := f.class(s).Seats
-	free := seats <= 0 || f.count(s.Class, s.Title) < seats
-	asked := false
-	for _, v := range s.list[:min(len(s.list), lookAt)] {
-		look := s.holding == 0 && s.attempts == 0 && v.score > lookFrom && (!f.set.Inline || f.unheard(v))
-		asked = look && f.probe(v, probeStale) || asked
-	}
-	for _, v := range s.list {
-		if asked {
-			break // the choice rests on old news: hold a tick and look at the best
+	seatFree := seats <= 0 || f.countSessions(s.Class, s.Title) < seats
+	probing := false
+	for _, v := range s.fallbacks[:min(len(s.fallbacks), probesPerChoice)] {
+		wanted := s.heldUntil == 0 && s.attempts == 0 && v.score > probeMinScore &&
+			(!f.cfg.Inline || f.reportStale(v))
+		probing = wanted && f.probe(v, staleProbeAge) || probing
+	}
+	for _, v := range s.fallbacks {
+		if probing {
+			break // reports are stale: hold the request for a tick and wait for the probes
 		}
-		if !free || !v.listed || s.hasTried(v) || f.cold(v) || f.open(v, s) && !s.despite {
+		if !seatFree || !v.listed || s.hasTried(v) || f.slowStartBlocks(v) ||
+			f.breakerBlocks(v, s) && !s.breakersIgnored {
 			continue
 		}
-		link, uplink := f.room(v, mark)
-		if rung := f.highest(s, v, link, uplink, 0, 0); rung >= 0 {
+		link, uplink := f.spareRates(v, maxUse)
+		if rung := f.highestRung(s, v, link, uplink, 0, 0); rung >= 0 {
 			f.send(s, v, rung)
 			return
 		}
 	}
-	if s.holding == 0 {
-		s.holding = min(f.now+holdSpan, s.Deadline-lastTry)
+	if s.heldUntil == 0 {
+		s.heldUntil = min(f.now+holdTimeout, s.Deadline-minAttemptTime)
 		f.waiting = append(f.waiting, s)
-		f.do(Timer{tokenHeld, max(s.holding-f.now, 0)})
+		f.emit(Timer{tokenHeld, max(s.heldUntil-f.now, 0)})
 	}
-	s.list = nil
-	if f.now >= s.holding {
+	s.fallbacks = nil
+	if f.now >= s.heldUntil {
 		f.giveUp(s)
 	}
 }
 
-// retryHeld looks for room for the requests held: all, or those only whose time is up.
-func (f *Front) retryHeld(due bool) {
+// retryHeld places the held requests again: all of them, or only those whose hold has expired.
+func (f *Front) retryHeld(expiredOnly bool) {
 	for _, s := range append([]*session(nil), f.waiting...) {
-		if !due || f.now >= s.holding {
+		if !expiredOnly || f.now >= s.heldUntil {
 			f.place(s)
 		}
 	}
 }
 
-// withinRetryBudget keeps further attempts within a stated budget, against storms of retries, in every window
-// that ends where one is sent: it may wait for a connection until then, so those before count longer by that
-// and requests shorter. A new front can't know what its earlier life spent: for one window nothing is spare.
-// Harm: few are tried again then.
+// withinRetryBudget tells whether another attempt fits the retry budget, which prevents retry storms. The
+// budget holds in every window that ends when a retry is sent. As an attempt may wait for its connection
+// until then, earlier retries count for longer by the connect time-out and requests for less. A new front
+// can't know what it spent before its restart: for one window it has no spare retries, so few requests are
+// retried then.
 func (f *Front) withinRetryBudget() bool {
-	if !f.set.Budgeted {
+	if !f.cfg.Budgeted {
 		return true
 	}
-	span, late, spare := f.set.BudgetSpan, f.set.ConnectWait, f.set.SpareAttempts
-	if f.now-f.born < span {
+	window, delay, spare := f.cfg.BudgetSpan, f.cfg.ConnectWait, f.cfg.SpareAttempts
+	if f.now-f.startedAt < window {
 		spare = 0
 	}
-	return f.extra.sum(f.now, span+late)+1 <= spare+f.set.Ratio*f.taken.sum(f.now, span-late)
+	return f.retries.total(f.now, window+delay)+1 <=
+		spare+f.cfg.Ratio*f.requests.total(f.now, window-delay)
 }
 
+// send starts an attempt at a server.
 func (f *Front) send(s *session, v *server, rung int) {
-	f.waiting, s.holding = drop(f.waiting, s), 0
+	f.waiting, s.heldUntil = removeSession(f.waiting, s), 0
 	if f.inSlowStart(v) {
 		f.slowStartTokens(v)
 		v.slowStart.tokens--
@@ -123,32 +130,34 @@
 		v.trial = s
 	}
 	if s.attempts > 0 {
-		f.extra.add(f.now, 1)
+		f.retries.add(f.now, 1)
 	}
 	s.rung = rung
 	s.attempts++
 	s.tried = append(s.tried, v)
-	f.enter(s, v)
+	f.assign(s, v)
 	if s.rung != f.class(s).Floor || s.attempts > 1 {
-		f.do(Rate{s.ID, s.rung})
+		f.emit(Rate{s.ID, s.rung})
 	}
 	timeout := s.Deadline - f.now
-	if !f.class(s).Paid && s.attempts < f.set.MaxAttempts && len(s.list) > 1 {
-		timeout = min(timeout, Time(tryShare*float64(f.class(s).Aim)))
+	if !f.class(s).Paid && s.attempts < f.cfg.MaxAttempts && len(s.fallbacks) > 1 {
+		timeout = min(timeout, Time(attemptPart*float64(f.class(s).Aim)))
 	}
-	f.do(Send{s.ID, v.Server, timeout})
+	f.emit(Send{s.ID, v.Server, timeout})
 }
 
-// giveUp ends a request at once.
+// giveUp ends a request at once: it fails if its deadline has passed or a paid attempt may have run, and is
+// refused otherwise.
 func (f *Front) giveUp(s *session) {
-	defer f.forget(s)
+	defer f.deleteSession(s)
 	after := Time(0)
-	if f.set.RetryAfter {
-		after = Time(float64(f.set.MaxRetry) * (waitLeast + (1-waitLeast)*f.rng.Float64()))
+	if f.cfg.RetryAfter {
+		after = Time(float64(f.cfg.MaxRetry) *
+			(minRetryAfterPart + (1-minRetryAfterPart)*f.rng.Float64()))
 	}
-	if f.now >= s.Deadline || s.unsure && f.class(s).Paid {
-		f.do(Fail{s.ID})
+	if f.now >= s.Deadline || s.mayHaveRun && f.class(s).Paid {
+		f.emit(Fail{s.ID})
 		return
 	}
-	f.do(Refuse{s.ID, after})
+	f.emit(Refuse{s.ID, after})
 }
--- a/policy/place_test.go
+++ b/policy/place_test.go
@@ -4,47 +4,47 @@
 	"testing"
 )
 
-func TestTallyCountsInTheRanking(t *testing.T) {
+func TestRecentFailuresLowerRanking(t *testing.T) {
 	w := newWorld(t, settings())
-	w.useAll(0.3)
-	s := one[Send](t, w.do(Request{w.ask(1, 0)}))
-	next := one[Send](t, w.end(1, 0, s.Server, Full))
+	w.reportUseAll(0.3)
+	s := onlyOne[Send](t, w.handle(Request{w.newRequest(1, 0)}))
+	next := onlyOne[Send](t, w.finish(1, 0, s.Server, Full))
 	if next.Server == s.Server {
-		t.Fatal("the same holder was tried again")
+		t.Fatal("sent to the same holder again")
 	}
-	w.end(1, 1, next.Server, Full)
-	if got := w.place(9, 0); got == s.Server || got == next.Server {
-		t.Fatalf("sent to %d, which has just refused", got)
+	w.finish(1, 1, next.Server, Full)
+	if got := w.start(9, 0); got == s.Server || got == next.Server {
+		t.Fatalf("sent to %d, which has just refused a set-up", got)
 	}
 }
 
-func TestListsFullDeltaCachedFailed(t *testing.T) {
+func TestServerListKinds(t *testing.T) {
 	w := newWorld(t, settings())
-	drained := entry(2)
-	drained.Health = Draining
-	w.do(List{Kind: ListDelta, Entries: []Entry{drained}})
-	w.do(List{Kind: ListFull, Entries: []Entry{entry(1), drained}}) // 3 and 4 are gone
+	draining := entry(2)
+	draining.Health = Draining
+	w.handle(List{Kind: ListDelta, Entries: []Entry{draining}})
+	w.handle(List{Kind: ListFull, Entries: []Entry{entry(1), draining}}) // 3 and 4 are no longer listed
 	for id := uint64(1); id <= 3; id++ {
-		if got := w.place(id, 0); got != 1 {
+		if got := w.start(id, 0); got != 1 {
 			t.Fatalf("sent to %d, want 1", got)
 		}
-		w.end(id, 0, 1, OK)
+		w.finish(id, 0, 1, OK)
 	}
-	ask := one[Timer](t, w.do(List{Kind: ListFailed}))
-	if got := w.place(4, 0); got != 1 {
+	retryTimer := onlyOne[Timer](t, w.handle(List{Kind: ListFailed}))
+	if got := w.start(4, 0); got != 1 {
 		t.Fatalf("after a failed list sent to %d, want 1", got)
 	}
-	w.now += ask.After
-	one[Follow](t, w.do(Alarm{ask.Token}))
+	w.now += retryTimer.After
+	onlyOne[Follow](t, w.handle(Alarm{retryTimer.Token}))
 	removed := entry(1)
 	removed.Health = Removed
-	w.do(List{Kind: ListDelta, Entries: []Entry{removed}})
-	none[Send](t, w.do(Request{w.ask(5, 0)}))
+	w.handle(List{Kind: ListDelta, Entries: []Entry{removed}})
+	mustHaveNone[Send](t, w.handle(Request{w.newRequest(5, 0)}))
 }
 
-func TestAFrontThatMustAskForTheListDoes(t *testing.T) {
-	set := settings()
-	set.AskList = true
-	w := &world{t: t, f: New(set, 1), now: start}
-	one[Follow](t, w.do(List{Kind: ListCached}))
+func TestFrontSubscribesToServerList(t *testing.T) {
+	cfg := settings()
+	cfg.SubscribeList = true
+	w := &world{t: t, front: New(cfg, 1), now: startTime}
+	onlyOne[Follow](t, w.handle(List{Kind: ListCached}))
 }
--- a/policy/playing.go
+++ b/policy/playing.go
@@ -2,118 +2,122 @@
 
 import "math"
 
-// While sessions play: rungs follow what servers deliver, and sessions move off those that stay short.
+// Playing sessions: rungs follow what servers deliver, and sessions move off servers that stay short.
 
-func (f *Front) note(e Note) {
+// handleNote applies a note on a session.
+func (f *Front) handleNote(e Note) {
 	s := f.byID[e.ID]
 	v := f.fleet.get(e.Server)
-	if s == nil || v == nil || s.at != v {
+	if s == nil || v == nil || s.server != v {
 		return
 	}
 	switch e.Kind {
 	case NoteRung:
-		if r := int(e.Value); r >= 0 && r < len(f.set.RungKB) {
-			f.occupy(s, -1)
+		if r := int(e.Value); r >= 0 && r < len(f.cfg.RungKB) {
+			f.addRate(s, -1)
 			s.rung = r
-			f.occupy(s, 1)
+			f.addRate(s, 1)
 		}
 	case NoteLink:
-		f.told(&v.link, e.Value, f.set.SeeLate)
+		f.recordUse(&v.link, e.Value, f.cfg.SeeLate)
 	case NoteUplink:
-		f.told(&v.rack.meter, e.Value, f.set.SeeLate)
+		f.recordUse(&v.rack.meter, e.Value, f.cfg.SeeLate)
 	case NoteShare:
-		f.short(v, e.Value)
+		f.handleShortNote(v, e.Value)
 	}
 }
 
-// short acts on a note that tells the share delivered at a server, whatever took the rest: too many
-// sessions, a neighbour, a sagging uplink or a server that stands still.
-func (f *Front) short(v *server, share float64) {
-	if share >= fullShare {
-		v.shorts = 0
+// handleShortNote processes a note with the share of the rate that a server delivers, whatever the cause of
+// a low share: too many sessions, load of a neighbour, an uplink with less capacity or a hung server.
+func (f *Front) handleShortNote(v *server, share float64) {
+	if share >= deliveredShare {
+		v.shortNotes = 0
 		return
 	}
-	// A short uplink shows at several of its servers at once and alike; else it is the server's own link.
-	m, like := &v.link, false
-	for _, o := range v.rack.parts {
-		like = like || o != v && f.now-o.shortAt < rackTogether && math.Abs(o.share-share) < rackLike
+	// A short uplink gives similar shares at several of its servers at once; otherwise the server's own
+	// link is short.
+	m, alike := &v.link, false
+	for _, o := range v.rack.servers {
+		alike = alike || o != v && f.now-o.shortAt < alikeWindow &&
+			math.Abs(o.lastShare-share) < alikeTolerance
 	}
-	if like && f.load(&v.rack.meter) > f.load(m) {
+	if alike && f.estimatedUse(&v.rack.meter) > f.estimatedUse(m) {
 		m = &v.rack.meter
 	}
-	v.share, v.shortAt = share, f.now
-	v.bad.add(f.now, 1-share)
+	v.lastShare, v.shortAt = share, f.now
+	v.failures.add(f.now, 1-share)
 	if share < hungShare {
-		f.failing(v, true)
+		f.recordFailure(v, true)
 	} else {
-		m.set(1/max(share, shareLeast), f.now-f.set.SeeLate)
+		m.setUse(1/max(share, minShare), f.now-f.cfg.SeeLate)
 	}
-	if share < moveShare {
-		v.shorts++
+	if share < moveBelowShare {
+		v.shortNotes++
 	}
-	if share < shortNote && share >= hungShare && f.now-v.shedAt > f.set.SeeLate+shedPause {
-		f.learn(m, 1/share) // in a crowd no report is as new
-		f.shed(v, share)
+	if share < lowerBelowShare && share >= hungShare && f.now-v.loweredAt > f.cfg.SeeLate+lowerInterval {
+		f.updateMean(m, 1/share) // under high load no report is as recent
+		f.lowerRungs(v, share)
 	}
-	if v.shorts >= moveNotes {
-		f.moveOff(v)
+	if v.shortNotes >= moveAfterNotes {
+		f.moveSessionsOff(v)
 	}
 }
 
-// shed lowers own sessions at a short server until the own rate has come down by what is missing. Each
-// front there does its part. Harm: a moment's shortness costs rung changes.
-func (f *Front) shed(v *server, share float64) {
-	v.shedAt = f.now
-	target := v.link.own * share * shedTarget
+// lowerRungs lowers own sessions at a short server until their rate has fallen by the missing part. Each
+// front with sessions there does its part. The cost is that a short moment causes rung changes.
+func (f *Front) lowerRungs(v *server, share float64) {
+	v.loweredAt = f.now
+	target := v.link.own * share * lowerTarget
 	for v.link.own > target {
 		var best *session
-		to, least := 0, math.Inf(1)
-		for _, s := range v.held {
-			for r := s.rung - 1; r >= f.class(s).Floor && !s.left; r-- {
-				freed := min(f.kb(s, s.rung)-f.kb(s, r), v.link.own-target)
-				if cost := (f.worth(s, s.rung) - f.worth(s, r) + f.change(s)) / freed; cost < least {
-					best, to, least = s, r, cost
+		rung, lowestCost := 0, math.Inf(1)
+		for _, s := range v.sessions {
+			for r := s.rung - 1; r >= f.class(s).Floor && !s.viewerLeft; r-- {
+				freed := min(f.rateKB(s, s.rung)-f.rateKB(s, r), v.link.own-target)
+				if cost := (f.worth(s, s.rung) - f.worth(s, r) + f.changeCost(s)) / freed; cost < lowestCost {
+					best, rung, lowestCost = s, r, cost
 				}
 			}
 		}
 		if best == nil {
 			return
 		}
-		// A whole rung of each of hundreds would be far too much: the missing part of it is the chance to
-		// lower it, and a little more, so that one of all rounds up.
-		over, freed := v.link.own-target, f.kb(best, best.rung)-f.kb(best, to)
-		if f.rng.Float64()-f.part(&v.link, 1) > over/freed {
+		// If each of hundreds of fronts lowered a whole rung the sum would be far too much: the rung is
+		// lowered with the probability of the missing part, and a little more so that one of all fronts
+		// rounds up.
+		excess, freed := v.link.own-target, f.rateKB(best, best.rung)-f.rateKB(best, rung)
+		if f.rng.Float64()-f.sparePart(&v.link, 1) > excess/freed {
 			return
 		}
-		f.setRung(best, to)
+		f.setRung(best, rung)
 	}
 }
 
-// moveOff moves a session, paced, to the best holder with room on another rack, if there is one.
-func (f *Front) moveOff(v *server) {
-	for _, s := range v.held {
-		if f.moves.fill(f.now, movesPerS, movesBurst) < 1 {
+// moveSessionsOff moves sessions, within the rate limit, if a holder on another rack has spare capacity.
+func (f *Front) moveSessionsOff(v *server) {
+	for _, s := range v.sessions {
+		if f.moveTokens.refill(f.now, movesPerSecond, movesBurst) < 1 {
 			return
 		}
-		if !s.playing || s.moved || s.left {
+		if !s.playing || s.moved || s.viewerLeft {
 			continue
 		}
-		// The longer a server has been short, the longer it is expected to stay so.
-		lasts := min(f.left(s), Time(v.shorts)*moveLasts)
-		lost := s.weight * f.set.RungWorth[s.rung] * min(f.set.StallCost*(fullShare-v.share), 1)
-		if lost*float64(lasts)/float64(Second) < f.set.PriceMove*f.typical+moveGap*s.weight {
+		// The longer a server has been short, the longer it is expected to remain short.
+		duration := min(f.remaining(s), Time(v.shortNotes)*shortTimePerNote)
+		loss := s.weight * f.cfg.RungWorth[s.rung] * min(f.cfg.StallCost*(deliveredShare-v.lastShare), 1)
+		if loss*float64(duration)/float64(Second) < f.cfg.PriceMove*f.typicalWorth+moveGapSeconds*s.weight {
 			continue
 		}
 		for _, o := range f.candidates(s) {
-			// A server that stands still says nothing against its rack, and any other is better than it. From
-			// one that is only short, a guess at where there's room is no reason to move.
-			if (o.rack == v.rack || f.unheard(o)) && v.share >= hungShare || f.open(o, s) {
+			// A hung server says nothing about its rack, and any other holder is better. Off a server that
+			// is only short, a guess of spare capacity elsewhere is no reason to move.
+			if (o.rack == v.rack || f.reportStale(o)) && v.lastShare >= hungShare || f.breakerBlocks(o, s) {
 				continue
 			}
-			if link, uplink := f.room(o, mark); f.highest(s, o, link, uplink, 0, 0) >= 0 {
-				f.moves.tokens--
-				f.move(s, pastMost)
-				if v.share >= hungShare {
+			if link, uplink := f.spareRates(o, maxUse); f.highestRung(s, o, link, uplink, 0, 0) >= 0 {
+				f.moveTokens.tokens--
+				f.moveSession(s, maxMovedViewers)
+				if v.lastShare >= hungShare {
 					return
 				}
 				break
@@ -122,106 +126,111 @@
 	}
 }
 
-// empty moves sessions off a server that is to be empty by a time, paced, each to the best holder with room.
-// Those that are known to end before are left: a move costs, and takes room elsewhere. Harm: of those that
-// last longer some lose a moment.
-func (f *Front) empty(v *server) {
-	for _, s := range v.held {
-		if f.moves.fill(f.now, movesPerS, movesBurst) < 1 {
+// vacateServer moves sessions off a server that is to be empty by a deadline, within the rate limit, if
+// another holder has spare capacity. Sessions known to end before the deadline stay: a move has a cost and
+// takes capacity elsewhere. Some of the moved sessions are interrupted for a moment.
+func (f *Front) vacateServer(v *server) {
+	for _, s := range v.sessions {
+		if f.moveTokens.refill(f.now, movesPerSecond, movesBurst) < 1 {
 			return
 		}
-		if !s.playing || s.moved || s.left || s.Hinted && f.now+f.left(s) <= v.vacate {
+		if !s.playing || s.moved || s.viewerLeft || s.Hinted && f.now+f.remaining(s) <= v.vacateBy {
 			continue
 		}
 		for _, o := range f.candidates(s) {
-			link, uplink := f.room(o, mark)
-			if o != v && !f.open(o, s) && f.highest(s, o, link, uplink, 0, 0) >= 0 {
-				f.moves.tokens--
-				f.move(s, pastMost)
+			link, uplink := f.spareRates(o, maxUse)
+			if o != v && !f.breakerBlocks(o, s) && f.highestRung(s, o, link, uplink, 0, 0) >= 0 {
+				f.moveTokens.tokens--
+				f.moveSession(s, maxMovedViewers)
 				break
 			}
 		}
 	}
 }
 
-// left is how long a session is expected to last yet.
-func (f *Front) left(s *session) Time {
+// remaining is the expected remaining length of a session.
+func (f *Front) remaining(s *session) Time {
 	switch {
 	case !s.Hinted:
-		return remains
+		return defaultRemaining
 	case s.playing:
-		return max(s.Length-(f.now-s.started), 0)
+		return max(s.Length-(f.now-s.startedAt), 0)
 	}
 	return s.Length
 }
 
-// probe asks for a report newer than stale, if requests have earned it.
-func (f *Front) probe(v *server, stale Time) bool {
-	if f.probes < 1 || !f.inspect(v, stale) {
+// probe spends an earned probe on a server whose report is older than maxAge, and tells whether it did.
+func (f *Front) probe(v *server, maxAge Time) bool {
+	if f.probeTokens < 1 || !f.sendProbe(v, maxAge) {
 		return false
 	}
-	f.probes--
+	f.probeTokens--
 	return true
 }
 
-func (f *Front) inspect(v *server, stale Time) bool {
-	if !f.set.MayProbe || v.probing || f.now-v.probedAt < Second ||
-		(v.link.told && f.now-v.link.useAt < stale) {
+// sendProbe probes a server whose report is older than maxAge, and tells whether it did.
+func (f *Front) sendProbe(v *server, maxAge Time) bool {
+	if !f.cfg.MayProbe || v.probing || f.now-v.probedAt < Second ||
+		(v.link.reported && f.now-v.link.measuredAt < maxAge) {
 		return false
 	}
 	v.probing, v.probedAt = true, f.now
-	f.do(Probe{v.Server})
+	f.emit(Probe{v.Server})
 	return true
 }
 
-func (f *Front) alarm() {
-	f.do(Timer{tokenTick, tick})
+// housekeeping runs each tick: it retries held requests, vacates servers and, once a second, raises rungs.
+func (f *Front) housekeeping() {
+	f.emit(Timer{tokenTick, tickInterval})
 	f.ticks++
 	f.retryHeld(false)
-	for _, v := range f.fleet.hosts {
-		if v.vacate > 0 {
-			f.empty(v)
+	for _, v := range f.fleet.withSessions {
+		if v.vacateBy > 0 {
+			f.vacateServer(v)
 		}
 	}
-	if f.ticks%int(Second/tick) == 0 {
-		for _, v := range f.fleet.hosts {
-			f.raise(v)
+	if f.ticks%int(Second/tickInterval) == 0 {
+		for _, v := range f.fleet.withSessions {
+			f.raiseRungs(v)
 		}
 	}
 }
 
-// raise gives lasting spare to the sessions that gain most by it. Other fronts see the same spare: this
-// one takes its part of it.
-func (f *Front) raise(v *server) {
-	if f.now-v.shortAt < raiseCalm || v.failed {
+// raiseRungs gives lasting spare capacity to the sessions that gain most by it. Other fronts see the same
+// spare capacity: this front takes only its part.
+func (f *Front) raiseRungs(v *server) {
+	if f.now-v.shortAt < raiseCalmTime || v.failed {
 		return
 	}
-	if !v.link.told || f.now-v.link.useAt > raiseFresh {
-		if f.set.TellEvery == 0 && f.probes > lookAt { // choices come first; notes need no probe
-			f.probe(v, probeStale)
+	if !v.link.reported || f.now-v.link.measuredAt > maxRaiseReportAge {
+		// Choices have priority; with regular notes no probe is needed.
+		if f.cfg.TellEvery == 0 && f.probeTokens > probesPerChoice {
+			f.probe(v, staleProbeAge)
 		}
 		return
 	}
 	draw := 1.0
-	if v.raisedOn != v.link.useAt { // one draw a report: more would take more than a part
-		v.raisedOn, draw = v.link.useAt, 1-f.rng.Float64()
+	// One draw for each report: more draws would take more than this front's part.
+	if v.raisedReportAt != v.link.measuredAt {
+		v.raisedReportAt, draw = v.link.measuredAt, 1-f.rng.Float64()
 	}
 	for {
-		link, uplink := f.room(v, mark-raiseGap)
+		link, uplink := f.spareRates(v, maxUse-raiseReserve)
 		var best *session
-		to, most := 0, 0.0
-		for _, s := range v.held {
-			if !s.playing || s.left || f.now-s.changed < restRung {
+		rung, bestNet := 0, 0.0
+		for _, s := range v.sessions {
+			if !s.playing || s.viewerLeft || f.now-s.rungChangedAt < minRungInterval {
 				continue
 			}
-			r := f.highest(s, v, link, uplink, f.kb(s, s.rung), draw)
-			if net := f.worth(s, r) - f.worth(s, s.rung) - changeTimes*f.change(s); r > s.rung && net > most {
-				best, to, most = s, r, net
+			r := f.highestRung(s, v, link, uplink, f.rateKB(s, s.rung), draw)
+			if net := f.worth(s, r) - f.worth(s, s.rung) -
+				minRaiseGain*f.changeCost(s); r > s.rung && net > bestNet {
+				best, rung, bestNet = s, r, net
 			}
 		}
 		if best == nil {
 			return
 		}
-		f.setRung(best, to)
+		f.setRung(best, rung)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,104 +1,135 @@
-// The decision module. Its interface (settings, events, actions) is policy/api.go; records and
-// counters without judgement are policy/state.go. The mechanism is HyperEdge's device selection
-// (section 4.2.3) as the design page gives it: filter, rank, fallback list, rung rule, moves.
 package policy
 
-// Tuned values, each with its reason. Those marked "page" are the design page's starting values.
+// This file holds the parameters of the decisions, the entry points New and Handle, and the processing of
+// server lists. The interface (settings, events, actions) is in api.go; records and counters without
+// decisions are in state.go and records.go. The method is the device selection of HyperEdge (section 4.2.3)
+// as the design page describes it: filter, rank, fallback list, rung rule, moves.
+
+// Parameters of the decisions. Those marked "design page" have its starting values.
 const (
-	mark      = 0.95 // use a set-up may bring a link to (page: 0.85); rates wander
-	listLen   = 20   // holders on the fallback list (page, and the paper's K)
-	moveShare = 0.9  // a share under this (page)
-	moveNotes = 2    // on so many notes lets sessions move (page)
+	// maxUse is the highest use that a set-up may bring a link to. The rest is needed because rates vary.
+	maxUse         = 0.95 // design page: 0.85
+	maxFallbacks   = 20   // holders on the fallback list (design page; K in the paper)
+	moveBelowShare = 0.9  // delivered share that counts towards a move (design page)
+	moveAfterNotes = 2    // consecutive notes below moveBelowShare that allow moves (design page)
 
-	tallyWindow, tallyWeight = 10 * Second, 0.1        // how long failures count; the use each counts for
-	holdSpan                 = 300 * Millisecond       // a brief hold: three looks for room
-	tick, askAgain           = Second / 10, 1 * Second // housekeeping; a failed list call is repeated
-	tryShare, lastTry        = 0.42, Second / 50       // of the aim an attempt, so two fit; none begun later
+	// A failure adds failureWeight of use to a server's score for failureWindow.
+	failureWindow, failureWeight = 10 * Second, 0.1
+	// holdTimeout is short: it covers three searches for capacity, one a tick.
+	holdTimeout = 300 * Millisecond
+	// Housekeeping runs each tickInterval; a failed list request is repeated after listRetryDelay.
+	tickInterval, listRetryDelay = Second / 10, 1 * Second
+	// An attempt takes attemptPart of the set-up target, so that two fit. None starts with less than
+	// minAttemptTime left before the deadline.
+	attemptPart, minAttemptTime = 0.42, Second / 50
 
-	reportLag, keepChanges  = 4 * Second / 10, 5 * Second // age of a report that comes; past any lateness
-	staleHalf, meanBlend    = 8 * Second, 0.1             // a report's half-life; its weight in the average
-	alikeAll                = 5.0                         // others that an own addition counts for in full
-	blend, blendWithin      = 0.5, 4 * Second             // noisy: its weight against an estimate this fresh
-	meanStart               = 0.4                         // others' use before any report: a moderate day
-	rackTogether, rackLike  = 3 * Second / 2, 0.08        // short within this and alike: the uplink
-	probeEach, probeCost    = 1.2, 0.032                  // probes a request earns; their part of G at most
-	probesStart, probesMost = 4.0, 20.0                   // at the start: a look; saved
-	probeBlock, probeStale  = 1 * Second, 2 * Second      // age to probe at if all may be cold, else
+	// reportDelay is the assumed age of a report on arrival; changeTTL is longer than any report is
+	// delayed.
+	reportDelay, changeTTL = 4 * Second / 10, 5 * Second
+	// reportHalfLife is the age at which a report weighs half; meanWeight is its weight in the mean use.
+	reportHalfLife, meanWeight = 8 * Second, 0.1
+	maxFullPeers               = 5.0 // other fronts that an own addition counts for in full
+	// Reports are noisy: reportWeight is the weight of a new one against an estimate less than blendWindow
+	// older.
+	reportWeight, blendWindow = 0.5, 4 * Second
+	initialMeanUse            = 0.4 // other fronts' use before any report: that of a moderate day
+	// Short notes from servers of one rack within alikeWindow, with shares that differ by less than
+	// alikeTolerance, mean that the uplink is short.
+	alikeWindow, alikeTolerance = 3 * Second / 2, 0.08
+	// A request earns probesPerRequest, but probes cost at most maxProbeCost of the result G.
+	probesPerRequest, maxProbeCost = 1.2, 0.032
+	// initialProbes allows a first choice to probe; maxProbes is the most that is saved up.
+	initialProbes, maxProbes = 4.0, 20.0
+	// A server is probed if its report is older than blockedProbeAge where all holders may be cold, or than
+	// staleProbeAge otherwise.
+	blockedProbeAge, staleProbeAge = 1 * Second, 2 * Second
 
-	backoffMin, backoffMax = 1 * Second, 8 * Second // breaker's pauses: outages last 5 to 30 s
-	errorsTrip             = 2                      // failures that open it
-	hungShare, shareLeast  = 0.1, 0.5               // under it, it stands still; none tells more use than 2
-	slowStartPart          = 0.5                    // part of the pushing-over pace all fronts may use
-	busyIsWarm             = 0.25                   // use by others that one just started lacks, at most
+	// Backoff of the circuit breaker: outages last 5 to 30 s.
+	backoffMin, backoffMax = 1 * Second, 8 * Second
+	errorsToOpen           = 2 // errors that open the breaker
+	// A server that delivers less than hungShare counts as hung. Lower shares count as minShare, so that no
+	// note stands for a use over 2.
+	hungShare, minShare = 0.1, 0.5
+	slowStartPart       = 0.5  // part of the overloading rate that all fronts together may use
+	maxWarmThreshold    = 0.25 // upper limit of the use by others that shows a server is warm
 
-	fullShare, shortNote  = 0.98, 0.95             // all is delivered; a share that calls for lower rungs
-	shedTarget, shedPause = 0.95, 12 * Second / 10 // use it aims for; its effect shows this late
-	leaveMost             = 0.4                    // spare the highest rung must leave, of a link
-	guessLeave            = 0.15                   // spare that all but the floor leave where all is a guess
-	lookFrom              = 0.6                    // rank from which a choice needs the report
-	lookAt                = 2                      // best holders a look takes: two give most of it
-	leaveFrom             = 1.0                    // from so many rungs under the rack's mean
-	moveLasts, moveGap    = 3 * Second, 1.0        // shortness expected for each note; seconds a move costs
-	movesPerS, movesBurst = 2.0, 6                 // the front-wide pace of moves
-	raiseGap, raiseCalm   = 0.06, 4 * Second       // spare under the mark, and calm, for a raise
-	raiseFresh, restRung  = 8 * Second, 5 * Second // oldest report for it; rest between changes
-	changeTimes           = 3.0                    // a raise earns its price so often: it may be undone
-	remains               = 20 * Second            // a session lasts so long yet, without a hint
-	typicalOver           = 50.0                   // first tries that a typical worth is averaged over
-	pastMost              = 1000                   // moved viewers remembered
-	waitLeast             = 0.85                   // least part of the longest come-back time told
+	// At deliveredShare all counts as delivered; below lowerBelowShare rungs are lowered.
+	deliveredShare, lowerBelowShare = 0.98, 0.95
+	// Lowering aims at lowerTarget of the delivered rate; its effect is visible only after lowerInterval.
+	lowerTarget, lowerInterval = 0.95, 12 * Second / 10
+	maxReserve                 = 0.4  // spare part of a link that the highest rung must leave
+	guessReserve               = 0.15 // the same for each rung over the floor where the use is a guess
+	probeMinScore              = 0.6  // score from which a choice needs a recent report
+	probesPerChoice            = 2    // best holders probed for a choice: two give most of the benefit
+	reserveFromRungs           = 1.0  // rungs below the rack's mean rung from which a reserve is left
+	// Each short note makes shortTimePerNote more of shortness likely; a move costs moveGapSeconds of
+	// worth.
+	shortTimePerNote, moveGapSeconds = 3 * Second, 1.0
+	// Rate limit of moves, for the whole front.
+	movesPerSecond, movesBurst = 2.0, 6
+	// A raise leaves raiseReserve below maxUse and needs raiseCalmTime without a short note.
+	raiseReserve, raiseCalmTime = 0.06, 4 * Second
+	// maxRaiseReportAge is the oldest report that allows a raise; minRungInterval is the time between
+	// changes.
+	maxRaiseReportAge, minRungInterval = 8 * Second, 5 * Second
+	minRaiseGain                       = 3.0         // times a raise must earn its price: it may be undone
+	defaultRemaining                   = 20 * Second // expected remaining length of a session without a hint
+	typicalSamples                     = 50.0        // first requests that the typical worth is averaged over
+	maxMovedViewers                    = 1000        // moved viewers remembered
+	minRetryAfterPart                  = 0.85        // least part of the longest retry delay that is returned
 )
 
-// Tokens of the timers.
+// Timer tokens.
 const (
-	tokenTick uint32 = iota // housekeeping
-	tokenHeld               // a held request's time is up
-	tokenAsk                // the server list is to be asked for again
+	tokenTick      uint32 = iota // housekeeping
+	tokenHeld                    // the hold of a request has expired
+	tokenListRetry               // the server list is requested again
 )
 
-// New makes a front.
-func New(set Settings, seed uint64) *Front {
-	f := newFront(set, seed)
-	f.born, f.mean, f.meanUp, f.probes = -1, meanStart, meanStart, probesStart
+// New returns a front with the given settings; equal seeds give equal decisions.
+func New(cfg Settings, seed uint64) *Front {
+	f := newFront(cfg, seed)
+	f.startedAt, f.meanUse, f.meanUplinkUse, f.probeTokens = -1, initialMeanUse, initialMeanUse, initialProbes
 	return f
 }
 
-// Handle takes an event and gives the actions that follow from it. Events about what this front
-// does not hold are ignored.
+// Handle processes an event and returns the resulting actions. Events about unknown sessions or servers are
+// ignored.
 func (f *Front) Handle(now Time, event Event) []Action {
-	f.now, f.out = now, nil
-	if f.born < 0 {
-		f.born = now
-		f.do(Timer{tokenTick, tick})
-		if f.set.AskList {
-			f.do(Follow{})
+	f.now, f.actions = now, nil
+	if f.startedAt < 0 {
+		f.startedAt = now
+		f.emit(Timer{tokenTick, tickInterval})
+		if f.cfg.SubscribeList {
+			f.emit(Follow{})
 		}
 	}
 	f.dispatch(event)
-	return f.out
+	return f.actions
 }
 
-func (f *Front) list(l List) {
+// updateList applies a server list or a change of it.
+func (f *Front) updateList(l List) {
 	if l.Kind == ListFailed {
-		f.do(Timer{tokenAsk, askAgain}) // an old list is better than none, but not for long
+		f.emit(Timer{tokenListRetry, listRetryDelay}) // the old list stays in use until the retry succeeds
 		return
 	}
-	f.starts = f.starts || l.Kind == ListFull
+	f.startsKnown = f.startsKnown || l.Kind == ListFull
 	if l.Kind != ListDelta {
-		for _, v := range f.fleet.order {
+		for _, v := range f.fleet.servers {
 			v.listed = false
 		}
 	}
 	for _, e := range l.Entries {
-		v, restarted := f.book(e)
-		if restarted { // what was known of the old process says nothing of the new one
-			v.link.told, v.openUntil, v.backoff, v.failed = false, 0, 0, false
-			v.slowStart = bucket{tokens: f.rng.Float64(), at: f.now}
+		v, restarted := f.updateServer(e)
+		if restarted { // the state of the old process does not apply to the new one
+			v.link.reported, v.openUntil, v.backoff, v.failed = false, 0, 0, false
+			v.slowStart = tokenBucket{tokens: f.rng.Float64(), filledAt: f.now}
 		}
-		// A start that lies ahead is of a clock that was set: it was not before now.
-		if started := min(e.Started, f.now); started > 0 && started+f.set.ColdSpan > f.now {
-			v.coldUntil = max(v.coldUntil, started+f.set.ColdSpan)
+		// A start time in the future comes from a clock that was changed; it counts as now.
+		if started := min(e.Started, f.now); started > 0 && started+f.cfg.ColdSpan > f.now {
+			v.coldUntil = max(v.coldUntil, started+f.cfg.ColdSpan)
 		}
 	}
-	f.shelve()
+	f.updateRacks()
 }
--- a/policy/records.go
+++ b/policy/records.go
@@ -5,115 +5,119 @@
 	"slices"
 )
 
-// Records and counters of servers, racks and sessions, without judgement.
+// Records and counters of servers, racks and sessions, without decisions.
 
-// meter follows the rate asked of a link or of a rack's uplink.
+// meter tracks the use of a server's link or of a rack's uplink.
 type meter struct {
-	cap     float64 // rough size, kB a second
-	own     float64 // rate of this front's sessions, set-ups under way included
-	changes []change
-	use     float64 // last use told, as a part of the size
-	useOwn  float64 // own rate when that was measured
-	useAt   Time    // when it was measured
-	told    bool
-	parts   []*server // for an uplink: the servers behind it
+	capacity    float64 // approximate, in kB a second
+	own         float64 // rate of this front's sessions, set-ups under way included
+	changes     []sample
+	use         float64 // last reported use, as a part of the capacity
+	ownAtReport float64 // own rate at measuredAt
+	measuredAt  Time    // time of the last reported use
+	reported    bool
+	servers     []*server // servers behind an uplink; nil for a link
 }
 
-type change struct {
-	at Time
-	kb float64
+// sample is a value at a time: a change of a rate, or the weight of an event.
+type sample struct {
+	at    Time
+	value float64
 }
 
-// add books a change of the own rate; changes older than keep are forgotten.
-func (m *meter) add(now Time, kb float64, keep Time) {
+// addOwn changes the own rate by kb; changes older than ttl are deleted.
+func (m *meter) addOwn(now Time, kb float64, ttl Time) {
 	m.own += kb
 	if m.own < 1e-6 {
 		m.own = 0
 	}
 	n := 0
-	for n < len(m.changes) && m.changes[n].at < now-keep {
+	for n < len(m.changes) && m.changes[n].at < now-ttl {
 		n++
 	}
-	m.changes = append(m.changes[n:], change{now, kb})
+	m.changes = append(m.changes[n:], sample{now, kb})
 }
 
-// ownAt gives the own rate as it was at an earlier time, as far back as changes are kept.
+// ownAt gives the own rate at an earlier time, as far back as changes are kept.
 func (m *meter) ownAt(at Time) float64 {
 	own := m.own
 	for i := len(m.changes) - 1; i >= 0 && m.changes[i].at > at; i-- {
-		own -= m.changes[i].kb
+		own -= m.changes[i].value
 	}
 	return max(own, 0)
 }
 
-// set books a use as measured at a time.
-func (m *meter) set(use float64, at Time) {
-	m.use, m.useOwn, m.useAt, m.told = use, m.ownAt(at), max(at, m.useAt), true
+// setUse records a use measured at a time.
+func (m *meter) setUse(use float64, at Time) {
+	m.use, m.ownAtReport, m.measuredAt, m.reported = use, m.ownAt(at), max(at, m.measuredAt), true
 }
 
-// tally counts weighted events over a sliding window.
-type tally struct{ marks []change }
+// windowSum sums the weights of events in a sliding window.
+type windowSum struct{ samples []sample }
 
-func (t *tally) add(now Time, weight float64) { t.marks = append(t.marks, change{now, weight}) }
+// add records an event.
+func (t *windowSum) add(now Time, weight float64) { t.samples = append(t.samples, sample{now, weight}) }
 
-func (t *tally) sum(now, window Time) float64 {
+// total gives the sum of the weights in the window; older events are deleted.
+func (t *windowSum) total(now, window Time) float64 {
 	n := 0
-	for n < len(t.marks) && t.marks[n].at < now-window {
+	for n < len(t.samples) && t.samples[n].at < now-window {
 		n++
 	}
-	t.marks = t.marks[n:]
+	t.samples = t.samples[n:]
 	total := 0.0
-	for _, m := range t.marks {
-		total += m.kb
+	for _, m := range t.samples {
+		total += m.value
 	}
 	return total
 }
 
-// bucket is a token bucket.
-type bucket struct {
-	tokens float64
-	at     Time
+// tokenBucket limits a rate.
+type tokenBucket struct {
+	tokens   float64
+	filledAt Time
 }
 
-// fill brings the bucket up to date and gives what it holds. A new one is full.
-func (b *bucket) fill(now Time, perSecond, most float64) float64 {
-	if b.at == 0 {
-		b.tokens, b.at = most, now
+// refill adds the tokens since the last refill and gives the number in the bucket. A new bucket is full.
+func (b *tokenBucket) refill(now Time, perSecond, limit float64) float64 {
+	if b.filledAt == 0 {
+		b.tokens, b.filledAt = limit, now
 	}
-	b.tokens = min(most, b.tokens+perSecond*float64(now-b.at)/float64(Second))
-	b.at = now
+	b.tokens = min(limit, b.tokens+perSecond*float64(now-b.filledAt)/float64(Second))
+	b.filledAt = now
 	return b.tokens
 }
 
-// server is what a front knows of a media server.
+// server is the state of a media server as known to this front.
 type server struct {
 	Entry
-	listed bool
-	link   meter
-	rack   *rack
-	held   []*session // set up or playing here, oldest first
-	rungs  int        // sum of their rungs
+	listed   bool
+	link     meter
+	rack     *rack
+	sessions []*session // sessions in set-up or playing here, oldest first
+	rungSum  int        // sum of their rungs
 
-	bad tally // refusals, failures and missing parts of rates
+	failures windowSum // refusals, failures and undelivered parts of rates
 
-	openUntil Time // circuit breaker: no set-ups before this
+	openUntil Time // circuit breaker: no set-ups before this time
 	backoff   Time
-	trial     *session // the half-open breaker's one session
-	failed    bool     // seen failing, and no success since
-	coldUntil Time     // in slow start until then
-	slowStart bucket
-	vacate    Time // it is to be empty by then; 0: it is not
-
-	raisedOn Time // report that the last look for lasting spare rested on
-	shortAt  Time // last short note
-	share    float64
-	shedAt   Time // when sessions here were last lowered for being short
-	shorts   int  // short notes in a row under the moving limit
-	probing  bool
-	score    float64 // its place in the ranking last made
-	probedAt Time
-}
-
+	trial     *session // the one session admitted by a half-open breaker
+	failed    bool     // failed, with no success since
+	coldUntil Time     // in slow start until this time
+	slowStart tokenBucket
+	vacateBy  Time // deadline for the server to be empty; 0: none
+
+	raisedReportAt Time // time of the report used by the last raise
+	shortAt        Time // time of the last short note
+	lastShare      float64
+	loweredAt      Time // time when rungs here were last lowered
+	shortNotes     int  // consecutive notes below moveBelowShare
+	probing        bool
+	score          float64 // score in the most recent ranking; lower is better
+	probedAt       Time
+}
+
+// rack is the state of a rack: its uplink and servers.
 type rack struct {
 	meter
 }
@@ -121,24 +125,25 @@
 // session is a request from its arrival to its end.
 type session struct {
 	Ask
-	weight   float64 // worth of a second at a rung of worth 1
-	rung     int
-	at       *server // nil while no attempt is out and it does not play
-	attempts int
-	unsure   bool // an attempt may have run
-	playing  bool
-	left     bool // the viewer is gone; an attempt is still out
-	started  Time
-	changed  Time // last change of rung while playing
-	holding  Time // held for room since; 0: not
-	list     []*server
-	despite  bool // the list is of servers whose breaker is open, as no other holder was left
-	tried    []*server
-	erred    []*server // of these, those whose error is not held against them yet
-	moved    bool
-	from     *server // the server that a move took it off
-}
-
+	weight          float64 // worth of a second at a rung of worth 1
+	rung            int
+	server          *server // nil unless an attempt is in flight or the session plays
+	attempts        int
+	mayHaveRun      bool // an attempt may have run
+	playing         bool
+	viewerLeft      bool // the viewer left while an attempt is in flight
+	startedAt       Time
+	rungChangedAt   Time // last change of rung while playing
+	heldUntil       Time // end of the hold for spare capacity; 0: not held
+	fallbacks       []*server
+	breakersIgnored bool // fallbacks have open breakers, as no other holder was left
+	tried           []*server
+	errored         []*server // of these, those whose error is not yet counted
+	moved           bool
+	movedFrom       *server // server that a move took the session off
+}
+
+// hasTried tells whether an attempt was sent to a server.
 func (s *session) hasTried(v *server) bool {
 	for _, t := range s.tried {
 		if t == v {
@@ -148,7 +153,8 @@
 	return false
 }
 
-func drop(list []*session, s *session) []*session {
+// removeSession deletes a session from a list.
+func removeSession(list []*session, s *session) []*session {
 	for i, x := range list {
 		if x == s {
 			return append(list[:i], list[i+1:]...)
@@ -157,45 +163,50 @@
 	return list
 }
 
-// fleet keeps servers by id, and in the order of their ids.
+// fleet indexes the servers.
 type fleet struct {
-	byID   map[uint32]*server
-	order  []*server
-	byCell map[int][]*server // in the order of their ids
-	hosts  []*server         // those with own sessions, in the order of their ids
+	byID         map[uint32]*server
+	servers      []*server         // in order of their IDs
+	byCell       map[int][]*server // in order of their IDs
+	withSessions []*server         // those with own sessions, in order of their IDs
 }
 
-// insert puts a server into a list in the order of ids, once.
-func insert(list []*server, v *server) []*server {
-	i, found := slices.BinarySearchFunc(list, v.Server, func(o *server, id uint32) int { return cmp.Compare(o.Server, id) })
+// insertServer inserts a server into a list ordered by ID, unless it is there already.
+func insertServer(list []*server, v *server) []*server {
+	i, found := slices.BinarySearchFunc(list, v.Server,
+		func(o *server, id uint32) int { return cmp.Compare(o.Server, id) })
 	if found {
 		return list
 	}
 	return slices.Insert(list, i, v)
 }
 
-func remove(list []*server, v *server) []*server {
+// removeServer deletes a server from a list.
+func removeServer(list []*server, v *server) []*server {
 	return slices.DeleteFunc(list, func(o *server) bool { return o == v })
 }
 
+// get gives the server with an ID, nil if there is none.
 func (f *fleet) get(id uint32) *server { return f.byID[id] }
 
+// add adds a server.
 func (f *fleet) add(v *server) {
 	f.byID[v.Server] = v
-	f.order = insert(f.order, v)
+	f.servers = insertServer(f.servers, v)
 }
 
-// past remembers where moves took the newest few viewers off.
-type past struct {
-	from  map[uint64]*server
-	order []uint64
+// movedViewers remembers the servers that the most recently moved viewers were moved off.
+type movedViewers struct {
+	servers map[uint64]*server
+	order   []uint64
 }
 
-func (p *past) put(viewer uint64, v *server, most int) {
-	p.from[viewer] = v
+// add records a moved viewer; over the limit the oldest are deleted.
+func (p *movedViewers) add(viewer uint64, v *server, limit int) {
+	p.servers[viewer] = v
 	p.order = append(p.order, viewer)
-	for len(p.order) > most {
-		delete(p.from, p.order[0])
+	for len(p.order) > limit {
+		delete(p.servers, p.order[0])
 		p.order = p.order[1:]
 	}
 }
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -1,95 +1,97 @@
 package policy
 
-// Requests and sessions as they come and go, and the answers to them.
+// Events of requests and sessions: arrival, start, outcome and end.
 
-func (f *Front) request(a Ask) {
+// handleRequest admits a new request and places it, or refuses an invalid one.
+func (f *Front) handleRequest(a Ask) {
 	if f.byID[a.ID] != nil {
 		return
 	}
-	if !f.usable(&a) {
-		f.do(Refuse{ID: a.ID})
+	if !f.valid(&a) {
+		f.emit(Refuse{ID: a.ID})
 		return
 	}
-	s := f.take(a)
-	f.taken.add(f.now, 1)
+	s := f.addSession(a)
+	f.requests.add(f.now, 1)
 	if a.Moved {
-		s.moved, s.from = true, f.past.from[a.Viewer]
+		s.moved, s.movedFrom = true, f.movedViewers.servers[a.Viewer]
 	}
 	if !a.Again && !a.Moved {
-		f.earn()
-		f.typicalN = min(f.typicalN+1, typicalOver)
-		f.typical += (f.worth(s, f.top(s)) - f.typical) / f.typicalN
+		f.earnProbes()
+		f.typicalCount = min(f.typicalCount+1, typicalSamples)
+		f.typicalWorth += (f.worth(s, f.topRung(s)) - f.typicalWorth) / f.typicalCount
 	}
 	f.place(s)
 }
 
-// earn gives the probes of a first try: by their number probes are priced.
-func (f *Front) earn() {
-	each := probeEach
-	if f.set.PriceProbe > 0 {
-		each = min(each, probeCost/f.set.PriceProbe)
+// earnProbes credits the probes that a first request earns; a higher price of probes lowers their number.
+func (f *Front) earnProbes() {
+	earned := probesPerRequest
+	if f.cfg.PriceProbe > 0 {
+		earned = min(earned, maxProbeCost/f.cfg.PriceProbe)
 	}
-	f.probes = min(f.probes+each, probesMost)
+	f.probeTokens = min(f.probeTokens+earned, maxProbes)
 }
 
-func (f *Front) started(e Playing) {
+// handlePlaying records that a session has started.
+func (f *Front) handlePlaying(e Playing) {
 	s := f.byID[e.ID]
-	if s == nil || s.at == nil || s.playing || e.Attempt != s.attempts-1 {
+	if s == nil || s.server == nil || s.playing || e.Attempt != s.attempts-1 {
 		return
 	}
-	s.playing, s.started, s.changed = true, f.now, f.now
-	f.proved(s.at)
-	for _, v := range s.erred { // another server could: it was theirs
-		f.erring(v)
+	s.playing, s.startedAt, s.rungChangedAt = true, f.now, f.now
+	f.recordSuccess(s.server)
+	for _, v := range s.errored { // another server served the request: the error was theirs
+		f.recordError(v)
 	}
-	s.erred = nil
-	if s.at.trial == s {
-		s.at.trial = nil
+	s.errored = nil
+	if s.server.trial == s {
+		s.server.trial = nil
 	}
 }
 
-func (f *Front) outcome(e Outcome) {
+// handleOutcome ends an attempt or a session and places the request again if it goes on.
+func (f *Front) handleOutcome(e Outcome) {
 	v := f.fleet.get(e.Server)
 	if v != nil && len(e.Report) > 0 {
-		f.report(v, e.Report)
+		f.applyReport(v, e.Report)
 	}
 	s := f.byID[e.ID]
-	if s == nil || s.at == nil || s.at != v || e.Attempt != s.attempts-1 {
+	if s == nil || s.server == nil || s.server != v || e.Attempt != s.attempts-1 {
 		return
 	}
-	f.leave(s)
+	f.unassign(s)
 	if s.playing || e.Status == OK {
 		if e.Status == ResetConn {
-			f.failing(v, true)
+			f.recordFailure(v, true)
 		}
-		f.forget(s)
+		f.deleteSession(s)
 		return
 	}
 	switch e.Status {
 	case Errored:
-		// Danger: requests that no server can serve, sent by the hundred, would close every server to all
-		// others. So an error counts once another server has served the request. Harm: a server that errs is
-		// found that much later.
-		if s.unsure = true; f.class(s).Paid || v.failed {
-			f.erring(v) // nobody else will be asked, or it is on trial
+		// An error counts only once another server has served the request: hundreds of requests that no
+		// server can serve would otherwise open every breaker. A faulty server is detected that much later.
+		if s.mayHaveRun = true; f.class(s).Paid || v.failed {
+			f.recordError(v) // no other server is tried, or this one is half-open
 		} else {
-			s.erred = append(s.erred, v)
+			s.errored = append(s.errored, v)
 		}
 	case ResetConn, TimedOut, NoConnect:
-		s.unsure = s.unsure || e.Status != NoConnect
-		f.failing(v, true)
+		s.mayHaveRun = s.mayHaveRun || e.Status != NoConnect
+		f.recordFailure(v, true)
 	case Full:
-		v.bad.add(f.now, 1)
-		if f.set.FullFrom > 0 { // it says of the unheard what a report of a full link would
-			f.mean += (1 - f.mean) * meanBlend
+		v.failures.add(f.now, 1)
+		if f.cfg.FullFrom > 0 { // it updates the mean as a report of a full link does
+			f.meanUse += (1 - f.meanUse) * meanWeight
 		}
-		v.link.set(max(f.set.FullFrom, 1), f.now) // whatever its report said
+		v.link.setUse(max(f.cfg.FullFrom, 1), f.now) // overrides the use in its report
 	case Moot:
 	default:
-		s.unsure = true
+		s.mayHaveRun = true
 	}
-	if e.Final || s.left {
-		f.forget(s)
+	if e.Final || s.viewerLeft {
+		f.deleteSession(s)
 		return
 	}
 	f.place(s)
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,44 +6,48 @@
 	"slices"
 )
 
-// This file keeps a front's records. Every length, limit and judgement is in the files that deploy/balancer.toml names.
+// This file keeps the records of a front. All durations, limits and decisions are in the files listed in
+// deploy/balancer.toml.
 
-// Front decides for one front. It does no I/O and reads no clock.
+// Front is the decision state of one front. It does no I/O and reads no clock.
 type Front struct {
-	set     Settings
-	rng     *rand.Rand
-	now     Time
-	born    Time
-	out     []Action
-	fleet   fleet
-	racks   []*rack
-	byID    map[uint64]*session
-	waiting []*session
-	past    past
-	moves   bucket
-	probes  float64
-	taken   tally
-	extra   tally
-	ticks   int
-	starts  bool // a complete list, not an old one, has told when servers started
+	cfg          Settings
+	rng          *rand.Rand
+	now          Time
+	startedAt    Time
+	actions      []Action
+	fleet        fleet
+	racks        []*rack
+	byID         map[uint64]*session
+	waiting      []*session
+	movedViewers movedViewers
+	moveTokens   tokenBucket
+	probeTokens  float64
+	requests     windowSum
+	retries      windowSum
+	ticks        int
+	startsKnown  bool // a complete, current list has given the start times of servers
 
-	mean, meanUp      float64 // average use by other fronts' sessions, from reports: of links, of uplinks
-	typical, typicalN float64 // mean worth of a session, and over how many
+	meanUse, meanUplinkUse     float64 // mean use by other fronts, of links and of uplinks
+	typicalWorth, typicalCount float64 // mean worth of a session, and the number averaged
 }
 
-func (f *Front) do(a Action) { f.out = append(f.out, a) }
+// emit appends an action to the result of Handle.
+func (f *Front) emit(a Action) { f.actions = append(f.actions, a) }
 
-func (f *Front) kb(s *session, rung int) float64 { return f.set.RungKB[rung] * f.class(s).Scale }
+// rateKB is the rate of a session at a rung, in kB a second.
+func (f *Front) rateKB(s *session, rung int) float64 { return f.cfg.RungKB[rung] * f.class(s).Scale }
 
-func (f *Front) class(s *session) *Class { return &f.set.Classes[s.Class] }
+func (f *Front) class(s *session) *Class { return &f.cfg.Classes[s.Class] }
 
-func (f *Front) top(s *session) int {
-	return max(min(s.Top, f.class(s).Top, len(f.set.RungKB)-1), f.class(s).Floor)
+// topRung is the highest rung that a session may use.
+func (f *Front) topRung(s *session) int {
+	return max(min(s.Top, f.class(s).Top, len(f.cfg.RungKB)-1), f.class(s).Floor)
 }
 
-// topAt is the highest rung of a session that a server holds.
-func (f *Front) topAt(s *session, v *server) int {
-	top := f.top(s)
+// topRungAt is the highest rung of a session's title that a server holds.
+func (f *Front) topRungAt(s *session, v *server) int {
+	top := f.topRung(s)
 	for _, h := range s.Holders {
 		if h.Server == v.Server {
 			top = min(top, h.Top)
@@ -52,95 +56,101 @@
 	return top
 }
 
-// occupy books a session's rate where it is, times sign.
-func (f *Front) occupy(s *session, sign float64) {
-	kb := sign * f.kb(s, s.rung)
-	s.at.rungs += int(sign) * s.rung
-	s.at.link.add(f.now, kb, keepChanges)
-	s.at.rack.add(f.now, kb, keepChanges)
+// addRate adds the rate of a session, times sign, to its server's link and uplink.
+func (f *Front) addRate(s *session, sign float64) {
+	kb := sign * f.rateKB(s, s.rung)
+	s.server.rungSum += int(sign) * s.rung
+	s.server.link.addOwn(f.now, kb, changeTTL)
+	s.server.rack.addOwn(f.now, kb, changeTTL)
 }
 
-func (f *Front) enter(s *session, v *server) {
-	s.at = v
-	v.held = append(v.held, s)
-	f.fleet.hosts = insert(f.fleet.hosts, v)
-	f.occupy(s, 1)
+// assign attaches a session to a server.
+func (f *Front) assign(s *session, v *server) {
+	s.server = v
+	v.sessions = append(v.sessions, s)
+	f.fleet.withSessions = insertServer(f.fleet.withSessions, v)
+	f.addRate(s, 1)
 }
 
-func (f *Front) leave(s *session) {
-	if s.at == nil {
+// unassign detaches a session from its server, if it has one.
+func (f *Front) unassign(s *session) {
+	if s.server == nil {
 		return
 	}
-	f.occupy(s, -1)
-	if s.at.held = drop(s.at.held, s); len(s.at.held) == 0 {
-		f.fleet.hosts = remove(f.fleet.hosts, s.at)
+	f.addRate(s, -1)
+	if s.server.sessions = removeSession(s.server.sessions, s); len(s.server.sessions) == 0 {
+		f.fleet.withSessions = removeServer(f.fleet.withSessions, s.server)
 	}
-	if s.at.trial == s {
-		s.at.trial = nil
+	if s.server.trial == s {
+		s.server.trial = nil
 	}
-	s.at = nil
+	s.server = nil
 }
 
-func (f *Front) forget(s *session) {
-	f.leave(s)
-	f.waiting = drop(f.waiting, s)
+// deleteSession removes all records of a session.
+func (f *Front) deleteSession(s *session) {
+	f.unassign(s)
+	f.waiting = removeSession(f.waiting, s)
 	delete(f.byID, s.ID)
 }
 
-func (f *Front) usable(a *Ask) bool {
-	return a.Class >= 0 && a.Class < len(f.set.Classes) && len(f.set.RungKB) > f.set.Classes[a.Class].Floor &&
-		len(f.set.RungWorth) >= len(f.set.RungKB) && f.byID[a.ID] == nil
+// valid tells whether a request fits the settings and has a new ID.
+func (f *Front) valid(a *Ask) bool {
+	return a.Class >= 0 && a.Class < len(f.cfg.Classes) && len(f.cfg.RungKB) > f.cfg.Classes[a.Class].Floor &&
+		len(f.cfg.RungWorth) >= len(f.cfg.RungKB) && f.byID[a.ID] == nil
 }
 
-func (f *Front) take(a Ask) *session {
-	s := &session{Ask: a, rung: f.set.Classes[a.Class].Floor}
+// addSession records a new session at its floor.
+func (f *Front) addSession(a Ask) *session {
+	s := &session{Ask: a, rung: f.cfg.Classes[a.Class].Floor}
 	s.weight = f.class(s).Worth
 	f.byID[a.ID] = s
 	return s
 }
 
-// meanOf gives the average that stands for a meter not heard of: links and uplinks are filled differently.
+// meanOf gives the mean that stands for a meter without a report. Links and uplinks have their own means,
+// as their use differs.
 func (f *Front) meanOf(m *meter) *float64 {
-	if m.parts != nil {
-		return &f.meanUp
+	if m.servers != nil {
+		return &f.meanUplinkUse
 	}
-	return &f.mean
+	return &f.meanUse
 }
 
-// holders gives the servers listed ready that hold the title, in the order of their ids.
-func (f *Front) holders(s *session) (list []*server) {
-	if s.Holders != nil { // those not listed yet wait until they are
+// holders gives the servers listed as ready that hold the title, in order of their IDs.
+func (f *Front) holders(s *session) (servers []*server) {
+	if s.Holders != nil { // holders not on the list yet are skipped
 		for _, h := range s.Holders {
 			if v := f.fleet.get(h.Server); v != nil && v.listed && h.Top >= f.class(s).Floor {
-				list = insert(list, v)
+				servers = insertServer(servers, v)
 			}
 		}
-		return list
+		return servers
 	}
-	if s.Copies >= f.set.Cells {
-		for _, v := range f.fleet.order {
-			if v.listed && f.set.Cells > 0 {
-				list = append(list, v)
+	if s.Copies >= f.cfg.Cells {
+		for _, v := range f.fleet.servers {
+			if v.listed && f.cfg.Cells > 0 {
+				servers = append(servers, v)
 			}
 		}
-		return list
+		return servers
 	}
 	for i := 0; i < s.Copies; i++ {
-		cell := (s.Home%f.set.Cells + f.set.Cells + i) % f.set.Cells
+		cell := (s.Home%f.cfg.Cells + f.cfg.Cells + i) % f.cfg.Cells
 		for _, v := range f.fleet.byCell[cell] {
 			if v.listed {
-				list = append(list, v)
+				servers = append(servers, v)
 			}
 		}
 	}
-	slices.SortFunc(list, func(a, b *server) int { return cmp.Compare(a.Server, b.Server) })
-	return list
+	slices.SortFunc(servers, func(a, b *server) int { return cmp.Compare(a.Server, b.Server) })
+	return servers
 }
 
-// count gives how many sessions of a class and title this front holds, set-ups included.
-func (f *Front) count(class int, title uint64) (n int) {
-	for _, v := range f.fleet.hosts {
-		for _, o := range v.held {
+// countSessions gives the number of sessions of a class and title on this front, set-ups included.
+func (f *Front) countSessions(class int, title uint64) (n int) {
+	for _, v := range f.fleet.withSessions {
+		for _, o := range v.sessions {
 			if o.Class == class && o.Title == title {
 				n++
 			}
@@ -149,166 +159,168 @@
 	return n
 }
 
-// gone notes that a viewer left. While an attempt is out its seat and rate stay taken.
-func (f *Front) gone(id uint64) {
+// viewerLeft records that a viewer left. While an attempt is in flight its seat and rate stay taken.
+func (f *Front) viewerLeft(id uint64) {
 	s := f.byID[id]
 	if s == nil {
 		return
 	}
-	if s.at != nil {
-		s.left = true
+	if s.server != nil {
+		s.viewerLeft = true
 		return
 	}
-	f.forget(s)
+	f.deleteSession(s)
 }
 
-// handed books a session that plays already.
-func (f *Front) handed(h Handed) {
+// restore records a session that was already playing when the front started.
+func (f *Front) restore(h Handed) {
 	v := f.fleet.get(h.Server)
-	if v == nil || !f.usable(&h.Ask) {
+	if v == nil || !f.valid(&h.Ask) {
 		return
 	}
-	s := f.take(h.Ask)
-	f.earn()
-	s.attempts, s.playing, s.started = 1, true, f.now
-	f.enter(s, v)
+	s := f.addSession(h.Ask)
+	f.earnProbes()
+	s.attempts, s.playing, s.startedAt = 1, true, f.now
+	f.assign(s, v)
 }
 
-// setRung changes the rung in force.
+// setRung changes the rung of a playing session.
 func (f *Front) setRung(s *session, rung int) {
-	f.occupy(s, -1)
+	f.addRate(s, -1)
 	s.rung = rung
-	f.occupy(s, 1)
-	s.changed = f.now
-	f.do(Rate{s.ID, rung})
+	f.addRate(s, 1)
+	s.rungChangedAt = f.now
+	f.emit(Rate{s.ID, rung})
 }
 
-// worth is what a session earns at a rung over the time it is expected to last.
+// worth is the earnings of a session at a rung over its expected remaining length.
 func (f *Front) worth(s *session, rung int) float64 {
 	if rung < 0 {
 		return 0
 	}
-	return s.weight * f.set.RungWorth[rung] * float64(f.left(s)) / float64(Second)
+	return s.weight * f.cfg.RungWorth[rung] * float64(f.remaining(s)) / float64(Second)
 }
 
-// change is what a change of rung costs once the session plays.
-func (f *Front) change(s *session) float64 {
+// changeCost is the cost of a change of rung; it is zero until the session plays.
+func (f *Front) changeCost(s *session) float64 {
 	if !s.playing {
 		return 0
 	}
-	return s.weight * f.set.ChangeCost
+	return s.weight * f.cfg.ChangeCost
 }
 
-// cell gives an entry's cell in the ring of cells that holders are counted in.
-func (f *Front) cell(e Entry) int {
-	n := max(f.set.Cells, 1)
+// cellOf gives an entry's cell in the ring of cells; Ask.Home and Ask.Copies select holders in it.
+func (f *Front) cellOf(e Entry) int {
+	n := max(f.cfg.Cells, 1)
 	return (e.Cell%n + n) % n
 }
 
-// book takes a list entry over and tells whether it is a newer process than the one known.
-func (f *Front) book(e Entry) (v *server, restarted bool) {
+// updateServer applies a list entry and tells whether it is for a newer process than the one recorded.
+func (f *Front) updateServer(e Entry) (v *server, restarted bool) {
 	v = f.fleet.get(e.Server)
 	if v == nil {
 		v = &server{Entry: e}
 		f.fleet.add(v)
 	}
 	restarted = e.Started > v.Started
-	if c := f.cell(v.Entry); c != f.cell(e) {
-		f.fleet.byCell[c] = remove(f.fleet.byCell[c], v)
+	if c := f.cellOf(v.Entry); c != f.cellOf(e) {
+		f.fleet.byCell[c] = removeServer(f.fleet.byCell[c], v)
 	}
 	v.Entry, v.listed = e, e.Health == Ready
-	f.fleet.byCell[f.cell(e)] = insert(f.fleet.byCell[f.cell(e)], v)
+	f.fleet.byCell[f.cellOf(e)] = insertServer(f.fleet.byCell[f.cellOf(e)], v)
 	v.rack = f.racks[e.Cell%len(f.racks)]
-	v.link.cap = max(e.Size*f.set.WeightKB, 1)
+	v.link.capacity = max(e.Size*f.cfg.WeightKB, 1)
 	return v, restarted
 }
 
-// shelve sorts the servers into their racks: those on the list, and those gone that own sessions still play on. Others
-// that are gone are forgotten: a front that lives long sees many.
-func (f *Front) shelve() {
-	f.fleet.order = slices.DeleteFunc(f.fleet.order, func(v *server) bool {
-		gone := !v.listed && v.Health != Draining && len(v.held) == 0
-		if gone {
+// updateRacks assigns servers to their racks: those on the list, and removed ones that still have own
+// sessions. All other removed servers are deleted, as a long-running front sees many.
+func (f *Front) updateRacks() {
+	f.fleet.servers = slices.DeleteFunc(f.fleet.servers, func(v *server) bool {
+		unused := !v.listed && v.Health != Draining && len(v.sessions) == 0
+		if unused {
 			delete(f.fleet.byID, v.Server)
-			f.fleet.byCell[f.cell(v.Entry)] = remove(f.fleet.byCell[f.cell(v.Entry)], v)
+			f.fleet.byCell[f.cellOf(v.Entry)] = removeServer(f.fleet.byCell[f.cellOf(v.Entry)], v)
 		}
-		return gone
+		return unused
 	})
 	for _, k := range f.racks {
-		k.parts = k.parts[:0]
+		k.servers = k.servers[:0]
 	}
-	for _, v := range f.fleet.order {
-		if v.listed || len(v.held) > 0 {
-			v.rack.parts = append(v.rack.parts, v)
+	for _, v := range f.fleet.servers {
+		if v.listed || len(v.sessions) > 0 {
+			v.rack.servers = append(v.rack.servers, v)
 		}
 	}
 }
 
-// newFront makes empty records for the settings.
-func newFront(set Settings, seed uint64) *Front {
-	f := &Front{set: set, rng: rand.New(rand.NewSource(int64(seed))), byID: map[uint64]*session{},
-		fleet: fleet{byID: map[uint32]*server{}, byCell: map[int][]*server{}}, past: past{from: map[uint64]*server{}}}
-	for i := 0; i < max(set.Racks, 1); i++ {
-		f.racks = append(f.racks, &rack{meter: meter{cap: max(set.RackKB, 1), parts: []*server{}}})
+// newFront returns a front with empty records.
+func newFront(cfg Settings, seed uint64) *Front {
+	f := &Front{cfg: cfg, rng: rand.New(rand.NewSource(int64(seed))), byID: map[uint64]*session{},
+		fleet:        fleet{byID: map[uint32]*server{}, byCell: map[int][]*server{}},
+		movedViewers: movedViewers{servers: map[uint64]*server{}}}
+	for i := 0; i < max(cfg.Racks, 1); i++ {
+		f.racks = append(f.racks, &rack{meter: meter{capacity: max(cfg.RackKB, 1), servers: []*server{}}})
 	}
 	return f
 }
 
-// probed books what a probe brought.
-func (f *Front) probed(e Probed) {
+// probeResult records the result of a probe.
+func (f *Front) probeResult(e Probed) {
 	if v := f.fleet.get(e.Server); v != nil {
 		v.probing = false
-		f.report(v, e.Report)
+		f.applyReport(v, e.Report)
 	}
 }
 
-// move takes a session off its server and remembers where it was.
-func (f *Front) move(s *session, most int) {
+// moveSession moves a session off its server and remembers that server for its viewer.
+func (f *Front) moveSession(s *session, maxViewers int) {
 	s.moved = true
-	f.past.put(s.Viewer, s.at, most)
-	f.do(Move{s.ID})
+	f.movedViewers.add(s.Viewer, s.server, maxViewers)
+	f.emit(Move{s.ID})
 }
 
-// dispatch hands an event to what deals with it.
+// dispatch passes an event to its handler.
 func (f *Front) dispatch(event Event) {
 	switch e := event.(type) {
 	case List:
-		f.list(e)
+		f.updateList(e)
 	case Request:
-		f.request(e.Ask)
+		f.handleRequest(e.Ask)
 	case Handed:
-		f.handed(e)
+		f.restore(e)
 	case Playing:
-		f.started(e)
+		f.handlePlaying(e)
 	case Note:
-		f.note(e)
+		f.handleNote(e)
 	case Outcome:
-		f.outcome(e)
+		f.handleOutcome(e)
 	case Gone:
-		f.gone(e.ID)
+		f.viewerLeft(e.ID)
 	case Probed:
-		f.probed(e)
+		f.probeResult(e)
 	case Vacate:
 		if v := f.fleet.get(e.Server); v != nil {
-			v.vacate = e.Until
+			v.vacateBy = e.Until
 		}
 	case Alarm:
 		switch e.Token {
 		case tokenTick:
-			f.alarm()
+			f.housekeeping()
 		case tokenHeld:
 			f.retryHeld(true)
-		case tokenAsk:
-			f.do(Follow{})
+		case tokenListRetry:
+			f.emit(Follow{})
 		}
 	}
 }
 
-// meanRung gives the mean rung of this front's sessions in a rack.
+// meanRung gives the mean rung of this front's sessions in a rack. Servers keep sums of their rungs, so
+// that placing one of thousands of sessions reads only a few servers.
 func (f *Front) meanRung(k *rack) float64 {
 	n, sum := 0, 0
-	for _, v := range k.parts { // sums are kept: one of thousands of sessions is placed by a look at a few servers
-		n, sum = n+len(v.held), sum+v.rungs
+	for _, v := range k.servers {
+		n, sum = n+len(v.sessions), sum+v.rungSum
 	}
 	return float64(sum) / float64(max(n, 1))
 }
--- a/policy/use.go
+++ b/policy/use.go
@@ -5,130 +5,139 @@
 	"slices"
 )
 
-// What is asked of links and uplinks, by reports and own tally: an estimate, for no front sees all.
+// Estimated use of links and uplinks, from reports and the rates of own sessions. No front sees the whole
+// use.
 
-// report books the load values that a server sent.
-func (f *Front) report(v *server, values []float64) {
-	for i, field := range f.set.Fields[:min(len(f.set.Fields), len(values))] {
+// applyReport records the load values that a server sent.
+func (f *Front) applyReport(v *server, values []float64) {
+	for i, field := range f.cfg.Fields[:min(len(f.cfg.Fields), len(values))] {
 		x := values[i]
 		switch field {
 		case FieldLink, FieldUtil:
-			f.told(&v.link, x, reportLag)
+			f.recordUse(&v.link, x, reportDelay)
 		case FieldUplink:
-			f.told(&v.rack.meter, x, reportLag)
+			f.recordUse(&v.rack.meter, x, reportDelay)
 		}
 	}
 }
 
-// told books a use measured a while ago. Noise is damped by blending it with a fresh estimate.
-func (f *Front) told(m *meter, use float64, age Time) {
+// recordUse records a use measured age ago. To damp noise it is averaged with a recent estimate.
+func (f *Front) recordUse(m *meter, use float64, age Time) {
 	at := f.now - age
-	if m.told && at-m.useAt < blendWithin {
-		now := m.use + (m.ownAt(at)-m.useOwn)/m.cap
-		use = blend*use + (1-blend)*max(now, 0)
+	if m.reported && at-m.measuredAt < blendWindow {
+		now := m.use + (m.ownAt(at)-m.ownAtReport)/m.capacity
+		use = reportWeight*use + (1-reportWeight)*max(now, 0)
 	}
-	m.set(use, at)
-	f.learn(m, use)
+	m.setUse(use, at)
+	f.updateMean(m, use)
 }
 
-// learn counts a use for the mean that stands for all meters not heard of.
-func (f *Front) learn(m *meter, use float64) {
+// updateMean adds a use to the mean that stands for all meters without a report.
+func (f *Front) updateMean(m *meter, use float64) {
 	mean := f.meanOf(m)
-	*mean += (min(max(use-m.useOwn/m.cap, 0), 1) - *mean) * meanBlend
+	*mean += (min(max(use-m.ownAtReport/m.capacity, 0), 1) - *mean) * meanWeight
 }
 
-// others is the use of a meter that is not this front's own: the last report less the own part then.
-// As it ages it gives way to the fleet's average, which also stands for servers not yet heard from.
-func (f *Front) others(m *meter) float64 {
-	avg := *f.meanOf(m)
+// othersUse estimates the use of a meter by other fronts: the last report less this front's part at that
+// time. As the report ages the mean of all meters replaces it, which also stands for servers without a
+// report.
+func (f *Front) othersUse(m *meter) float64 {
+	mean := *f.meanOf(m)
 	if m.own > 0 {
-		avg = (avg + m.own/m.cap*f.alike()) / 2
+		mean = (mean + m.own/m.capacity*f.peerMultiplier()) / 2
 	}
-	if m.parts != nil && !slices.Contains(f.set.Fields, FieldUplink) { // never reported
-		avg = 0
-		for _, v := range m.parts {
-			avg += f.others(&v.link) * v.link.cap / m.cap
+	if m.servers != nil && !slices.Contains(f.cfg.Fields, FieldUplink) { // uplinks are not reported
+		mean = 0
+		for _, v := range m.servers {
+			mean += f.othersUse(&v.link) * v.link.capacity / m.capacity
 		}
 	}
-	most := max(mark-m.own/m.cap, 0) // the other fronts keep to the mark too: no guess goes past it
-	avg = min(avg, most)
-	if !m.told {
-		return avg
+	limit := max(maxUse-m.own/m.capacity, 0) // the other fronts keep to maxUse too: no guess exceeds it
+	mean = min(mean, limit)
+	if !m.reported {
+		return mean
 	}
-	known := max(m.use-m.useOwn/m.cap, 0)
-	// What this front has added since, the others that saw the same room are taken to have added too.
-	unseen := max(m.own-m.useOwn, 0) / m.cap * f.alike()
-	w := f.guess(m)
-	return (1-w)*max(known, min(known+unseen, most)) + w*avg
+	known := max(m.use-m.ownAtReport/m.capacity, 0)
+	// Other fronts saw the same spare capacity: they are assumed to have added what this front has added
+	// since.
+	unreported := max(m.own-m.ownAtReport, 0) / m.capacity * f.peerMultiplier()
+	weight := f.uncertainty(m)
+	return (1-weight)*max(known, min(known+unreported, limit)) + weight*mean
 }
 
-// alike is how many other fronts an own addition is taken to stand for: all of a few, for they see the
-// same room and fill it alike. Of hundreds it counts for their root: it is a sample of one, and a single
-// session times hundreds fills any server.
-func (f *Front) alike() float64 {
-	n := float64(max(f.set.Fleet-1, 0))
-	return min(n, alikeAll+math.Sqrt(max(n-alikeAll, 0)))
+// peerMultiplier is the number of other fronts that an own addition stands for. Up to maxFullPeers all
+// count, as they see the same spare capacity and fill it alike. Of hundreds only the square root counts:
+// the own addition is a sample of one, and a single session times hundreds would fill any server.
+func (f *Front) peerMultiplier() float64 {
+	others := float64(max(f.cfg.Fleet-1, 0))
+	return min(others, maxFullPeers+math.Sqrt(max(others-maxFullPeers, 0)))
 }
 
-// guess tells how much of an estimated use is a guess: all of it without a report, less the newer it is.
-func (f *Front) guess(m *meter) float64 {
-	if m.parts != nil && !slices.Contains(f.set.Fields, FieldUplink) {
-		// Never reported: its use is its servers', its size unknown. Guesses of them are cautious enough.
-		known := 0.0
-		for _, v := range m.parts {
-			known += (1 - f.guess(&v.link)) / float64(len(m.parts))
+// uncertainty is the part of an estimated use that is a guess: 1 without a report, less for newer reports.
+func (f *Front) uncertainty(m *meter) float64 {
+	if m.servers != nil && !slices.Contains(f.cfg.Fields, FieldUplink) {
+		// Uplinks are not reported: the use is that of the servers, the capacity is unknown. The reserve
+		// for guesses of the servers is cautious enough.
+		average := 0.0
+		for _, v := range m.servers {
+			average += (1 - f.uncertainty(&v.link)) / float64(len(m.servers))
 		}
-		return known
+		return average
 	}
-	if !m.told {
+	if !m.reported {
 		return 1
 	}
-	return 1 - math.Exp2(-float64(f.now-m.useAt)/float64(staleHalf))
+	return 1 - math.Exp2(-float64(f.now-m.measuredAt)/float64(reportHalfLife))
 }
 
-// unheard tells whether a server's use is a guess more than a report.
-func (f *Front) unheard(v *server) bool { return !v.link.told || f.now-v.link.useAt > staleHalf }
+// reportStale tells whether a server's estimated use is more a guess than a report.
+func (f *Front) reportStale(v *server) bool {
+	return !v.link.reported || f.now-v.link.measuredAt > reportHalfLife
+}
 
-// load is the estimated use of a meter.
-func (f *Front) load(m *meter) float64 { return f.others(m) + m.own/m.cap }
+// estimatedUse is the use of a meter by all fronts.
+func (f *Front) estimatedUse(m *meter) float64 { return f.othersUse(m) + m.own/m.capacity }
 
-// room is what link and uplink still take under a limit, in kB a second.
-func (f *Front) room(v *server, limit float64) (link, uplink float64) {
-	link = (limit - f.load(&v.link)) * v.link.cap
-	return link, (limit - f.load(&v.rack.meter)) * v.rack.cap
+// spareRates gives the rates, in kB a second, that link and uplink can take up to a limit.
+func (f *Front) spareRates(v *server, limit float64) (link, uplink float64) {
+	link = (limit - f.estimatedUse(&v.link)) * v.link.capacity
+	return link, (limit - f.estimatedUse(&v.rack.meter)) * v.rack.capacity
 }
 
-// highest is the rung rule: the highest rung that link and uplink take under the mark, -1 if not even the
-// lowest. The higher a rung, the more it must leave for those who come later. A session that plays there
-// has some of it already. With a draw (over 0) only this front's part of the spare may be taken.
-func (f *Front) highest(s *session, v *server, link, uplink, has, draw float64) int {
-	floor, base := f.class(s).Floor, f.meanRung(v.rack)-leaveFrom
-	for rung := f.topAt(s, v); rung >= floor; rung-- {
-		left := leaveMost * min(float64(rung-floor), max(float64(rung)-base, 0)) / float64(len(f.set.RungKB))
-		leftUp := left
-		if rung > floor { // what rests on a guess may be far out, and shortness costs more than a low rung
-			link, up := f.guess(&v.link), f.guess(&v.rack.meter)
-			left, leftUp = left+guessLeave*link, leftUp+guessLeave*max(up-link, 0) // the same spare once
+// highestRung is the rung rule: it gives the highest rung that the spare rates of link and uplink allow, -1
+// if not even the floor. Higher rungs must leave a larger reserve for later sessions. currentKB is what the
+// session already uses there. With a draw over 0 only this front's part of the spare rates may be taken.
+func (f *Front) highestRung(s *session, v *server, link, uplink, currentKB, draw float64) int {
+	floor, baseRung := f.class(s).Floor, f.meanRung(v.rack)-reserveFromRungs
+	for rung := f.topRungAt(s, v); rung >= floor; rung-- {
+		reserve := maxReserve * min(float64(rung-floor), max(float64(rung)-baseRung, 0)) /
+			float64(len(f.cfg.RungKB))
+		uplinkReserve := reserve
+		if rung > floor { // a guess may be far off, and a short link costs more than a low rung
+			link, uplinkGuess := f.uncertainty(&v.link), f.uncertainty(&v.rack.meter)
+			reserve, uplinkReserve = reserve+guessReserve*link,
+				uplinkReserve+guessReserve*max(uplinkGuess-link, 0) // the same spare is not left twice
 		}
-		if f.kb(s, rung)-has <= min((link-left*v.link.cap)*f.part(&v.link, draw),
-			(uplink-leftUp*v.rack.cap)*f.part(&v.rack.meter, draw)) {
+		if f.rateKB(s, rung)-currentKB <= min((link-reserve*v.link.capacity)*f.sparePart(&v.link, draw),
+			(uplink-uplinkReserve*v.rack.capacity)*f.sparePart(&v.rack.meter, draw)) {
 			return rung
 		}
 	}
 	return -1
 }
 
-// part is this front's part of the spare: its part of the use, so that the parts of all add up to one, but
-// no less than it has as one of them. One of hundreds has too little for a whole rung: a draw gives it
-// more, as seldom as the more is large.
-func (f *Front) part(m *meter, draw float64) float64 {
+// sparePart is this front's part of the spare rate: its part of the use, so that the parts of all fronts
+// add up to one, but at least an equal part. As one of hundreds its part is too small for a whole rung:
+// dividing by a random draw gives it more, the larger the less often.
+func (f *Front) sparePart(m *meter, draw float64) float64 {
 	if draw <= 0 {
 		return 1
 	}
-	return min(1, max(m.own/max(f.load(m)*m.cap, m.own, 1), 1/float64(max(f.set.Fleet, 1)))/draw)
+	return min(1, max(m.own/max(f.estimatedUse(m)*m.capacity, m.own, 1),
+		1/float64(max(f.cfg.Fleet, 1)))/draw)
 }
 
-// busy is the fuller of link and uplink.
-func (f *Front) busy(v *server) float64 {
-	return max(f.load(&v.link), f.load(&v.rack.meter))
+// highestUse is the estimated use of the link or of the uplink, whichever is higher.
+func (f *Front) highestUse(v *server) float64 {
+	return max(f.estimatedUse(&v.link), f.estimatedUse(&v.rack.meter))
 }
