--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Command benchlink hosts fronts for the simulator: its wire on standard input and output.
+// Command benchlink runs fronts for the simulator, with its binary protocol on standard input and output.
 package main
 
 import (
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestMain lets the test binary stand in for the command.
+// TestMain lets the test binary run as the command.
 func TestMain(m *testing.M) {
 	if os.Getenv("AS_BENCHLINK") == "1" {
 		main()
@@ -16,6 +16,7 @@
 	os.Exit(m.Run())
 }
 
+// Guards against a wrong exit code, or a missing error message, for truncated or invalid input.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		in   string
@@ -35,7 +36,8 @@
 		if got := cmd.ProcessState.ExitCode(); got != c.code {
 			t.Errorf("%q: exit %d, want %d", c.in, got, c.code)
 		}
-		if lines := strings.Count(stderr.String(), "\n"); lines != c.code || (c.code == 1 && !strings.HasPrefix(stderr.String(), "benchlink: ")) {
+		if lines := strings.Count(stderr.String(), "\n"); lines != c.code ||
+			(c.code == 1 && !strings.HasPrefix(stderr.String(), "benchlink: ")) {
 			t.Errorf("%q: stderr %q", c.in, stderr.String())
 		}
 	}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds plain policies that stand in for the decision module, to compare it with: a random holder,
-// or the holder with the fewest of this front's own sessions. They keep the rules (drains, seats, paid set-ups,
-// the budget) and decide nothing cleverly; they never serve viewers in earnest.
+// Package baseline has simple policies to compare the decision module with: a random holder, or the holder with the
+// fewest sessions of this front. They keep the rules (drains, seats, paid set-ups, the retry budget) but optimize
+// nothing. They are not meant for production.
 package baseline
 
 import (
@@ -13,60 +13,62 @@
 // Kind names a baseline.
 type Kind string
 
-// The baselines.
+// Kinds of baselines.
 const (
 	Random Kind = "random"
 	Fewest Kind = "fewest"
 )
 
+// session is a request until its end.
 type session struct {
 	policy.Ask
-	attempts int
-	at       uint32
-	out      bool
-	unsure   bool
-	tried    []uint32
+	attempts   int
+	server     uint32
+	inFlight   bool
+	mayHaveRun bool
+	tried      []uint32
 }
 
-// Front is a baseline in the module's place.
+// Front is a baseline policy with the interface of policy.Front.
 type Front struct {
-	kind     Kind
-	set      policy.Settings
-	rng      *rand.Rand
-	servers  map[uint32]policy.Entry
-	sessions map[uint64]*session
-	held     map[uint32]int
-	taken    []policy.Time
-	further  []policy.Time
+	kind          Kind
+	cfg           policy.Settings
+	rng           *rand.Rand
+	servers       map[uint32]policy.Entry
+	sessions      map[uint64]*session
+	sessionCounts map[uint32]int
+	requestTimes  []policy.Time
+	retryTimes    []policy.Time
 }
 
-// New makes a baseline.
-func New(kind Kind, set policy.Settings, seed uint64) *Front {
-	return &Front{kind: kind, set: set, rng: rand.New(rand.NewSource(int64(seed))), servers: map[uint32]policy.Entry{},
-		sessions: map[uint64]*session{}, held: map[uint32]int{}}
+// New returns a baseline front.
+func New(kind Kind, cfg policy.Settings, seed uint64) *Front {
+	return &Front{kind: kind, cfg: cfg, rng: rand.New(rand.NewSource(int64(seed))), servers: map[uint32]policy.Entry{},
+		sessions: map[uint64]*session{}, sessionCounts: map[uint32]int{}}
 }
 
-// Handle takes an event and gives the actions that follow.
+// Handle processes an event and returns the resulting actions.
 func (f *Front) Handle(now policy.Time, event policy.Event) []policy.Action {
 	switch e := event.(type) {
 	case policy.List:
-		f.list(e)
+		f.updateList(e)
 	case policy.Request:
-		f.taken = append(f.taken, now)
+		f.requestTimes = append(f.requestTimes, now)
 		s := &session{Ask: e.Ask}
 		f.sessions[e.ID] = s
 		return f.place(now, s)
 	case policy.Outcome:
-		return f.outcome(now, e)
+		return f.handleOutcome(now, e)
 	case policy.Gone:
-		if s := f.sessions[e.ID]; s != nil && !s.out {
+		if s := f.sessions[e.ID]; s != nil && !s.inFlight {
 			delete(f.sessions, e.ID)
 		}
 	}
 	return nil
 }
 
-func (f *Front) list(l policy.List) {
+// updateList applies a server list or a change of it.
+func (f *Front) updateList(l policy.List) {
 	if l.Kind == policy.ListFailed {
 		return
 	}
@@ -78,14 +80,15 @@
 	}
 }
 
-func (f *Front) outcome(now policy.Time, e policy.Outcome) []policy.Action {
+// handleOutcome ends an attempt and places the request again unless it is over.
+func (f *Front) handleOutcome(now policy.Time, e policy.Outcome) []policy.Action {
 	s := f.sessions[e.ID]
-	if s == nil || !s.out || s.attempts-1 != e.Attempt {
+	if s == nil || !s.inFlight || s.attempts-1 != e.Attempt {
 		return nil
 	}
-	s.out = false
-	f.held[s.at]--
-	s.unsure = s.unsure || e.Status != policy.Full && e.Status != policy.NoConnect && e.Status != policy.Moot
+	s.inFlight = false
+	f.sessionCounts[s.server]--
+	s.mayHaveRun = s.mayHaveRun || e.Status != policy.Full && e.Status != policy.NoConnect && e.Status != policy.Moot
 	if e.Final {
 		delete(f.sessions, e.ID)
 		return nil
@@ -93,36 +96,37 @@
 	return f.place(now, s)
 }
 
+// place sends a request to a holder, or ends it.
 func (f *Front) place(now policy.Time, s *session) []policy.Action {
-	class := f.set.Classes[s.Class]
-	v := f.pick(s)
-	if v == 0 || now >= s.Deadline || s.attempts >= f.set.MaxAttempts || s.attempts > 0 &&
-		(s.unsure && class.Paid || !f.mayRetry(now)) || class.Seats > 0 && f.seated(s) >= class.Seats {
+	class := f.cfg.Classes[s.Class]
+	server := f.pickHolder(s)
+	if server == 0 || now >= s.Deadline || s.attempts >= f.cfg.MaxAttempts || s.attempts > 0 &&
+		(s.mayHaveRun && class.Paid || !f.withinRetryBudget(now)) || class.Seats > 0 && f.seatsInUse(s) >= class.Seats {
 		delete(f.sessions, s.ID)
-		if s.unsure && class.Paid || now >= s.Deadline {
+		if s.mayHaveRun && class.Paid || now >= s.Deadline {
 			return []policy.Action{policy.Fail{ID: s.ID}}
 		}
-		return []policy.Action{policy.Refuse{ID: s.ID, After: f.set.MaxRetry}}
+		return []policy.Action{policy.Refuse{ID: s.ID, After: f.cfg.MaxRetry}}
 	}
 	if s.attempts > 0 {
-		f.further = append(f.further, now)
+		f.retryTimes = append(f.retryTimes, now)
 	}
 	s.attempts++
-	s.at, s.out, s.tried = v, true, append(s.tried, v)
-	f.held[v]++
+	s.server, s.inFlight, s.tried = server, true, append(s.tried, server)
+	f.sessionCounts[server]++
 	timeout := s.Deadline - now
 	if !class.Paid {
 		timeout = min(timeout, class.Aim/2)
 	}
-	return []policy.Action{policy.Send{ID: s.ID, Server: v, Timeout: timeout}}
+	return []policy.Action{policy.Send{ID: s.ID, Server: server, Timeout: timeout}}
 }
 
-// pick gives a ready holder not tried yet, 0 if there is none.
-func (f *Front) pick(s *session) uint32 {
+// pickHolder chooses a ready holder that was not tried yet, 0 if there is none.
+func (f *Front) pickHolder(s *session) uint32 {
 	var list []uint32
 	for id, e := range f.servers {
-		off := ((e.Cell-s.Home)%f.set.Cells + f.set.Cells) % f.set.Cells
-		if e.Health == policy.Ready && off < s.Copies && !slices.Contains(s.tried, id) {
+		offset := ((e.Cell-s.Home)%f.cfg.Cells + f.cfg.Cells) % f.cfg.Cells
+		if e.Health == policy.Ready && offset < s.Copies && !slices.Contains(s.tried, id) {
 			list = append(list, id)
 		}
 	}
@@ -131,29 +135,32 @@
 	}
 	slices.Sort(list)
 	if f.kind == Fewest {
-		return slices.MinFunc(list, func(a, b uint32) int { return f.held[a] - f.held[b] })
+		return slices.MinFunc(list, func(a, b uint32) int { return f.sessionCounts[a] - f.sessionCounts[b] })
 	}
 	return list[f.rng.Intn(len(list))]
 }
 
-func (f *Front) seated(s *session) (n int) {
+// seatsInUse counts this front's sessions of the same class and title.
+func (f *Front) seatsInUse(s *session) (n int) {
 	for _, o := range f.sessions {
-		if o.out && o.Class == s.Class && o.Title == s.Title {
+		if o.inFlight && o.Class == s.Class && o.Title == s.Title {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *Front) mayRetry(now policy.Time) bool {
-	since := func(list []policy.Time) float64 {
+// withinRetryBudget tells whether another retry fits the retry budget.
+func (f *Front) withinRetryBudget(now policy.Time) bool {
+	countRecent := func(list []policy.Time) float64 {
 		n := 0
 		for _, t := range list {
-			if t >= now-f.set.BudgetSpan {
+			if t >= now-f.cfg.BudgetSpan {
 				n++
 			}
 		}
 		return float64(n)
 	}
-	return !f.set.Budgeted || since(f.further)+1 <= f.set.SpareAttempts+f.set.Ratio*since(f.taken)
+	return !f.cfg.Budgeted || countRecent(f.retryTimes)+1 <=
+		f.cfg.SpareAttempts+f.cfg.Ratio*countRecent(f.requestTimes)
 }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -9,7 +9,7 @@
 	"tealledge/policy"
 )
 
-// Serve hosts the fronts that the input starts, until it ends. Fronts share nothing.
+// Serve runs the fronts that the input starts, until the input ends. Fronts share no state.
 func Serve(in io.Reader, out io.Writer) error {
 	dec := NewDecoder(bufio.NewReaderSize(in, 1<<16))
 	w := bufio.NewWriterSize(out, 1<<16)
@@ -37,8 +37,8 @@
 	}
 }
 
-// handle passes one event to its front. A panic there becomes a fault on the wire.
-func handle(fronts map[uint32]*policy.Front, now policy.Time, h Heard, reply *Reply) (err error) {
+// handle passes one event to its front. A panic in the front is reported as a fault record.
+func handle(fronts map[uint32]*policy.Front, now policy.Time, h FrontEvent, reply *Reply) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			reply.Fault(h.Front, fmt.Sprint("the decision module failed: ", p))
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,4 +1,4 @@
-// Package simwire speaks the simulator's binary wire: batches of events in, replies of actions out.
+// Package simwire implements the simulator's binary protocol: batches of events in, replies with actions out.
 package simwire
 
 import (
@@ -11,13 +11,13 @@
 	"tealledge/policy"
 )
 
-// Limits on what is read, so that a damaged length ends in a message and not in a huge allocation.
+// Limits on the input, so that a damaged length ends in an error and not in a huge allocation.
 const (
 	maxFrame = 1 << 30
 	maxList  = 1 << 20
 )
 
-// Start and Stop begin and end an instance. Seed and Settings come with the start.
+// Start and Stop are events that start and stop a front.
 type (
 	Start struct {
 		Seed     uint64
@@ -26,57 +26,58 @@
 	Stop struct{}
 )
 
-// Heard is an event of one front: Start, Stop or one of the policy's.
-type Heard struct {
+// FrontEvent is an event for one front: Start, Stop or an event of package policy.
+type FrontEvent struct {
 	Front uint32
 	Event any
 }
 
-// Batch is what a frame held.
+// Batch is the content of a frame: events and their time.
 type Batch struct {
 	Now    policy.Time
-	Events []Heard
+	Events []FrontEvent
 }
 
-// Event codes.
+// Codes of input records.
 const (
-	codeStart, codeList, codeRequest, codePlaying, codeOutcome = 1000, 1010, 1020, 1030, 1040
-	codeGone, codeAlarm, codeProbed, codePeer, codeStop        = 1050, 1060, 1070, 1080, 1090
-	codeHanded, codeNote, codeInventory, codeAbout             = 1100, 1110, 1120, 1130
+	eventStart, eventList, eventRequest, eventPlaying, eventOutcome            = 1000, 1010, 1020, 1030, 1040
+	eventViewerLeft, eventTimerFired, eventProbed, eventPeerMessage, eventStop = 1050, 1060, 1070, 1080, 1090
+	eventRestored, eventNote, recordServerList, recordSelectFront              = 1100, 1110, 1120, 1130
 )
 
-// Action codes.
+// Codes of output records.
 const (
-	sayLog, sayCancel, sayFault, saySend, sayTimer, saySpeaking = 1000, 1010, 1030, 1040, 1050, 1060
-	sayProbe, sayRate, sayMove, sayRefuse, sayFail, sayFollow   = 1070, 1090, 1110, 1130, 1140, 1120
+	actionLog, actionCancel, actionFault, actionSend, actionTimer, actionSelectFront = 1000, 1010, 1030, 1040, 1050, 1060
+	actionProbe, actionRate, actionMove, actionRefuse, actionFail, actionSubscribe   = 1070, 1090, 1110, 1130, 1140, 1120
 )
 
-// Decoder reads batches. It keeps the numbered server lists, which outlive a batch.
+// Decoder reads batches. It keeps the numbered server lists, which stay valid for later batches.
 type Decoder struct {
 	r     io.Reader
 	lists map[uint8][]policy.Entry
 }
 
-// NewDecoder reads from r.
+// NewDecoder returns a decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
 	return &Decoder{r: r, lists: map[uint8][]policy.Entry{}}
 }
 
-// reader walks over a frame; after the first failure it yields zeros.
+// reader reads the fields of a frame; after the first error it returns zeros.
 type reader struct {
-	b   []byte
-	err error
+	remaining []byte
+	err       error
 }
 
+// take returns the next n bytes, or zeros after an error.
 func (r *reader) take(n int) []byte {
-	if r.err != nil || n > len(r.b) {
+	if r.err != nil || n > len(r.remaining) {
 		if r.err == nil {
-			r.err = errors.New("a record is cut short")
+			r.err = errors.New("record is truncated")
 		}
 		return make([]byte, min(n, 8))
 	}
-	out := r.b[:n]
-	r.b = r.b[n:]
+	out := r.remaining[:n]
+	r.remaining = r.remaining[n:]
 	return out
 }
 
@@ -85,17 +86,19 @@
 func (r *reader) u32() uint32               { return binary.LittleEndian.Uint32(r.take(4)) }
 func (r *reader) u64() uint64               { return binary.LittleEndian.Uint64(r.take(8)) }
 func (r *reader) time() policy.Time         { return policy.Time(r.u64()) }
-func (r *reader) index() int                { return int(r.f32()) }
+func (r *reader) integer() int              { return int(r.f32()) }
 func (r *reader) status() (s policy.Status) { return policy.Status(r.u16()) }
 
+// f32 reads a number; it must be finite and at most 1e12 in size.
 func (r *reader) f32() float64 {
 	v := float64(math.Float32frombits(r.u32()))
 	if (math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > 1e12) && r.err == nil {
-		r.err = errors.New("a number is not finite or out of range")
+		r.err = errors.New("number is not finite or is out of range")
 	}
 	return v
 }
 
+// report reads a load report.
 func (r *reader) report() []float64 {
 	out := make([]float64, r.u8())
 	for i := range out {
@@ -111,22 +114,23 @@
 		if err == io.EOF {
 			return Batch{}, io.EOF
 		}
-		return Batch{}, fmt.Errorf("the length of a frame is cut short: %w", err)
+		return Batch{}, fmt.Errorf("frame length is truncated: %w", err)
 	}
 	n := binary.LittleEndian.Uint32(head[:])
 	if n < 12 || n > maxFrame {
-		return Batch{}, fmt.Errorf("a frame claims an impossible length of %d bytes", n)
+		return Batch{}, fmt.Errorf("invalid frame length of %d bytes", n)
 	}
-	// Grown while it is read: a wrong length costs no more memory than there is input.
+	// The buffer grows as data arrives: a wrong length takes no more memory than there is input.
 	body, err := io.ReadAll(io.LimitReader(d.r, int64(n)))
 	if err != nil || len(body) < int(n) {
-		return Batch{}, fmt.Errorf("a frame of %d bytes ends after %d", n, len(body))
+		return Batch{}, fmt.Errorf("frame of %d bytes is truncated after %d", n, len(body))
 	}
 	return d.decode(body)
 }
 
+// decode decodes the body of a frame.
 func (d *Decoder) decode(body []byte) (Batch, error) {
-	r := &reader{b: body}
+	r := &reader{remaining: body}
 	out := Batch{Now: r.time()}
 	count := r.u32()
 	var front uint32
@@ -134,11 +138,11 @@
 	for i := uint32(0); i < count && r.err == nil; i++ {
 		code := r.u16()
 		switch code {
-		case codeAbout:
+		case recordSelectFront:
 			front, selected = r.u32(), true
 			continue
-		case codeInventory:
-			d.inventory(r)
+		case recordServerList:
+			d.readServerList(r)
 			continue
 		}
 		ev, err := d.event(code, r)
@@ -146,22 +150,23 @@
 			return out, err
 		}
 		if !selected && r.err == nil {
-			return out, fmt.Errorf("record %d comes before any instance is selected", code)
+			return out, fmt.Errorf("record %d precedes the selection of a front", code)
 		}
 		if ev != nil {
-			out.Events = append(out.Events, Heard{front, ev})
+			out.Events = append(out.Events, FrontEvent{front, ev})
 		}
 	}
-	if r.err == nil && len(r.b) > 0 {
-		r.err = fmt.Errorf("%d bytes are left after the last record", len(r.b))
+	if r.err == nil && len(r.remaining) > 0 {
+		r.err = fmt.Errorf("%d bytes follow the last record", len(r.remaining))
 	}
 	return out, r.err
 }
 
-func (d *Decoder) inventory(r *reader) {
+// readServerList decodes a server list and stores it under its number.
+func (d *Decoder) readServerList(r *reader) {
 	ref, n := r.u8(), r.u32()
 	if n > maxList {
-		r.err = fmt.Errorf("a server list claims %d entries", n)
+		r.err = fmt.Errorf("server list with too many entries: %d", n)
 		return
 	}
 	var list []policy.Entry
@@ -172,56 +177,57 @@
 	d.lists[ref] = list
 }
 
-// event decodes one record; an event that the module has no use for gives nil.
+// event decodes one record; it returns nil for an event that the decision module does not use.
 func (d *Decoder) event(code uint16, r *reader) (any, error) {
 	switch code {
-	case codeStart:
+	case eventStart:
 		return Start{Seed: r.u64(), Settings: string(r.take(int(r.u32())))}, nil
-	case codeStop:
+	case eventStop:
 		return Stop{}, nil
-	case codeList:
-		kinds := map[uint8]policy.ListKind{4: policy.ListDelta, 3: policy.ListFull, 2: policy.ListCached, 1: policy.ListFailed}
+	case eventList:
+		kinds := map[uint8]policy.ListKind{4: policy.ListDelta, 3: policy.ListFull, 2: policy.ListCached,
+			1: policy.ListFailed}
 		how := r.u8()
 		kind, ok := kinds[how]
 		r.u32()
 		ref := r.u8()
 		if r.err == nil && !ok {
-			return nil, fmt.Errorf("a list is of unknown kind %d", how)
+			return nil, fmt.Errorf("list has the unknown kind %d", how)
 		}
 		if kind == policy.ListFailed {
 			return policy.List{Kind: kind}, nil
 		}
 		list, known := d.lists[ref]
 		if r.err == nil && !known {
-			return nil, fmt.Errorf("list number %d was never sent", ref)
+			return nil, fmt.Errorf("list number %d is not defined", ref)
 		}
 		return policy.List{Kind: kind, Entries: list}, nil
-	case codeRequest:
-		a := policy.Ask{ID: r.u64(), Title: r.u64(), Copies: r.index(), Length: r.time(), Deadline: r.time(),
-			Tenant: int(r.u32()), Home: r.index()}
-		setMarks(&a, r.u16())
-		a.Class, a.Viewer, a.Top = int(r.u16()), r.u64(), r.index()
+	case eventRequest:
+		a := policy.Ask{ID: r.u64(), Title: r.u64(), Copies: r.integer(), Length: r.time(), Deadline: r.time(),
+			Tenant: int(r.u32()), Home: r.integer()}
+		setFlags(&a, r.u16())
+		a.Class, a.Viewer, a.Top = int(r.u16()), r.u64(), r.integer()
 		return policy.Request{Ask: a}, nil
-	case codeHanded:
+	case eventRestored:
 		a := policy.Ask{ID: r.u64(), Class: int(r.u16()), Tenant: int(r.u32()), Viewer: r.u64(), Title: r.u64(),
-			Deadline: r.time(), Length: r.time(), Home: r.index(), Copies: r.index(), Top: r.index()}
-		setMarks(&a, r.u16())
+			Deadline: r.time(), Length: r.time(), Home: r.integer(), Copies: r.integer(), Top: r.integer()}
+		setFlags(&a, r.u16())
 		return policy.Handed{Ask: a, Server: r.u32()}, nil
-	case codePlaying:
+	case eventPlaying:
 		return policy.Playing{ID: r.u64(), Attempt: int(r.u16()), Server: r.u32(), Took: r.time()}, nil
-	case codeNote:
+	case eventNote:
 		return policy.Note{ID: r.u64(), Attempt: int(r.u16()), Server: r.u32(), Kind: policy.NoteKind(r.u8()),
 			Value: r.f32()}, nil
-	case codeOutcome:
+	case eventOutcome:
 		return policy.Outcome{ID: r.u64(), Attempt: int(r.u16()), Server: r.u32(), Status: r.status(), Took: r.time(),
 			Final: r.u8() != 0, Report: r.report()}, nil
-	case codeGone:
+	case eventViewerLeft:
 		return policy.Gone{ID: r.u64()}, nil
-	case codeAlarm:
+	case eventTimerFired:
 		return policy.Alarm{Token: r.u32()}, nil
-	case codeProbed:
+	case eventProbed:
 		return policy.Probed{Server: r.u32(), Status: r.status(), Took: r.time(), Report: r.report()}, nil
-	case codePeer:
+	case eventPeerMessage:
 		r.u32()
 		r.take(int(r.u16()))
 		return nil, nil
@@ -229,102 +235,106 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	return nil, fmt.Errorf("a record has the unknown code %d", code)
+	return nil, fmt.Errorf("unknown record code %d", code)
 }
 
-func setMarks(a *policy.Ask, bits uint16) {
+// setFlags decodes the flag bits of a request.
+func setFlags(a *policy.Ask, bits uint16) {
 	a.Hinted, a.Moved, a.Again = bits&1 != 0, bits&8 != 0, bits&16 != 0
 }
 
-// Reply gathers the actions of one batch.
+// Reply collects the actions of one batch.
 type Reply struct {
-	b     []byte
-	count uint32
-	front uint32
-	named bool
+	records  []byte
+	count    uint32
+	front    uint32
+	selected bool
 }
 
-func (p *Reply) record(code uint16) {
+// beginRecord appends the code of a record and counts it.
+func (p *Reply) beginRecord(code uint16) {
 	p.count++
-	p.b = binary.LittleEndian.AppendUint16(p.b, code)
+	p.records = binary.LittleEndian.AppendUint16(p.records, code)
 }
 
-func (p *Reply) u32(v uint32) { p.b = binary.LittleEndian.AppendUint32(p.b, v) }
-func (p *Reply) u64(v uint64) { p.b = binary.LittleEndian.AppendUint64(p.b, v) }
+func (p *Reply) u32(v uint32) { p.records = binary.LittleEndian.AppendUint32(p.records, v) }
+func (p *Reply) u64(v uint64) { p.records = binary.LittleEndian.AppendUint64(p.records, v) }
 
-func (p *Reply) text(code uint16, s string) {
+// textRecord appends a record with a text; longer texts are truncated to the limit of the format.
+func (p *Reply) textRecord(code uint16, s string) {
 	if len(s) > math.MaxUint16 {
 		s = s[:math.MaxUint16]
 	}
-	p.record(code)
-	p.b = binary.LittleEndian.AppendUint16(p.b, uint16(len(s)))
-	p.b = append(p.b, s...)
+	p.beginRecord(code)
+	p.records = binary.LittleEndian.AppendUint16(p.records, uint16(len(s)))
+	p.records = append(p.records, s...)
 }
 
-func (p *Reply) speak(front uint32) {
-	if p.named && p.front == front {
+// selectFront makes the following records refer to a front.
+func (p *Reply) selectFront(front uint32) {
+	if p.selected && p.front == front {
 		return
 	}
-	p.record(saySpeaking)
+	p.beginRecord(actionSelectFront)
 	p.u32(front)
-	p.front, p.named = front, true
+	p.front, p.selected = front, true
 }
 
-// Fault reports that the module failed.
+// Fault appends a record that the decision module failed.
 func (p *Reply) Fault(front uint32, text string) {
-	p.speak(front)
-	p.text(sayFault, text)
+	p.selectFront(front)
+	p.textRecord(actionFault, text)
 }
 
-// Add appends a front's action.
+// Add appends an action of a front.
 func (p *Reply) Add(front uint32, action policy.Action) error {
-	p.speak(front)
+	p.selectFront(front)
 	switch a := action.(type) {
 	case policy.Send:
-		p.record(saySend)
+		p.beginRecord(actionSend)
 		p.u64(a.ID)
 		p.u32(a.Server)
 		p.u64(uint64(a.Timeout))
 	case policy.Refuse:
-		p.record(sayRefuse)
+		p.beginRecord(actionRefuse)
 		p.u64(a.ID)
 		p.u64(uint64(a.After))
 	case policy.Fail:
-		p.record(sayFail)
+		p.beginRecord(actionFail)
 		p.u64(a.ID)
 	case policy.Cancel:
-		p.record(sayCancel)
+		p.beginRecord(actionCancel)
 		p.u64(a.ID)
-		p.b = binary.LittleEndian.AppendUint16(p.b, uint16(a.Attempt))
+		p.records = binary.LittleEndian.AppendUint16(p.records, uint16(a.Attempt))
 	case policy.Move:
-		p.record(sayMove)
+		p.beginRecord(actionMove)
 		p.u64(a.ID)
 	case policy.Rate:
-		p.record(sayRate)
+		p.beginRecord(actionRate)
 		p.u64(a.ID)
-		p.b = append(p.b, byte(a.Rung))
+		p.records = append(p.records, byte(a.Rung))
 	case policy.Timer:
-		p.record(sayTimer)
+		p.beginRecord(actionTimer)
 		p.u32(a.Token)
 		p.u64(uint64(a.After))
 	case policy.Probe:
-		p.record(sayProbe)
+		p.beginRecord(actionProbe)
 		p.u32(a.Server)
 	case policy.Follow:
-		p.record(sayFollow)
-		p.b = append(p.b, 1)
+		p.beginRecord(actionSubscribe)
+		p.records = append(p.records, 1)
 	case policy.Log:
-		p.text(sayLog, a.Text)
+		p.textRecord(actionLog, a.Text)
 	default:
-		return fmt.Errorf("no record for action %T", action)
+		return fmt.Errorf("no record code for action type %T", action)
 	}
 	return nil
 }
 
-// WriteTo sends the reply as one frame.
+// WriteTo writes the reply as one frame.
 func (p *Reply) WriteTo(w io.Writer) (int64, error) {
-	head := binary.LittleEndian.AppendUint32(nil, uint32(4+len(p.b)))
+	head := binary.LittleEndian.AppendUint32(nil, uint32(4+len(p.records)))
 	head = binary.LittleEndian.AppendUint32(head, p.count)
-	n, err := w.Write(append(head, p.b...))
+	n, err := w.Write(append(head, p.records...))
 	return int64(n), err
 }
