--- a/policy/api.go
+++ b/policy/api.go
@@ -122,7 +122,7 @@
 	Entries []Entry
 }
 
-// Ask holds the parameters of a viewer's request.
+// SessionSpec has the parameters of a session as requested by a viewer.
 type Ask struct {
 	ID       uint64
 	Title    uint64
--- a/policy/playing_test.go
+++ b/policy/playing_test.go
@@ -204,8 +204,8 @@
 		onlyOne[Send](t, w.handle(Request{w.newRequest(1, 0)}))
 		return w.front.byID[1].rung
 	}
-	if guess, reported := rung(false), rung(true); guess >= reported || reported < 1 {
-		t.Fatalf("rung %d without a report, %d with one", guess, reported)
+	if without, with := rung(false), rung(true); without >= with || with < 1 {
+		t.Fatalf("rung %d without a report, %d with one", without, with)
 	}
 }
 
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -166,11 +166,12 @@
 func TestLateAndUnknownIDsAreIgnored(t *testing.T) {
 	w := newWorld(t, settings())
 	s := onlyOne[Send](t, w.handle(Request{w.newRequest(1, 0)}))
-	for _, ev := range []Event{Gone{77}, Playing{ID: 77, Server: 1}, Note{ID: 77, Server: 9, Kind: NoteShare},
+	for _, ev := range []Event{Gone{77}, Playing{ID: 77, Server: 1},
+		Note{ID: 77, Server: 9, Kind: NoteShare},
 		Outcome{ID: 77, Server: 99, Report: []float64{1, 2, 3}}, Probed{Server: 99}, Alarm{12345},
 		Outcome{ID: 1, Attempt: 5, Server: s.Server}, Playing{ID: 1, Attempt: 3, Server: s.Server},
-		Handed{Ask: w.newRequest(5, 0), Server: 99}, Handed{Ask: Ask{ID: 6, Class: 44}, Server: 1},
-		"nonsense"} {
+		Handed{Ask: w.newRequest(5, 0), Server: 99},
+		Handed{Ask: Ask{ID: 6, Class: 44}, Server: 1}, "nonsense"} {
 		if actions := w.handle(ev); len(actions) > 0 {
 			t.Fatalf("%#v caused %v", ev, actions)
 		}
@@ -300,8 +301,8 @@
 		}
 		f.Handle(Second, List{Kind: ListFull, Entries: list})
 		rung = cfg.Classes[class].Floor
-		for _, a := range f.Handle(Second+1, Request{Ask{ID: 1, Title: 1, Copies: 4, Class: class, Top: 2,
-			Deadline: 3 * Second, Holders: holders}}) {
+		for _, a := range f.Handle(Second+1, Request{Ask{ID: 1, Title: 1, Copies: 4, Class: class,
+			Top: 2, Deadline: 3 * Second, Holders: holders}}) {
 			switch a := a.(type) {
 			case Send:
 				server = a.Server
--- a/policy/state.go
+++ b/policy/state.go
@@ -209,7 +209,7 @@
 	return s.weight * f.cfg.ChangeCost
 }
 
-// cellOf gives an entry's cell in the ring of cells; Ask.Home and Ask.Copies select holders in it.
+// cellOf gives an entry's cell in the ring of cells; Home and Copies of a SessionSpec select holders in it.
 func (f *Front) cellOf(e Entry) int {
 	n := max(f.cfg.Cells, 1)
 	return (e.Cell%n + n) % n
