--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -1,74 +1,74 @@
-// Package admit decides what enters a front's bounded event queue when it fills. It is pure: the shell tells it
-// how full the queue is and does as told.
+// Package admit decides what enters a front's bounded event queue as it fills up. It is pure: the shell reports the
+// length of the queue and carries out the verdict.
 //
-// The danger is a front that takes more than it can answer in time: every waiting request would then be late. New
-// requests are turned away first, at once and with a come-back time, while news of requests already taken always
-// gets in: losing an outcome would leave a session without its answer.
+// It guards against a front that accepts more than it can answer in time, which would make every waiting request
+// late. New requests are refused first, at once and with a retry delay. Outcomes of accepted requests always get in:
+// losing one would leave a session without its reply.
 package admit
 
 import "tealledge/policy"
 
-// Kind is what wants to enter.
+// Kind is the kind of a queue item.
 type Kind uint8
 
-// What may want to enter.
+// Kinds of queue items.
 const (
 	Ask      Kind = iota // a player's new request
-	News                 // what became of a request taken: outcomes, lost connections, players leaving
-	Advisory             // notes and lists, which a newer one replaces
+	News                 // a change to an accepted request: its result, a lost connection, a player leaving
+	Advisory             // notes and server lists, which a newer one replaces
 )
 
-// Verdict is what is to be done with it.
+// Verdict is the decision on an item.
 type Verdict uint8
 
-// What may be done.
+// Verdicts.
 const (
-	Take   Verdict = iota
-	Refuse         // an ask: answer "refused" at once; an advisory: drop it
-	Wait           // hold the reader until there is room: its socket's own buffer holds the sender back
+	Accept Verdict = iota
+	Refuse         // a request: reply "refused" at once; an advisory: drop it
+	Wait           // block the reader until there is room: the full socket buffer then slows down the sender
 )
 
-// Parts of the queue that each kind may fill.
+// Shares of the queue that a kind may fill.
 const (
-	askPart      = 0.5 // the rest stays free for news of what was taken
-	advisoryPart = 0.75
+	requestShare  = 0.5 // the rest stays free for outcomes of accepted requests
+	advisoryShare = 0.75
 )
 
-// Enter decides on one item for a queue that holds n of at most most.
-func Enter(k Kind, n, most int) Verdict {
+// Admit decides on one item for a queue that holds length items of at most capacity.
+func Enter(kind Kind, length, capacity int) Verdict {
 	switch {
-	case k == Ask && float64(n) >= askPart*float64(most):
+	case kind == Ask && float64(length) >= requestShare*float64(capacity):
 		return Refuse
-	case k == Advisory && float64(n) >= advisoryPart*float64(most):
+	case kind == Advisory && float64(length) >= advisoryShare*float64(capacity):
 		return Refuse
-	case n >= most:
+	case length >= capacity:
 		return Wait
 	}
-	return Take
+	return Accept
 }
 
-// Late tells whether an ask that waited in the queue is out of time before the module saw it: it is answered, not
-// begun. read and deadline are module clock readings in nanoseconds.
+// PastDeadline reports whether a request has expired in the queue before the module saw it. Such a request is refused
+// and not started. now and deadline are module clock readings in nanoseconds.
 func Late(now, deadline policy.Time) bool { return now >= deadline }
 
-// ComeBack is the come-back time told to one turned away here: the settings' longest, less a part drawn by u
-// (0 to 1), so that those turned away together do not come back together.
-func ComeBack(longest policy.Time, u float64) policy.Time {
-	return longest - policy.Time(float64(longest)*u/2)
+// RetryAfter returns the retry delay for a refused request: maxDelay from the settings, less up to half of it in
+// proportion to random (0 to 1), so that requests refused together are not retried together.
+func ComeBack(maxDelay policy.Time, random float64) policy.Time {
+	return maxDelay - policy.Time(float64(maxDelay)*random/2)
 }
 
-// Values for a front that stood still.
+// Limits for a front that was stalled.
 const (
-	stillFrom = 150 * policy.Millisecond // a gap in the owner's own rounds that no load explains
-	readFirst = 15 * policy.Millisecond  // what the sockets' readers need to bring what came meanwhile
+	stallThreshold = 150 * policy.Millisecond // a gap between the owner's rounds that load does not explain
+	readWindow     = 15 * policy.Millisecond  // time for the socket readers to deliver what arrived meanwhile
 )
 
-// Standstill decides what a front does first that finds that it stood still: its own timers are all due at once,
-// while the answers that they wait for lie unread in the sockets. For so long it only reads. Also covers a machine
-// that slept. Harm: time-outs that are truly due act that much later.
+// ReadWindowAfterStall returns how long a front only reads its sockets after its process was stalled. All its timers
+// are then due at once, while the responses that they wait for are still unread in the sockets. This also covers a
+// machine that was suspended. The cost: timeouts that are really due take effect that much later.
 func Standstill(gap policy.Time) (readFor policy.Time) {
-	if gap < stillFrom {
+	if gap < stallThreshold {
 		return 0
 	}
-	return readFirst
+	return readWindow
 }
--- a/decide/admit/admit_test.go
+++ b/decide/admit/admit_test.go
@@ -6,31 +6,32 @@
 	"tealledge/policy"
 )
 
-func TestAFillingQueueTurnsAsksAwayBeforeNews(t *testing.T) {
-	const most = 100
-	for n := 0; n <= most; n++ {
-		ask, news, advisory := Enter(Ask, n, most), Enter(News, n, most), Enter(Advisory, n, most)
-		if (ask == Refuse) != (n >= 50) || ask == Wait {
-			t.Errorf("ask at %d: %d", n, ask)
+func TestFillingQueueRefusesRequestsBeforeOutcomes(t *testing.T) {
+	const capacity = 100
+	for length := 0; length <= capacity; length++ {
+		request, outcome, advisory := Enter(Ask, length, capacity), Enter(News, length, capacity), Enter(Advisory, length, capacity)
+		if (request == Refuse) != (length >= 50) || request == Wait {
+			t.Errorf("request at queue length %d: verdict %d", length, request)
 		}
-		if news == Refuse || (news == Wait) != (n >= most) {
-			t.Errorf("news at %d: %d", n, news)
+		if outcome == Refuse || (outcome == Wait) != (length >= capacity) {
+			t.Errorf("outcome at queue length %d: verdict %d", length, outcome)
 		}
-		if (advisory == Refuse) != (n >= 75) {
-			t.Errorf("advisory at %d: %d", n, advisory)
+		if (advisory == Refuse) != (length >= 75) {
+			t.Errorf("advisory at queue length %d: verdict %d", length, advisory)
 		}
 	}
 }
 
-func TestComeBackTimesAreSpreadWithinTheLongest(t *testing.T) {
-	const longest = 2 * policy.Second
-	if ComeBack(longest, 0) != longest || ComeBack(longest, 1) != longest/2 || ComeBack(0, 0.5) != 0 {
-		t.Error(ComeBack(longest, 0), ComeBack(longest, 1))
+func TestRetryDelaysAreSpreadWithinMaximum(t *testing.T) {
+	const maxDelay = 2 * policy.Second
+	if ComeBack(maxDelay, 0) != maxDelay || ComeBack(maxDelay, 1) != maxDelay/2 || ComeBack(0, 0.5) != 0 {
+		t.Error(ComeBack(maxDelay, 0), ComeBack(maxDelay, 1))
 	}
 }
 
-func TestAFrontThatStoodStillReadsBeforeItsTimersAct(t *testing.T) {
-	if Standstill(50*policy.Millisecond) != 0 || Standstill(policy.Second) <= 0 || Standstill(policy.Second) > 50*policy.Millisecond {
+func TestReadsSocketsBeforeTimersAfterStall(t *testing.T) {
+	if Standstill(50*policy.Millisecond) != 0 || Standstill(policy.Second) <= 0 ||
+		Standstill(policy.Second) > 50*policy.Millisecond {
 		t.Error(Standstill(50*policy.Millisecond), Standstill(policy.Second))
 	}
 }
