--- a/decide/life/life.go
+++ b/decide/life/life.go
@@ -1,67 +1,72 @@
-// Package life decides how long an HLS session lives and who it belongs to. A player of RFC 8216 never says that it
-// leaves: it only stops asking. It is pure; time is passed in.
+// Package life decides when an HLS session expires and which requests belong to it. An RFC 8216 player never
+// announces that it leaves; it only stops sending requests. The package is pure; time is passed in.
 //
-// Danger in one direction: a stream held for a player that is gone takes a place and a seat. In the other: a session
-// ended between two reloads makes a playing viewer come again, and a paid one pay for nothing.
+// A stream held for too long after its player has left takes up a place and a seat. A session ended too early,
+// between two reloads, makes a playing viewer open it again, and a paid one pay for nothing.
 package life
 
 import "tealledge/policy"
 
-// Time is a clock reading or span in nanoseconds.
+// Time is a point of time or a duration in nanoseconds.
 type Time = policy.Time
 
 const (
-	missed    = 3                        // reloads that a live player may miss (RFC 8216 section 6.3.4: one each target duration)
-	slack     = 2 * policy.Second        // for the network and a slow player
-	liveLeast = 6 * policy.Second        // a short target must not make a hiccup an end
-	firstWait = 8 * policy.Second        // from the answer to the first media playlist
-	idleAfter = 20 * policy.Second       // after the last second of a finished list could have been played
-	longest   = 6 * 3600 * policy.Second // no list, however long, holds a session beyond this without a word
-	tooFast   = 0.3                      // of the target: no player has a reason to reload faster
-	fastMost  = 20                       // so many too fast in a row are turned away
-	staleLive = 2.0                      // targets that a live list may be old when its origin is late
-	noReload  = 500 * policy.Millisecond
+	maxMissedReloads     = 3                        // while live (RFC 8216 section 6.3.4: one per target duration)
+	reloadSlack          = 2 * policy.Second        // allowance for the network and a slow player
+	minLiveTimeout       = 6 * policy.Second        // a short target duration must not end a session on a brief stall
+	firstPlaylistTimeout = 8 * policy.Second        // from the session's reply to the first media playlist request
+	finishedIdleTimeout  = 20 * policy.Second       // after the time needed to play a whole finished playlist
+	maxFinishedTimeout   = 6 * 3600 * policy.Second // however long the playlist, a session without requests ends
+	minReloadTargets     = 0.3                      // in target durations: no player has a reason to reload sooner
+	maxFastReloads       = 20                       // consecutive ones that are served; further ones are rejected
+	maxLiveAgeTargets    = 2.0                      // age of a live playlist in target durations, if its origin is late
+	minReloadInterval    = 500 * policy.Millisecond
 )
 
-// List is what is known of the playlist that a session's player read last. The zero value: none yet.
+// Playlist describes the playlist that a session's player read last. The zero value means none yet.
 type List struct {
 	Target Time
-	Total  Time // length of all its segments
-	Ended  bool // ENDLIST: it is never reloaded
+	Total  Time // duration of all its segments
+	Ended  bool // it has ENDLIST and is never reloaded
 }
 
-// Ends tells when a session ends if nothing more is heard of its player. Until then it keeps its seat and its place,
-// also while it is unsure whether its player is there: two sessions must not share a seat. opened is when its request was answered,
-// heard when it asked for a playlist last (0: not yet).
-func Ends(opened, heard Time, l List) Time {
+// ExpiresAt returns when a session expires if its player sends no further request. Until then it keeps its seat and
+// its place, even while it is unknown whether its player is still there: two sessions must not share a seat. openedAt
+// is when its request was answered, lastRequestAt when it last requested a playlist (0: not yet).
+func Ends(openedAt, lastRequestAt Time, playlist List) Time {
 	switch {
-	case heard == 0:
-		return opened + firstWait
-	case l.Ended:
-		return heard + min(l.Total+idleAfter, longest)
+	case lastRequestAt == 0:
+		return openedAt + firstPlaylistTimeout
+	case playlist.Ended:
+		return lastRequestAt + min(playlist.Total+finishedIdleTimeout, maxFinishedTimeout)
 	}
-	return heard + max(missed*l.Target+slack, liveLeast)
+	return lastRequestAt + max(maxMissedReloads*playlist.Target+reloadSlack, minLiveTimeout)
 }
 
-// TooFast tells whether a reload comes so soon after the last one that the same text does: nothing new can be there.
-func TooFast(now, heard Time, l List) bool {
-	return heard > 0 && !l.Ended && now-heard < max(Time(tooFast*float64(l.Target)), noReload)
+// ReloadsTooFast reports whether a reload follows the last one so soon that the playlist can't have changed and the
+// same text is served again.
+func TooFast(now, lastRequestAt Time, playlist List) bool {
+	return lastRequestAt > 0 && !playlist.Ended &&
+		now-lastRequestAt < max(Time(minReloadTargets*float64(playlist.Target)), minReloadInterval)
 }
 
-// Turned decides whether a player that reloads too fast is told to wait: a few in a row are a player that seeks or has
-// opened two variants, many are a broken one, which would cost as much as dozens of others. It loses nothing by it: its
-// session is kept alive all the same.
-func Turned(fastInARow int) bool { return fastInARow > fastMost }
+// ThrottlesReload decides whether a player that reloads too fast is told to wait. A few fast reloads in a row come
+// from a player that seeks or has opened two variants; many come from a faulty one, which would cost as much as
+// dozens of others. The rejected player loses nothing: its session is kept alive all the same.
+func Turned(consecutiveFast int) bool { return consecutiveFast > maxFastReloads }
 
-// Fresh tells whether a shared playlist may be told without asking its origin again; a finished one always may.
-func Fresh(age Time, l List) bool { return l.Ended || age < l.Target/2 }
+// Fresh reports whether a shared playlist may be served without a new request to its origin; a finished one always
+// may.
+func Fresh(age Time, playlist List) bool { return playlist.Ended || age < playlist.Target/2 }
 
-// Usable tells whether a playlist that could not be had anew is better than none. A live one that is older than two
-// targets would only have the player wait at its end, and another server may do better.
-func Usable(age Time, l List) bool { return l.Ended || float64(age) <= staleLive*float64(l.Target) }
+// Usable reports whether a playlist that could not be refreshed is better than none. With a live one older than two
+// target durations the player would only wait at its end, and another server may do better.
+func Usable(age Time, playlist List) bool {
+	return playlist.Ended || float64(age) <= maxLiveAgeTargets*float64(playlist.Target)
+}
 
-// Claim tells whether a request for a title is by the player of a session that is already there: it carries the
-// session's own cookie, or it names the same viewer. A viewer that names itself is believed: its second request is the
-// same session, whether its answer was lost or it opened the title twice. Without a name or a cookie a lost answer
-// can't be told from a second viewer, and is taken for one: two viewers must not share a seat.
-func Claim(cookie, named bool) bool { return cookie || named }
+// OwnsSession reports whether a request for a title comes from the player of an existing session: it carries the
+// session's cookie, or it names the same viewer. The viewer's name is trusted: a second request under it belongs to
+// the same session, whether the first reply was lost or the title was opened twice. Without a name or a cookie a
+// retry after a lost reply can't be told from a second viewer and counts as one: two viewers must not share a seat.
+func Claim(hasCookie, namesViewer bool) bool { return hasCookie || namesViewer }
--- a/decide/life/life_test.go
+++ b/decide/life/life_test.go
@@ -11,54 +11,55 @@
 	at = 1000 * s
 )
 
-func TestEnds(t *testing.T) {
+func TestExpiresAt(t *testing.T) {
 	for name, c := range map[string]struct {
-		heard Time
-		l     List
-		want  Time
+		lastRequestAt Time
+		l             List
+		want          Time
 	}{
-		"never played":              {0, List{}, at + 8*s},
-		"live, target 4 s":          {at + 10*s, List{Target: 4 * s}, at + 24*s},
-		"live, a very short target": {at + 10*s, List{Target: 1 * s}, at + 16*s},
-		"finished, ten minutes":     {at + 10*s, List{Target: 4 * s, Total: 600 * s, Ended: true}, at + 630*s},
-		"finished, a year":          {at, List{Target: 4 * s, Total: 365 * 24 * 3600 * s, Ended: true}, at + 6*3600*s},
+		"no playlist requested":            {0, List{}, at + 8*s},
+		"live, target duration 4 s":        {at + 10*s, List{Target: 4 * s}, at + 24*s},
+		"live, very short target duration": {at + 10*s, List{Target: 1 * s}, at + 16*s},
+		"finished, ten minutes":            {at + 10*s, List{Target: 4 * s, Total: 600 * s, Ended: true}, at + 630*s},
+		"finished, a year":                 {at, List{Target: 4 * s, Total: 365 * 24 * 3600 * s, Ended: true}, at + 6*3600*s},
 	} {
-		if got := Ends(at, c.heard, c.l); got != c.want {
+		if got := Ends(at, c.lastRequestAt, c.l); got != c.want {
 			t.Errorf("%s: %d s, want %d s", name, (got-at)/s, (c.want-at)/s)
 		}
 	}
 }
 
-// A player that reloads as the RFC asks, or is one or two reloads late, never loses its session.
-func TestASteadyPlayerIsNeverEnded(t *testing.T) {
+// TestRegularReloadsKeepSession: a player that reloads as the RFC requires, or is one or two reloads late, keeps its
+// session.
+func TestRegularReloadsKeepSession(t *testing.T) {
 	for _, target := range []Time{s, 2 * s, 6 * s, 10 * s} {
-		l := List{Target: target}
+		playlist := List{Target: target}
 		for _, gap := range []Time{target / 2, target, target * 3 / 2, 2 * target, 3 * target} {
-			if Ends(at, at, l) <= at+gap {
-				t.Errorf("target %d s: ended after a gap of %d s", target/s, gap/s)
+			if Ends(at, at, playlist) <= at+gap {
+				t.Errorf("target duration %d s: expired after a gap of %d s", target/s, gap/s)
 			}
 		}
 	}
 }
 
-func TestReloadPacingAndStaleLists(t *testing.T) {
-	live, done := List{Target: 4 * s}, List{Target: 4 * s, Ended: true}
-	if !TooFast(at+s, at, live) || TooFast(at+2*s, at, live) || TooFast(at, 0, live) || TooFast(at+s/10, at, done) {
-		t.Error("pacing")
+func TestReloadPacingAndStalePlaylists(t *testing.T) {
+	live, finished := List{Target: 4 * s}, List{Target: 4 * s, Ended: true}
+	if !TooFast(at+s, at, live) || TooFast(at+2*s, at, live) || TooFast(at, 0, live) || TooFast(at+s/10, at, finished) {
+		t.Error("ReloadsTooFast is wrong")
 	}
 	if Turned(20) || !Turned(21) {
-		t.Error("turned away")
+		t.Error("ThrottlesReload is wrong")
 	}
-	if !Fresh(s, live) || Fresh(3*s, live) || !Fresh(1000*s, done) {
-		t.Error("fresh")
+	if !Fresh(s, live) || Fresh(3*s, live) || !Fresh(1000*s, finished) {
+		t.Error("Fresh is wrong")
 	}
-	if !Usable(8*s, live) || Usable(9*s, live) || !Usable(1000*s, done) {
-		t.Error("usable")
+	if !Usable(8*s, live) || Usable(9*s, live) || !Usable(1000*s, finished) {
+		t.Error("Usable is wrong")
 	}
 }
 
-func TestWhoseRequestItIs(t *testing.T) {
+func TestSessionOwnedByCookieOrViewerName(t *testing.T) {
 	if Claim(false, false) || !Claim(true, false) || !Claim(false, true) {
-		t.Error("claim")
+		t.Error("OwnsSession is wrong")
 	}
 }
