--- a/decide/members/members.go
+++ b/decide/members/members.go
@@ -1,9 +1,9 @@
-// Package members decides what a front believes of the server list: which answers of the list service are taken,
-// and how the servers' own word (a REDIRECT) joins it. It is pure; time is passed in.
+// Package members maintains a front's view of the server list: which responses of the list service are accepted, and
+// how they combine with a server's own announcement (a REDIRECT). It is pure; time is passed in.
 //
-// Dangers: a list service that lost its data answers with an empty list, and one that was restored from an old
-// copy answers with an index that went backwards. Believing either at once would close the front. Harm: a fleet
-// that is truly emptied at once is noticed emptyWait later; its connections fail meanwhile, so nothing runs there.
+// A list service that lost its data responds with an empty list, and one that was restored from an old copy with an
+// index that went backwards. Accepting either at once would close the front. The cost: the removal of a whole fleet
+// at once is noticed emptyListDelay later; its connections fail meanwhile, so nothing runs there.
 package members
 
 import (
@@ -13,105 +13,106 @@
 )
 
 const (
-	emptyWait = 3 * policy.Second // an emptied list is believed when it has stayed empty so long
-	mostNodes = 10_000            // entries of a list that are read
+	emptyListDelay = 3 * policy.Second // an empty list is accepted once it has stayed empty this long
+	maxEntries     = 10_000            // of one list
 )
 
-// Answer is one answer of the list service.
+// Response is one response of the list service.
 type Answer struct {
-	Index   uint64 // its version (Consul: X-Consul-Index)
+	Index   uint64 // version of the list (Consul: X-Consul-Index)
 	Entries []policy.Entry
 }
 
-// View is what is believed. The zero value believes nothing.
+// View is the accepted server list. The zero value is empty.
 type View struct {
-	index      uint64
-	have       map[uint32]policy.Entry
-	emptySince policy.Time // 0: the last answer was not empty
-	leaving    map[uint32]policy.Time
+	index         uint64
+	entries       map[uint32]policy.Entry
+	emptySince    policy.Time // 0: the last response was not empty
+	drainingSince map[uint32]policy.Time
 }
 
-// Verdict tells what became of an answer.
+// Verdict is the result of applying a response.
 type Verdict uint8
 
-// What may become of an answer.
+// Verdicts.
 const (
-	Believed Verdict = iota
-	Same             // nothing in it is new
-	Backward         // its index went backwards: the old list stands, the next answer is read from the start
-	Emptied          // not believed yet
-	TooLong          // over the bound on entries
+	Believed         Verdict = iota
+	Same                     // it contains nothing new
+	IndexWentBack            // the index went backwards: the old list is kept, the next response is read whole
+	EmptyUnconfirmed         // the list is empty and not accepted yet
+	TooLong                  // it has more than maxEntries entries
 )
 
-// Take judges an answer. If Believed, list is what the module is to be told: the whole list.
-func (v *View) Take(now policy.Time, a Answer) (list []policy.Entry, verdict Verdict) {
+// Apply evaluates a response. If the verdict is Accepted, list is the whole list, to be passed to the module.
+func (v *View) Take(now policy.Time, response Answer) (list []policy.Entry, verdict Verdict) {
 	switch {
-	case len(a.Entries) > mostNodes:
+	case len(response.Entries) > maxEntries:
 		return nil, TooLong
-	case a.Index < v.index:
+	case response.Index < v.index:
 		v.index = 0
-		return nil, Backward
-	case len(a.Entries) == 0 && len(v.have) > 0:
+		return nil, IndexWentBack
+	case len(response.Entries) == 0 && len(v.entries) > 0:
 		if v.emptySince == 0 {
 			v.emptySince = now
 		}
-		if now-v.emptySince < emptyWait {
-			return nil, Emptied
+		if now-v.emptySince < emptyListDelay {
+			return nil, EmptyUnconfirmed
 		}
-	case a.Index == v.index && a.Index != 0:
+	case response.Index == v.index && response.Index != 0:
 		return nil, Same
 	}
-	v.index = a.Index
-	if len(a.Entries) > 0 {
+	v.index = response.Index
+	if len(response.Entries) > 0 {
 		v.emptySince = 0
 	}
-	v.have = make(map[uint32]policy.Entry, len(a.Entries))
-	for _, e := range a.Entries {
-		if since, ok := v.leaving[e.Server]; ok {
-			// The server itself said that it leaves; only a newer process of it takes that back.
-			if e.Started <= since {
-				e.Health = max(e.Health, policy.Draining)
+	v.entries = make(map[uint32]policy.Entry, len(response.Entries))
+	for _, entry := range response.Entries {
+		if since, ok := v.drainingSince[entry.Server]; ok {
+			// The server itself announced that it drains; only a newer process of it clears that.
+			if entry.Started <= since {
+				entry.Health = max(entry.Health, policy.Draining)
 			} else {
-				delete(v.leaving, e.Server)
+				delete(v.drainingSince, entry.Server)
 			}
 		}
-		v.have[e.Server] = e
+		v.entries[entry.Server] = entry
 	}
-	for id := range v.leaving {
-		if _, ok := v.have[id]; !ok {
-			delete(v.leaving, id)
+	for id := range v.drainingSince {
+		if _, ok := v.entries[id]; !ok {
+			delete(v.drainingSince, id)
 		}
 	}
-	return v.All(), Believed
+	return v.Entries(), Believed
 }
 
-// Index is the version to ask changes from; 0 asks for all.
+// Index returns the version from which to request changes; 0 requests the whole list.
 func (v *View) Index() uint64 { return v.index }
 
-// Doubted tells whether an emptied list waits to be believed: it is then asked for again soon.
-func (v *View) Doubted() bool { return v.emptySince != 0 && len(v.have) > 0 }
+// EmptyPending reports whether an empty list awaits confirmation: the list is then requested again soon.
+func (v *View) Doubted() bool { return v.emptySince != 0 && len(v.entries) > 0 }
 
-// Redirected books a server's own word that it drains. It gives the change for the module, if it is one.
+// HandleRedirect records a server's own announcement that it drains. It returns the changed entry for the module and
+// whether there was a change.
 func (v *View) Redirected(server uint32, now policy.Time) (policy.Entry, bool) {
-	e, ok := v.have[server]
-	if !ok || e.Health != policy.Ready {
-		return e, false
+	entry, ok := v.entries[server]
+	if !ok || entry.Health != policy.Ready {
+		return entry, false
 	}
-	if v.leaving == nil {
-		v.leaving = map[uint32]policy.Time{}
+	if v.drainingSince == nil {
+		v.drainingSince = map[uint32]policy.Time{}
 	}
-	v.leaving[server] = max(now, e.Started)
-	e.Health = policy.Draining
-	v.have[server] = e
-	return e, true
+	v.drainingSince[server] = max(now, entry.Started)
+	entry.Health = policy.Draining
+	v.entries[server] = entry
+	return entry, true
 }
 
-// All gives the list as believed, in the order of the servers' ids.
-func (v *View) All() []policy.Entry {
-	out := make([]policy.Entry, 0, len(v.have))
-	for _, e := range v.have {
-		out = append(out, e)
+// Entries returns the accepted list, sorted by server ID.
+func (v *View) Entries() []policy.Entry {
+	list := make([]policy.Entry, 0, len(v.entries))
+	for _, e := range v.entries {
+		list = append(list, e)
 	}
-	slices.SortFunc(out, func(a, b policy.Entry) int { return int(int64(a.Server) - int64(b.Server)) })
-	return out
+	slices.SortFunc(list, func(a, b policy.Entry) int { return int(int64(a.Server) - int64(b.Server)) })
+	return list
 }
