--- a/decide/overload/limits.go
+++ b/decide/overload/limits.go
@@ -2,18 +2,18 @@
 
 import "tealledge/policy"
 
-// Limits bound what may wait for an answer at one time. They are the last resort behind the gate, for what a delay
-// can't show: requests that wait for stalled servers cost memory, not time.
+// Limits are the maximum numbers of requests that may wait for a reply at one time. They are the last resort behind
+// the rate limiter, for what queueing delay can't show: requests that wait for stalled servers cost memory, not time.
 type Limits struct {
 	Front      int
 	Connection int
-	Tenant     int // of one tenant, where there are several
+	Tenant     int // for each tenant, if there are several
 }
 
-// Full tells what keeps a request out.
+// Full names the limit that keeps a request out.
 type Full string
 
-// What may be full.
+// Values of Full.
 const (
 	NotFull        Full = ""
 	FrontFull      Full = "front"
@@ -21,11 +21,12 @@
 	TenantFull     Full = "tenant"
 )
 
-// Room decides whether one more request may wait, given how many do: in all, of its connection, of its tenant.
+// Check decides whether one more request may wait, given the numbers already waiting: in all, of its connection and
+// of its tenant.
 func (l Limits) Room(front, connection, tenant int, tenants int) Full {
 	switch {
 	case connection >= l.Connection:
-		return ConnectionFull // its own doing, and told so
+		return ConnectionFull // caused by this connection itself, so it is reported as such
 	case front >= l.Front:
 		return FrontFull
 	case tenants > 1 && tenant >= l.Tenant:
@@ -34,49 +35,51 @@
 	return NotFull
 }
 
-// staleFrom is how long a request may have waited for the owner while the gate is limited: its player has waited for
-// nothing, and one that came just now is served sooner.
-const staleFrom = 150 * policy.Millisecond
+// maxQueueWait is how long a request may have waited for the owner while the rate is limited. Beyond it the request
+// is refused, as serving one that has just arrived gives a reply sooner.
+const maxQueueWait = 150 * policy.Millisecond
 
-// Stale decides whether a request that waited is turned away rather than begun: when requests are being turned away
-// at the door, an old one goes first, for all behind it wait as long again.
-func Stale(waited Time, limited bool) bool { return limited && waited > staleFrom }
+// Stale decides whether a request that has waited is refused and not started. While new requests are being refused,
+// the old ones are refused first, because all requests behind them would wait as long again.
+func Stale(waited Time, limited bool) bool { return limited && waited > maxQueueWait }
 
-// Verdict on a handshake.
+// Verdict is the decision on a handshake.
 type Verdict uint8
 
-// What becomes of a handshake.
+// Verdicts.
 const (
 	Now Verdict = iota
 	Later
 	Away
 )
 
-// Door paces handshakes: after a restart thousands come back at once, and each costs as much as a request. It is a
-// token bucket with a bounded line behind it. Harm: the last of a class that connects at once waits a moment.
+// HandshakeLimiter paces handshakes: after a restart thousands of players reconnect at once, and each handshake costs
+// as much as a request. It is a token bucket with a bounded queue behind it. The cost: the last players of a group
+// that connects at once wait a moment.
 type Door struct {
 	PerSecond float64
 	Burst     float64
-	Line      Time // longest wait; past it the connection is turned away
+	Line      Time // longest wait in the queue; beyond it the connection is rejected
 	tokens    float64
-	at        Time
+	updatedAt Time
 }
 
-// Come decides on a handshake that is whole: at once, after a wait, or turned away with a time to come again.
-func (d *Door) Come(now Time) (Verdict, Time) {
-	if d.at == 0 {
-		d.tokens = d.Burst
+// Admit decides on a complete handshake: accepted at once, accepted after a delay, or rejected with the time after
+// which to retry.
+func (l *Door) Come(now Time) (Verdict, Time) {
+	if l.updatedAt == 0 {
+		l.tokens = l.Burst
 	} else {
-		d.tokens = min(d.Burst, d.tokens+d.PerSecond*float64(now-d.at)/float64(policy.Second))
+		l.tokens = min(l.Burst, l.tokens+l.PerSecond*float64(now-l.updatedAt)/float64(policy.Second))
 	}
-	d.at = max(now, 1)
-	wait := Time((1 - d.tokens) / d.PerSecond * float64(policy.Second))
+	l.updatedAt = max(now, 1)
+	wait := Time((1 - l.tokens) / l.PerSecond * float64(policy.Second))
 	switch {
 	case wait <= 0:
-		d.tokens--
+		l.tokens--
 		return Now, 0
-	case wait <= d.Line:
-		d.tokens-- // below zero: its place in the line
+	case wait <= l.Line:
+		l.tokens-- // below zero: it takes its place in the queue
 		return Later, wait
 	}
 	return Away, wait
--- a/decide/overload/overload_test.go
+++ b/decide/overload/overload_test.go
@@ -11,16 +11,16 @@
 
 const ms = policy.Millisecond
 
-// server is a queue worked on at a fixed rate behind a gate, in virtual time.
+// server simulates a queue served at a fixed rate behind a RateLimiter, in virtual time.
 type server struct {
-	g      *Gate
-	perS   float64
-	queue  []item
-	budget float64
-	served []int // by flow
-	turned []int
-	stale  int
-	waits  []Time
+	limiter   *Gate
+	perSecond float64
+	queue     []item
+	budget    float64
+	served    []int // by flow
+	rejected  []int
+	stale     int
+	waits     []Time
 }
 
 type item struct {
@@ -28,24 +28,24 @@
 	flow int
 }
 
-// run plays a millisecond at a time: arrivals a second by flow, for so many milliseconds from now.
+// run simulates length milliseconds from now, one at a time, with the arrivals a second of each flow.
 func (s *server) run(now Time, length int, arrivals []float64, credit []float64) Time {
 	for range length {
 		now += ms
 		for f := range arrivals {
 			for credit[f] += arrivals[f] / 1000; credit[f] >= 1; credit[f]-- {
-				if s.g.Admit(now, f) {
+				if s.limiter.Admit(now, f) {
 					s.queue = append(s.queue, item{now, f})
 				} else {
-					s.turned[f]++
+					s.rejected[f]++
 				}
 			}
 		}
-		for s.budget = min(s.budget+s.perS/1000, 10); s.budget >= 1 && len(s.queue) > 0; {
+		for s.budget = min(s.budget+s.perSecond/1000, 10); s.budget >= 1 && len(s.queue) > 0; {
 			it := s.queue[0]
 			s.queue = s.queue[1:]
-			s.g.Waited(now, now-it.at, len(s.queue))
-			if Stale(now-it.at, s.g.Limited()) {
+			s.limiter.Waited(now, now-it.at, len(s.queue))
+			if Stale(now-it.at, s.limiter.Limited()) {
 				s.stale++
 				s.budget -= 0.05
 				continue
@@ -58,36 +58,37 @@
 	return now
 }
 
-func newServer(perS float64, weights ...float64) *server {
-	return &server{g: New(weights), perS: perS, served: make([]int, len(weights)), turned: make([]int, len(weights))}
+func newServer(perSecond float64, weights ...float64) *server {
+	return &server{limiter: New(weights), perSecond: perSecond,
+		served: make([]int, len(weights)), rejected: make([]int, len(weights))}
 }
 
-func TestUnderCapacityNobodyIsTurnedAway(t *testing.T) {
+func TestAdmitsAllBelowCapacity(t *testing.T) {
 	s := newServer(1000, 1)
 	s.run(policy.Second, 5000, []float64{900}, []float64{0})
-	if s.turned[0] > 0 || s.g.Limited() {
-		t.Fatal(s.turned)
+	if s.rejected[0] > 0 || s.limiter.Limited() {
+		t.Fatal(s.rejected)
 	}
-	// A burst that the queue absorbs is no overload.
+	// A burst that the queue absorbs is not overload.
 	for range 10 {
-		s.g.Admit(7*policy.Second, 0)
+		s.limiter.Admit(7*policy.Second, 0)
 	}
-	if s.turned[0] > 0 {
-		t.Fatal("a burst was turned away")
+	if s.rejected[0] > 0 {
+		t.Fatal("a burst was refused")
 	}
 }
 
-func TestOverloadKeepsGoodputAndWaits(t *testing.T) {
+func TestOverloadKeepsGoodputAndShortWaits(t *testing.T) {
 	for _, times := range []float64{1.2, 2, 4, 10} {
 		s := newServer(1000, 1)
 		credit := []float64{0}
-		now := s.run(policy.Second, 2000, []float64{1000 * times}, credit) // the rate is being found
+		now := s.run(policy.Second, 2000, []float64{1000 * times}, credit) // until the limiter has found the rate
 		before := s.served[0]
 		s.waits = nil
 		s.run(now, 10000, []float64{1000 * times}, credit)
-		good := float64(s.served[0]-before) / 10000
-		if good < 0.9 {
-			t.Errorf("at %g times: goodput %.2f of capacity", times, good)
+		goodput := float64(s.served[0]-before) / 10000
+		if goodput < 0.9 {
+			t.Errorf("at %g times the capacity: goodput %.2f of capacity", times, goodput)
 		}
 		long := 0
 		for _, w := range s.waits {
@@ -96,66 +97,67 @@
 			}
 		}
 		if float64(long) > 0.01*float64(len(s.waits)) {
-			t.Errorf("at %g times: %d of %d waited over 100 ms", times, long, len(s.waits))
+			t.Errorf("at %g times the capacity: %d of %d requests waited over 100 ms", times, long, len(s.waits))
 		}
 	}
 }
 
-func TestItOpensAgainWhenTheCrowdIsGone(t *testing.T) {
+func TestLimitEndsAfterOverload(t *testing.T) {
 	s := newServer(1000, 1)
 	credit := []float64{0}
 	now := s.run(policy.Second, 3000, []float64{4000}, credit)
-	if !s.g.Limited() {
-		t.Fatal("no limit at four times")
+	if !s.limiter.Limited() {
+		t.Fatal("no limit at four times the capacity")
 	}
 	now = s.run(now, 3000, []float64{300}, credit)
-	turned := s.turned[0]
+	rejected := s.rejected[0]
 	s.run(now, 2000, []float64{300}, credit)
-	if s.g.Limited() || s.turned[0] > turned {
-		t.Fatal("still turned away", s.turned[0]-turned)
+	if s.limiter.Limited() || s.rejected[0] > rejected {
+		t.Fatal("still refusing requests", s.rejected[0]-rejected)
 	}
 }
 
-func TestACrowdOfLowWorthDoesNotStarveTheOther(t *testing.T) {
+func TestLowWeightOverloadDoesNotStarveOtherFlows(t *testing.T) {
 	s := newServer(1000, 3, 1) // research, public
 	credit := []float64{0, 0}
 	now := s.run(policy.Second, 2000, []float64{200, 5000}, credit)
-	turned, served := s.turned[0], s.served[0]
+	rejected, served := s.rejected[0], s.served[0]
 	s.run(now, 5000, []float64{200, 5000}, credit)
-	if s.served[0]-served < 900 || s.turned[0]-turned > 100 {
-		t.Fatalf("of 1000 research requests %d served, %d turned away", s.served[0]-served, s.turned[0]-turned)
+	if s.served[0]-served < 900 || s.rejected[0]-rejected > 100 {
+		t.Fatalf("of 1000 research requests %d were served, %d refused", s.served[0]-served, s.rejected[0]-rejected)
 	}
 	if s.served[1] == 0 {
-		t.Fatal("the public gets nothing at all")
+		t.Fatal("no public requests were served")
 	}
 }
 
-func TestPouringSpendsTheRateByWeight(t *testing.T) {
+func TestDistributesRateByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "flows")
-		g := New(make([]float64, n))
+		limiter := New(make([]float64, n))
 		offered := 0.0
-		for i := range g.flows {
-			g.flows[i].weight = rapid.Float64Range(0.1, 10).Draw(t, "weight")
-			g.flows[i].offered = rapid.Float64Range(0, 1000).Draw(t, "offered")
-			offered += g.flows[i].offered
+		for i := range limiter.flows {
+			limiter.flows[i].weight = rapid.Float64Range(0.1, 10).Draw(t, "weight")
+			limiter.flows[i].offeredRate = rapid.Float64Range(0, 1000).Draw(t, "offered")
+			offered += limiter.flows[i].offeredRate
 		}
-		g.rate = rapid.Float64Range(1, 2000).Draw(t, "rate")
-		g.pour()
+		limiter.admittedRate = rapid.Float64Range(1, 2000).Draw(t, "rate")
+		limiter.distribute()
 		spent := 0.0
-		for _, f := range g.flows {
-			if f.share < 0 || f.share > 1+1e-9 {
-				t.Fatalf("share %v", f.share)
+		for _, f := range limiter.flows {
+			if f.admittedShare < 0 || f.admittedShare > 1+1e-9 {
+				t.Fatalf("share %v", f.admittedShare)
 			}
-			spent += f.share * f.offered
+			spent += f.admittedShare * f.offeredRate
 		}
-		if want := math.Min(g.rate, offered); math.Abs(spent-want) > 1e-6*want+1e-6 {
-			t.Fatalf("spent %v of %v, offered %v", spent, g.rate, offered)
+		if want := math.Min(limiter.admittedRate, offered); math.Abs(spent-want) > 1e-6*want+1e-6 {
+			t.Fatalf("spent %v of %v, offered %v", spent, limiter.admittedRate, offered)
 		}
-		for _, a := range g.flows { // nobody that is cut gets less for its weight than another gets
-			for _, b := range g.flows {
-				if a.offered > 0 && a.share < 1-1e-9 && b.offered > 0 && a.share*a.offered/a.weight < b.share*b.offered/b.weight-1e-6 {
-					t.Fatalf("unfair: %+v against %+v", a, b)
+		for _, a := range limiter.flows { // no limited flow gets less for its weight than another flow
+			for _, b := range limiter.flows {
+				if a.offeredRate > 0 && a.admittedShare < 1-1e-9 && b.offeredRate > 0 &&
+					a.admittedShare*a.offeredRate/a.weight < b.admittedShare*b.offeredRate/b.weight-1e-6 {
+					t.Fatalf("flow %+v gets less for its weight than %+v", a, b)
 				}
 			}
 		}
@@ -172,39 +174,39 @@
 		{9, 2, 6, 2, TenantFull}, {9, 2, 6, 1, NotFull},
 	} {
 		if got := l.Room(c.front, c.conn, c.tenant, c.tenants); got != c.want {
-			t.Errorf("%+v: %q", c, got)
+			t.Errorf("%+v: limit %q", c, got)
 		}
 	}
 }
 
-func TestTheDoorPacesThoseWhoComeBackAtOnce(t *testing.T) {
-	d := Door{PerSecond: 100, Burst: 50, Line: policy.Second}
+func TestHandshakeLimiterPacesReconnects(t *testing.T) {
+	limiter := Door{PerSecond: 100, Burst: 50, Line: policy.Second}
 	now, at := 5*policy.Second, map[Time]int{}
-	entered, away := 0, 0
+	admitted, rejected := 0, 0
 	for range 500 {
-		switch v, wait := d.Come(now); v {
+		switch v, wait := limiter.Come(now); v {
 		case Now:
-			entered++
+			admitted++
 			at[0]++
 		case Later:
-			entered++
+			admitted++
 			at[wait/(100*ms)]++
 			if wait > policy.Second {
-				t.Fatal("waits", wait)
+				t.Fatal("delayed by", wait)
 			}
 		case Away:
-			away++
+			rejected++
 		}
 	}
-	if entered < 148 || entered > 152 || entered+away != 500 {
-		t.Fatal(entered, away)
+	if admitted < 148 || admitted > 152 || admitted+rejected != 500 {
+		t.Fatal(admitted, rejected)
 	}
 	for slot, n := range at {
 		if slot > 0 && n > 12 {
-			t.Errorf("%d enter within a tenth of a second", n)
+			t.Errorf("%d handshakes are accepted within a tenth of a second", n)
 		}
 	}
-	if v, _ := d.Come(now + 3*policy.Second); v != Now {
-		t.Error("closed for good")
+	if v, _ := limiter.Come(now + 3*policy.Second); v != Now {
+		t.Error("no handshake is accepted after 3 s without any")
 	}
 }
