--- a/decide/paths/pace.go
+++ b/decide/paths/pace.go
@@ -2,67 +2,67 @@
 
 import "tealledge/policy"
 
-// Pace bounds connects: to one server, which may just have restarted while hundreds of fronts come back to it, and in
-// all, for each costs this front a handshake too. It is two token buckets and, for a server that restarted, a start
-// drawn by each front for itself.
+// Pacer limits the rate of connects: to one server, which may have just restarted while hundreds of fronts reconnect
+// to it, and in total, as each connect costs this front a handshake too. It consists of two token buckets and, for a
+// server that restarted, a start time that each front draws at random.
 //
-// Danger: the pools of all fronts together push a server over that is still cold. Harm: a connection for keeping
-// warm waits; one that a viewer's set-up needs does not wait, it only counts.
+// Without it the connection pools of all fronts together could overload a server that is still cold. The cost: a
+// connection that is only kept warm waits. One that a viewer's set-up needs does not wait, but is counted.
 type Pace struct {
-	all     bucket
-	servers map[uint32]*bucket
-	after   map[uint32]Time // a restarted server: no connects but viewers' before
+	global    tokenBucket
+	servers   map[uint32]*tokenBucket
+	notBefore map[uint32]Time // restarted servers: until then only viewers' connects are allowed
 }
 
 const (
-	allPerS, allBurst       = 200.0, 100.0 // handshakes a second by one front
-	serverPerS, serverBurst = 2.0, 3.0     // to one server
-	spread                  = 2 * policy.Second
-	serversMost             = 10_000
+	globalPerSecond, globalBurst = 200.0, 100.0 // handshakes a second of this front
+	serverPerSecond, serverBurst = 2.0, 3.0     // connects a second to one server
+	reconnectSpread              = 2 * policy.Second
+	maxServers                   = 10_000
 )
 
-type bucket struct {
-	tokens float64
-	at     Time
+type tokenBucket struct {
+	tokens    float64
+	updatedAt Time
 }
 
-func (b *bucket) fill(now Time, perS, most float64) {
-	if b.at == 0 {
-		b.tokens = most
+func (b *tokenBucket) refill(now Time, perSecond, burst float64) {
+	if b.updatedAt == 0 {
+		b.tokens = burst
 	} else {
-		b.tokens = min(most, b.tokens+perS*float64(now-b.at)/float64(policy.Second))
+		b.tokens = min(burst, b.tokens+perSecond*float64(now-b.updatedAt)/float64(policy.Second))
 	}
-	b.at = now
+	b.updatedAt = now
 }
 
-// Restarted notes that a server's process is new; u (0 to 1) is drawn by each front for itself.
-func (p *Pace) Restarted(server uint32, now Time, u float64) {
-	if p.after == nil {
-		p.after = map[uint32]Time{}
+// Restarted records that a server's process is new. Each front draws its own random value (0 to 1).
+func (p *Pace) Restarted(server uint32, now Time, random float64) {
+	if p.notBefore == nil {
+		p.notBefore = map[uint32]Time{}
 	}
-	if len(p.after) < serversMost {
-		p.after[server] = now + Time(u*float64(spread))
+	if len(p.notBefore) < maxServers {
+		p.notBefore[server] = now + Time(random*float64(reconnectSpread))
 	}
 }
 
-// Allow decides on a connect. One that a viewer waits for always goes, but counts.
-func (p *Pace) Allow(server uint32, now Time, viewer bool) bool {
+// Allow decides on a connect. One that a viewer waits for is always allowed, but it is counted.
+func (p *Pace) Allow(server uint32, now Time, forViewer bool) bool {
 	if p.servers == nil {
-		p.servers = map[uint32]*bucket{}
+		p.servers = map[uint32]*tokenBucket{}
 	}
 	b := p.servers[server]
 	if b == nil {
-		if len(p.servers) >= serversMost {
-			clear(p.servers) // bounded; a moment's pace is forgotten
+		if len(p.servers) >= maxServers {
+			clear(p.servers) // bounds the memory; the buckets of the last moments are lost
 		}
-		b = &bucket{}
+		b = &tokenBucket{}
 		p.servers[server] = b
 	}
-	b.fill(now, serverPerS, serverBurst)
-	p.all.fill(now, allPerS, allBurst)
-	if !viewer && (now < p.after[server] || b.tokens < 1 || p.all.tokens < 1) {
+	b.refill(now, serverPerSecond, serverBurst)
+	p.global.refill(now, globalPerSecond, globalBurst)
+	if !forViewer && (now < p.notBefore[server] || b.tokens < 1 || p.global.tokens < 1) {
 		return false
 	}
-	b.tokens, p.all.tokens = max(b.tokens-1, -serverBurst), max(p.all.tokens-1, -allBurst)
+	b.tokens, p.global.tokens = max(b.tokens-1, -serverBurst), max(p.global.tokens-1, -globalBurst)
 	return true
 }
--- a/decide/paths/paths_test.go
+++ b/decide/paths/paths_test.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	ms   = policy.Millisecond
-	zero = 100 * policy.Second
+	ms    = policy.Millisecond
+	start = 100 * policy.Second
 )
 
-func three() *Set {
+func threePaths() *Set {
 	s := &Set{}
 	s.Update([]Path{{Addr: "1.2.3.4:5", Family: IPv4}, {Addr: "[::1]:5", Family: IPv6}, {Addr: "/run/m", Family: Unix}})
 	return s
@@ -23,153 +23,153 @@
 		do   func(s *Set)
 		want []int
 	}{
-		"nothing known: by family":            {func(s *Set) {}, []int{2, 1, 0}},
-		"one is much slower":                  {func(s *Set) { s.Connected(2, zero, 30*ms) }, []int{1, 0, 2}},
-		"a little slower says nothing":        {func(s *Set) { s.Connected(2, zero, 100_000); s.Connected(1, zero, 50_000) }, []int{2, 1, 0}},
-		"one failed: it rests":                {func(s *Set) { s.Failed(2, zero) }, []int{1, 0}},
-		"two failed":                          {func(s *Set) { s.Failed(2, zero); s.Failed(1, zero) }, []int{0}},
-		"all failed: tried all the same":      {func(s *Set) { s.Failed(2, zero); s.Failed(1, zero); s.Failed(0, zero) }, []int{2, 1, 0}},
-		"rested: behind the good ones":        {func(s *Set) { s.Failed(2, zero-5*policy.Second) }, []int{1, 0, 2}},
-		"proved again, an old failure weighs": {func(s *Set) { s.Failed(2, zero-5*policy.Second); s.Proved(2, zero) }, []int{1, 0, 2}},
-		"long ago: forgotten":                 {func(s *Set) { s.Failed(2, zero-5*policy.Second*100/2); s.Proved(2, zero) }, []int{2, 1, 0}},
+		"nothing known: by family":               {func(s *Set) {}, []int{2, 1, 0}},
+		"one is much slower":                     {func(s *Set) { s.Connected(2, start, 30*ms) }, []int{1, 0, 2}},
+		"a little slower: no difference":         {func(s *Set) { s.Connected(2, start, 100_000); s.Connected(1, start, 50_000) }, []int{2, 1, 0}},
+		"one failed: it is in backoff":           {func(s *Set) { s.Failed(2, start) }, []int{1, 0}},
+		"two failed":                             {func(s *Set) { s.Failed(2, start); s.Failed(1, start) }, []int{0}},
+		"all failed: all are tried":              {func(s *Set) { s.Failed(2, start); s.Failed(1, start); s.Failed(0, start) }, []int{2, 1, 0}},
+		"half-open: after the working ones":      {func(s *Set) { s.Failed(2, start-5*policy.Second) }, []int{1, 0, 2}},
+		"responded again, an old failure counts": {func(s *Set) { s.Failed(2, start-5*policy.Second); s.Proved(2, start) }, []int{1, 0, 2}},
+		"failed long ago: no longer counts":      {func(s *Set) { s.Failed(2, start-5*policy.Second*100/2); s.Proved(2, start) }, []int{2, 1, 0}},
 	} {
-		s := three()
+		s := threePaths()
 		c.do(s)
-		if got := s.Order(zero); !reflect.DeepEqual(got, c.want) {
+		if got := s.Order(start); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-func TestTheServerIsGoneOnlyWhenAllPathsAreDark(t *testing.T) {
-	s := three()
+func TestServerIsUnreachableOnlyWhenAllPathsFailed(t *testing.T) {
+	s := threePaths()
 	for i := range s.Paths {
-		if s.Dark(zero) {
-			t.Fatal("dark with a path untried")
+		if s.Dark(start) {
+			t.Fatal("unreachable although a path was not tried")
 		}
-		s.Failed(i, zero)
+		s.Failed(i, start)
 	}
-	if !s.Dark(zero) || s.Dark(zero+2*policy.Second) {
-		t.Fatal("dark", s.Dark(zero), s.Dark(zero+2*policy.Second))
+	if !s.Dark(start) || s.Dark(start+2*policy.Second) {
+		t.Fatal("unreachable after all failed, and 2 s later:", s.Dark(start), s.Dark(start+2*policy.Second))
 	}
 }
 
-func TestRestsGrowAndAreEndedByAnAnswerNotByAConnect(t *testing.T) {
-	s := three()
-	now := Time(zero)
+func TestBackoffGrowsAndEndsOnResponseOnly(t *testing.T) {
+	s := threePaths()
+	now := Time(start)
 	for _, want := range []Time{1, 2, 4, 8, 16, 30, 30} {
 		s.Failed(0, now)
-		if got := s.Paths[0].restUntil - now; got != want*policy.Second {
-			t.Fatalf("rests %v, want %d s", got, want)
+		if got := s.Paths[0].backoffUntil - now; got != want*policy.Second {
+			t.Fatalf("backoff %v, want %d s", got, want)
 		}
 		if _, ok := s.Recheck(now); ok {
-			t.Fatal("rechecked while it rests")
+			t.Fatal("recheck due during the backoff")
 		}
-		now = s.Paths[0].restUntil
+		now = s.Paths[0].backoffUntil
 		if i, ok := s.Recheck(now); !ok || i != 0 {
-			t.Fatal("never rechecked")
+			t.Fatal("no recheck due after the backoff")
 		}
-		s.Connected(0, now, ms) // it accepts, which proves nothing
+		s.Connected(0, now, ms) // accepting a connection proves nothing
 		if _, ok := s.Recheck(now); !ok {
-			t.Fatal("a connect alone ended it")
+			t.Fatal("a connect alone ended the failed state")
 		}
 	}
 	s.Proved(0, now)
 	if _, ok := s.Recheck(now); ok || s.Paths[0].Resting(now) {
-		t.Fatal("an answer did not end it")
+		t.Fatal("a response did not end the failed state")
 	}
 }
 
-func TestHowAConnectionEnded(t *testing.T) {
+func TestClosedConnectionStartsBackoff(t *testing.T) {
 	for name, c := range map[string]struct {
-		stood    Time
-		answered bool
-		bad      bool
+		lifetime  Time
+		responded bool
+		backsOff  bool
 	}{
-		"accepted and reset":      {10 * ms, false, true},
-		"answered once and reset": {10 * ms, true, true},
-		"silent for long":         {10 * policy.Second, false, true},
-		"useful and long":         {10 * policy.Second, true, false},
+		"accepted and reset":               {10 * ms, false, true},
+		"responded once and reset":         {10 * ms, true, true},
+		"open for long without a response": {10 * policy.Second, false, true},
+		"open for long with responses":     {10 * policy.Second, true, false},
 	} {
-		s := three()
-		s.Broke(1, zero, zero-c.stood, c.answered)
-		if s.Paths[1].Resting(zero) != c.bad {
-			t.Errorf("%s: rests %v", name, !c.bad)
+		s := threePaths()
+		s.Broke(1, start, start-c.lifetime, c.responded)
+		if s.Paths[1].Resting(start) != c.backsOff {
+			t.Errorf("%s: in backoff: %v", name, !c.backsOff)
 		}
 	}
 }
 
-func TestDelaysLeaveTimeForAllPaths(t *testing.T) {
-	s := three()
-	if d := s.Delay(0, 250*ms, 2); d != delayLeast {
-		t.Error("nothing known:", d)
+func TestDelayLeavesTimeForRemainingPaths(t *testing.T) {
+	s := threePaths()
+	if d := s.Delay(0, 250*ms, 2); d != minDelay {
+		t.Error("delay without a known connect time:", d)
 	}
-	s.Connected(0, zero, 15*ms)
+	s.Connected(0, start, 15*ms)
 	if d := s.Delay(0, 250*ms, 2); d < 50*ms || d > 80*ms {
-		t.Error("usually 15 ms:", d)
+		t.Error("delay with a usual connect time of 15 ms:", d)
 	}
 	if d := s.Delay(0, 30*ms, 2); d > 10*ms {
-		t.Error("30 ms left for three:", d)
+		t.Error("delay with 30 ms left for three paths:", d)
 	}
 	if !Worth(100*ms, policy.Second) || Worth(400*ms, policy.Second) {
-		t.Error("the next holder's time")
+		t.Error("FallbackFits is wrong")
 	}
 }
 
-func TestUpdatesKeepTheRecordAndDropDoubles(t *testing.T) {
-	s := three()
-	s.Failed(1, zero)
+func TestUpdateKeepsRecordsAndDropsDuplicates(t *testing.T) {
+	s := threePaths()
+	s.Failed(1, start)
 	if !s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "[::1]:5", Family: IPv6}, {Addr: "9.9.9.9:1", Family: IPv4}}) {
-		t.Error("no change told")
+		t.Error("a change was not reported")
 	}
-	if len(s.Paths) != 2 || !s.Paths[0].Resting(zero) || s.Paths[1].Resting(zero) {
+	if len(s.Paths) != 2 || !s.Paths[0].Resting(start) || s.Paths[1].Resting(start) {
 		t.Fatalf("%+v", s.Paths)
 	}
 	if s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "9.9.9.9:1", Family: IPv4}}) {
-		t.Error("a change told for none")
+		t.Error("a change was reported where there is none")
 	}
 }
 
-// TestFiftyFrontsAndARestartedServer counts the connects that a server sees from the pools of fifty fronts within the
-// first second after its restart, paced and not.
-func TestFiftyFrontsAndARestartedServer(t *testing.T) {
+// TestPacesConnectsToRestartedServer counts the connects that a server gets from the pools of fifty fronts within the
+// first second after its restart.
+func TestPacesConnectsToRestartedServer(t *testing.T) {
 	seen := 0
 	for front := range 50 {
 		var p Pace
-		p.Restarted(7, zero, float64(front)/50)
+		p.Restarted(7, start, float64(front)/50)
 		connected := false
-		for now := Time(zero); now < zero+policy.Second; now += 50 * ms {
+		for now := Time(start); now < start+policy.Second; now += 50 * ms {
 			if !connected && p.Allow(7, now, false) {
 				connected = true
 				seen++
 			}
 		}
 	}
-	if seen > 27 || seen < 20 { // without the pacing all fifty come in the first tick
+	if seen > 27 || seen < 20 { // without pacing all fifty connect in the first tick
 		t.Error(seen, "connects in the first second")
 	}
 	var p Pace
 	allowed := 0
 	for range 100 {
-		if p.Allow(7, zero, false) {
+		if p.Allow(7, start, false) {
 			allowed++
 		}
 	}
-	if allowed != serverBurst || !p.Allow(7, zero, true) {
-		t.Error(allowed, "at once to one server; a viewer's must go")
+	if allowed != serverBurst || !p.Allow(7, start, true) {
+		t.Error(allowed, "connects allowed at once to one server, or a viewer's connect was refused")
 	}
 	allowed = 0
 	for server := range uint32(500) {
-		if p.Allow(server+100, zero, false) {
+		if p.Allow(server+100, start, false) {
 			allowed++
 		}
 	}
-	if allowed > allBurst {
-		t.Error(allowed, "at once in all")
+	if allowed > globalBurst {
+		t.Error(allowed, "connects allowed at once in total")
 	}
 }
 
-func TestAddresses(t *testing.T) {
+func TestParse(t *testing.T) {
 	for in, want := range map[string]Path{
 		"10.0.0.1:554":          {Addr: "10.0.0.1:554", Family: IPv4},
 		"[::ffff:10.0.0.1]:554": {Addr: "10.0.0.1:554", Family: IPv4},
@@ -183,7 +183,7 @@
 	}
 	for _, in := range []string{"", "10.0.0.1", "10.0.0.1:", ":554", "10.0.0.1:0", "a:b:c", "http://x:1", "[::1:5", "/" + string(make([]byte, 200))} {
 		if got, err := Parse(in); err == nil {
-			t.Errorf("%q taken as %+v", in, got)
+			t.Errorf("%q parsed as %+v, want an error", in, got)
 		}
 	}
 }
