--- a/decide/recovery/recovery.go
+++ b/decide/recovery/recovery.go
@@ -1,144 +1,146 @@
-// Package recovery decides what a restarted front believes of the state that it kept, and what it does about each
+// Package recovery decides which parts of its stored state a restarted front uses, and what it does about each
 // session and server in it. It is pure; time is passed in.
 //
-// The state tells what was so when it was written, not what is so now. Three things can be wrong with it: it is old, its
-// clock is not this one, or the last words were lost with the crash. So nothing in it lets a front do more than one that
-// starts with nothing may do; it only lets it do less (count a seat, treat a server as cold) or ask (does this stream
-// still play?).
+// The state describes the time when it was written, not the present. Three things can be wrong with it: it is old, it
+// was written by another clock, or the last records were lost in the crash. So stored state never lets a front do
+// more than one that starts without any; it only lets it do less (count a seat, treat a server as cold) or query a
+// server (does this stream still play?).
 package recovery
 
 import "tealledge/policy"
 
-// Time is a clock reading or span in nanoseconds.
+// Time is a point of time or a duration in nanoseconds.
 type Time = policy.Time
 
-// Limits of what is believed.
+// Limits on the use of stored state.
 const (
-	// StreamLasts is how long a server may go on with a stream, or a set-up that was never answered, of a front that is
-	// gone: RFC 7826 section 18.49 has sessions end after 60 s without a sign of life.
-	StreamLasts = 60 * policy.Second
-	// ListLasts is how long a kept server list is better than none.
-	ListLasts = 24 * 3600 * policy.Second
-	// breakerLasts bounds the pause of a breaker: no outage pauses set-ups longer than that (policy's backoffMax).
-	breakerLasts = 8 * policy.Second
-	// TallyHalf is the half-life of what was counted of a server's failures; under tallyLeast it is forgotten.
-	TallyHalf  = 5 * policy.Second
-	tallyLeast = 0.05
-	// backMost is how far the clock may seem to have stepped back between two starts.
-	backMost = 2 * policy.Second
+	// StreamTTL is how long a server may continue a stream, or an unanswered set-up, of a front that has stopped: by
+	// RFC 7826 section 18.49 sessions end after 60 s without a keep-alive.
+	StreamTTL = 60 * policy.Second
+	// ListTTL is how long a stored server list is better than none.
+	ListTTL = 24 * 3600 * policy.Second
+	// maxBreakerPause bounds the pause of a restored circuit breaker: no outage pauses set-ups for longer (policy's
+	// backoffMax).
+	maxBreakerPause = 8 * policy.Second
+	// FailureHalfLife is the half-life of the weight of a server's failures; below minFailureWeight it becomes 0.
+	FailureHalfLife  = 5 * policy.Second
+	minFailureWeight = 0.05
+	// maxClockStepBack is how far the clock may appear to have stepped back between two starts.
+	maxClockStepBack = 2 * policy.Second
 )
 
-// Stage is how far a session had come.
+// Stage is how far a session had got.
 type Stage uint8
 
-// Stages. Out is written before a paid SETUP is; safe ones are written once they play.
+// Stages. InFlight is stored before a paid SETUP is sent; safe set-ups are stored once they play.
 const (
 	Out   Stage = iota // a paid set-up may have been sent
-	Plays              // its player was told that it plays
+	Plays              // its player was sent the reply that it plays
 )
 
-// Session is what was kept of one.
+// Session is the stored record of a session.
 type Session struct {
 	Ask     policy.Ask
-	Name    string // of the title at its server; "": by its number
+	Name    string // of the title at its server; "": named by its number
 	Server  uint32
 	Attempt int
 	Rung    int
 	Stage   Stage
-	Token   uint64 // that its player may resume it by
-	Stream  string // RTSP session id; "" before the server answered
-	At      Time   // written
+	Token   uint64 // by which its player may resume it
+	Stream  string // RTSP session ID; "" before the server responded
+	At      Time   // when this was written
 }
 
-// Fate is what a restarted front does about a session.
-type Fate uint8
+// Action is what a restarted front does about a session.
+type Action uint8
 
-// Fates.
+// Actions.
 const (
-	// Forget: nothing of it can be left anywhere.
-	Forget Fate = iota
-	// Adopt: ask its server whether the stream plays; hold it for its player meanwhile.
+	// Forget: no server can still hold anything of it.
+	Forget Action = iota
+	// Restore: query its server whether the stream plays, and hold it for its player meanwhile.
 	Adopt
-	// TearDown: nobody will come for it, but its server may play it.
+	// TearDown: no player will resume it, but its server may still play it.
 	TearDown
-	// Haunt: a paid set-up that may have run and can't be asked about. It is never sent again; its seat counts until no
-	// server can still hold it.
+	// CountSeat: a paid set-up that may have run and can't be queried. It is never sent again; its seat is counted
+	// until no server can still hold it.
 	Haunt
 )
 
-// Judge decides on a session. alive is the last time that the front is known to have run, resume how long players may
-// be gone. until is when an adopted session that nobody resumed, or a haunting one, is given up.
-func Judge(now, alive, resume Time, s Session) (f Fate, until Time) {
-	if s.At > now+backMost || alive > now+backMost {
-		// The clock is another one: how old this is can't be told. A stream with a name can be torn down whatever its
-		// age; a seat without one is counted for as long as it may last from now.
+// DecideSession decides on a session. lastAliveAt is the last time that the front is known to have run, resumeWindow
+// how long a player may be away. until is when a restored session that no player resumed, or a counted seat, is
+// dropped.
+func Judge(now, lastAliveAt, resumeWindow Time, s Session) (action Action, until Time) {
+	if s.At > now+maxClockStepBack || lastAliveAt > now+maxClockStepBack {
+		// The clock has changed, so the age of the record is unknown. A stream with a known ID can be torn down at
+		// any age; a seat without one is counted for as long as it may last from now.
 		if s.Stream != "" {
 			return TearDown, 0
 		}
-		return Haunt, now + StreamLasts
+		return Haunt, now + StreamTTL
 	}
-	gone := max(now-max(alive, s.At), 0)
+	downtime := max(now-max(lastAliveAt, s.At), 0)
 	switch {
-	case gone >= StreamLasts:
+	case downtime >= StreamTTL:
 		return Forget, 0
 	case s.Stage == Out && s.Stream == "":
-		return Haunt, max(s.At, alive) + StreamLasts
+		return Haunt, max(s.At, lastAliveAt) + StreamTTL
 	case s.Stage == Out:
-		return TearDown, 0 // accepted, but its player never heard: it was owed an answer, and asks again
+		return TearDown, 0 // accepted, but its player was never sent the reply and will request again
 	case s.Stream == "":
-		return Haunt, max(s.At, alive) + StreamLasts
-	case resume <= 0 || gone >= resume:
+		return Haunt, max(s.At, lastAliveAt) + StreamTTL
+	case resumeWindow <= 0 || downtime >= resumeWindow:
 		return TearDown, 0
 	}
-	return Adopt, max(alive, s.At) + resume
+	return Adopt, max(lastAliveAt, s.At) + resumeWindow
 }
 
-// Server is what was kept of a server.
+// Server is the stored record of a server.
 type Server struct {
 	ID        uint32
-	Started   Time    // of its process, as listed; 0: long ago
-	Cold      Time    // it may be cold until then
-	OpenUntil Time    // the breaker's pause
+	Started   Time    // start of its process, as listed; 0: long ago
+	Cold      Time    // the server may be cold until then
+	OpenUntil Time    // end of the circuit breaker's pause
 	Failures  float64 // weight of its failures when this was written
 	At        Time
 }
 
-// Belief is what a restarted front starts with about a server.
-type Belief struct {
-	Started   Time    // to be told to the module, which paces what started lately
-	OpenUntil Time    // no set-ups before
-	Failures  float64 // aged
+// ServerState is the initial state of a server in a restarted front.
+type ServerState struct {
+	Started   Time    // passed to the module, which paces servers that started recently
+	OpenUntil Time    // no set-ups before then
+	Failures  float64 // decayed to the present
 }
 
-// Recall decides what is believed of a server. listed is the start of its process by the list as it is now, 0 if the list
-// does not tell. A front that was gone knows not whether the server restarted meanwhile, so without the list's word it
-// is treated as perhaps cold: as started when the front was last alive.
-func Recall(now, alive, coldSpan Time, s Server, listed Time) (b Belief) {
+// RestoreServer decides on the initial state of a server. listedStart is the start of its process by the current
+// list, 0 if the list does not give it. A front that was down does not know whether the server restarted meanwhile,
+// so without a listed start the server is treated as possibly cold: as started when the front was last alive.
+func RestoreServer(now, lastAliveAt, coldWindow Time, s Server, listedStart Time) (state ServerState) {
 	switch {
-	case listed > 0 && listed != s.Started: // another process: nothing of the old one holds
-		return Belief{Started: listed}
-	case s.At > now+backMost:
-		return Belief{Started: now}
+	case listedStart > 0 && listedStart != s.Started: // another process: the record of the old one does not apply
+		return ServerState{Started: listedStart}
+	case s.At > now+maxClockStepBack:
+		return ServerState{Started: now}
 	}
-	b.Started = max(s.Started, listed)
-	if listed == 0 && now-alive >= coldSpan/2 {
-		b.Started = max(b.Started, min(alive, now))
+	state.Started = max(s.Started, listedStart)
+	if listedStart == 0 && now-lastAliveAt >= coldWindow/2 {
+		state.Started = max(state.Started, min(lastAliveAt, now))
 	}
-	if s.Cold > now { // it was pushed or failed: as cold as one that started a span before
-		b.Started = max(b.Started, min(s.Cold, now+coldSpan)-coldSpan)
+	if s.Cold > now { // it was overloaded or failed: as cold as one started coldWindow before s.Cold
+		state.Started = max(state.Started, min(s.Cold, now+coldWindow)-coldWindow)
 	}
 	if s.OpenUntil > now {
-		b.OpenUntil = min(s.OpenUntil, now+breakerLasts)
+		state.OpenUntil = min(s.OpenUntil, now+maxBreakerPause)
 	}
-	if b.Failures = Aged(s.Failures, now-s.At); b.Failures < tallyLeast {
-		b.Failures = 0
+	if state.Failures = Decayed(s.Failures, now-s.At); state.Failures < minFailureWeight {
+		state.Failures = 0
 	}
-	return b
+	return state
 }
 
-// Aged gives what a count is worth after a while: half after each TallyHalf.
-func Aged(weight float64, age Time) float64 {
-	for ; age >= TallyHalf && weight > 0; age -= TallyHalf {
+// Decayed returns a weight after the given age: half after each FailureHalfLife.
+func Decayed(weight float64, age Time) float64 {
+	for ; age >= FailureHalfLife && weight > 0; age -= FailureHalfLife {
 		weight /= 2
 		if weight < 1e-9 {
 			return 0
@@ -147,45 +149,49 @@
 	return weight
 }
 
-// List decides whether a kept list may stand in until one is had.
-func List(now, kept Time) bool { return kept <= now+backMost && now-kept < ListLasts }
+// ListUsable reports whether a stored list may be used until a current one is received.
+func ListUsable(now, storedAt Time) bool {
+	return storedAt <= now+maxClockStepBack && now-storedAt < ListTTL
+}
 
-// Health is what the front makes of its own store.
+// StoreHealth is the state of the front's own store, as seen by its writes.
 type Health struct {
-	failed Time
-	told   bool
-	slow   int
+	failedAt   Time
+	reported   bool
+	slowWrites int
 }
 
 const (
-	// WriteWait is how long a paid set-up waits for its record. Danger of waiting on: a disk that hangs would hold set-ups
-	// past their players' deadlines. Harm of going on: after a crash its seat is not counted.
-	WriteWait = 100 * policy.Millisecond
-	slowTrips = 3                  // writes in a row that took longer
-	tryAgain  = 30 * policy.Second // a store that failed is tried again
+	// WriteTimeout is how long a paid set-up waits for its record to be written. With a longer wait, a disk that
+	// hangs would hold set-ups past their players' deadlines. The cost of going on without the record: after a crash
+	// its seat is not counted.
+	WriteWait     = 100 * policy.Millisecond
+	maxSlowWrites = 3                  // consecutive writes that reached WriteTimeout
+	retryInterval = 30 * policy.Second // after which a failed store is tried again
 )
 
-// Wrote books how a write went. say tells that the operators are to be told, once for each spell.
-func (h *Health) Wrote(now, took Time, err error) (say bool) {
+// RecordWrite records the result of a write. report is set if the failure is to be reported to the operators, once
+// for each period of failure.
+func (h *Health) Wrote(now, took Time, err error) (report bool) {
 	switch {
 	case err != nil:
-		h.failed = now
+		h.failedAt = now
 	case took >= WriteWait:
-		if h.slow++; h.slow >= slowTrips {
-			h.failed = now
+		if h.slowWrites++; h.slowWrites >= maxSlowWrites {
+			h.failedAt = now
 		}
 	default:
-		h.slow = 0
-		if h.failed != 0 && now-h.failed >= tryAgain {
-			h.failed, h.told = 0, false
+		h.slowWrites = 0
+		if h.failedAt != 0 && now-h.failedAt >= retryInterval {
+			h.failedAt, h.reported = 0, false
 		}
 	}
-	if h.failed != 0 && !h.told {
-		h.told = true
+	if h.failedAt != 0 && !h.reported {
+		h.reported = true
 		return true
 	}
 	return false
 }
 
-// Waits tells whether a paid set-up waits for its record: not for a store that fails or hangs.
-func (h *Health) Waits(now Time) bool { return h.failed == 0 || now-h.failed >= tryAgain }
+// ShouldWait reports whether a paid set-up waits for its record: not if the store fails or hangs.
+func (h *Health) Waits(now Time) bool { return h.failedAt == 0 || now-h.failedAt >= retryInterval }
--- a/decide/recovery/recovery_test.go
+++ b/decide/recovery/recovery_test.go
@@ -8,106 +8,108 @@
 )
 
 const (
-	now    = 1000 * policy.Second
-	resume = 10 * policy.Second
-	span   = 10 * policy.Second
+	now          = 1000 * policy.Second
+	resumeWindow = 10 * policy.Second
+	coldWindow   = 10 * policy.Second
 )
 
-func TestWhatIsDoneAboutASession(t *testing.T) {
+func TestDecideSession(t *testing.T) {
 	ago := func(s Time) Time { return now - s*policy.Second }
 	for name, c := range map[string]struct {
-		s     Session
-		alive Time
-		want  Fate
-		until Time
+		s           Session
+		lastAliveAt Time
+		want        Action
+		until       Time
 	}{
-		"it played a moment ago":                       {Session{Stage: Plays, Stream: "x", At: ago(30)}, ago(2), Adopt, ago(2) + resume},
-		"it played, and players may be gone no longer": {Session{Stage: Plays, Stream: "x", At: ago(30)}, ago(10), TearDown, 0},
-		"it played so long ago that nothing plays":     {Session{Stage: Plays, Stream: "x", At: ago(90)}, ago(60), Forget, 0},
-		"written after the last sign of life":          {Session{Stage: Plays, Stream: "x", At: ago(1)}, ago(20), Adopt, ago(1) + resume},
-		"a paid set-up was out":                        {Session{Stage: Out, At: ago(3)}, ago(2), Haunt, ago(2) + StreamLasts},
-		"a paid set-up was out, long ago":              {Session{Stage: Out, At: ago(70)}, ago(61), Forget, 0},
-		"accepted, and its player never heard":         {Session{Stage: Out, Stream: "x", At: ago(3)}, ago(2), TearDown, 0},
-		"the clock stepped back, stream known":         {Session{Stage: Plays, Stream: "x", At: ago(-300)}, ago(-300), TearDown, 0},
-		"the clock stepped back, stream not known":     {Session{Stage: Out, At: ago(-300)}, ago(-300), Haunt, now + StreamLasts},
-		"the clock stepped back a little":              {Session{Stage: Plays, Stream: "x", At: ago(-1)}, ago(-1), Adopt, ago(-1) + resume},
+		"playing a moment ago":                          {Session{Stage: Plays, Stream: "x", At: ago(30)}, ago(2), Adopt, ago(2) + resumeWindow},
+		"playing, resume window over":                   {Session{Stage: Plays, Stream: "x", At: ago(30)}, ago(10), TearDown, 0},
+		"playing so long ago that the stream has ended": {Session{Stage: Plays, Stream: "x", At: ago(90)}, ago(60), Forget, 0},
+		"written after the front was last alive":        {Session{Stage: Plays, Stream: "x", At: ago(1)}, ago(20), Adopt, ago(1) + resumeWindow},
+		"a paid set-up in flight":                       {Session{Stage: Out, At: ago(3)}, ago(2), Haunt, ago(2) + StreamTTL},
+		"a paid set-up in flight, long ago":             {Session{Stage: Out, At: ago(70)}, ago(61), Forget, 0},
+		"accepted, but its player got no reply":         {Session{Stage: Out, Stream: "x", At: ago(3)}, ago(2), TearDown, 0},
+		"the clock stepped back, stream known":          {Session{Stage: Plays, Stream: "x", At: ago(-300)}, ago(-300), TearDown, 0},
+		"the clock stepped back, stream unknown":        {Session{Stage: Out, At: ago(-300)}, ago(-300), Haunt, now + StreamTTL},
+		"the clock stepped back a little":               {Session{Stage: Plays, Stream: "x", At: ago(-1)}, ago(-1), Adopt, ago(-1) + resumeWindow},
 	} {
-		if f, until := Judge(now, c.alive, resume, c.s); f != c.want || until != c.until {
-			t.Errorf("%s: %v until %v", name, f, until)
+		if action, until := Judge(now, c.lastAliveAt, resumeWindow, c.s); action != c.want || until != c.until {
+			t.Errorf("%s: action %v until %v", name, action, until)
 		}
 	}
-	if f, _ := Judge(now, ago(1), 0, Session{Stage: Plays, Stream: "x", At: ago(2)}); f != TearDown {
-		t.Error("players may not resume, and a session is held for one")
+	if action, _ := Judge(now, ago(1), 0, Session{Stage: Plays, Stream: "x", At: ago(2)}); action != TearDown {
+		t.Error("a session is held although players may not resume")
 	}
 }
 
-// TestNoPaidSetUpIsEverForgottenWhileItMayRun: whatever the times, one that may still run is counted or torn down.
-func TestNoPaidSetUpIsEverForgottenWhileItMayRun(t *testing.T) {
-	for at := Time(-100); at <= 100; at += 7 {
-		for alive := Time(-100); alive <= 100; alive += 7 {
-			s := Session{Stage: Out, At: now + at*policy.Second}
-			f, until := Judge(now, now+alive*policy.Second, resume, s)
-			mayRun := now-s.At < StreamLasts
-			if mayRun && (f != Haunt || until < s.At+StreamLasts && s.At <= now) {
-				t.Fatalf("at %d alive %d: %v until %d", at, alive, f, until-now)
+// TestPaidSetupIsNotForgottenWhileItMayRun: whatever the times, a paid set-up that may still run has its seat
+// counted or is torn down.
+func TestPaidSetupIsNotForgottenWhileItMayRun(t *testing.T) {
+	for writtenAt := Time(-100); writtenAt <= 100; writtenAt += 7 {
+		for lastAliveAt := Time(-100); lastAliveAt <= 100; lastAliveAt += 7 {
+			s := Session{Stage: Out, At: now + writtenAt*policy.Second}
+			action, until := Judge(now, now+lastAliveAt*policy.Second, resumeWindow, s)
+			mayRun := now-s.At < StreamTTL
+			if mayRun && (action != Haunt || until < s.At+StreamTTL && s.At <= now) {
+				t.Fatalf("written at %d, last alive at %d: action %v until %d", writtenAt, lastAliveAt, action, until-now)
 			}
 		}
 	}
 }
 
-func TestWhatIsBelievedOfAServer(t *testing.T) {
-	kept := Server{ID: 1, Started: now - 500*policy.Second, OpenUntil: now + 3*policy.Second, Failures: 4, At: now - 5*policy.Second}
+func TestRestoreServer(t *testing.T) {
+	stored := Server{ID: 1, Started: now - 500*policy.Second, OpenUntil: now + 3*policy.Second, Failures: 4, At: now - 5*policy.Second}
 	for name, c := range map[string]struct {
-		change func(s *Server)
-		alive  Time
-		listed Time
-		want   Belief
+		change      func(s *Server)
+		lastAliveAt Time
+		listedStart Time
+		want        ServerState
 	}{
-		"the same process, listed":                {nil, now - policy.Second, kept.Started, Belief{kept.Started, now + 3*policy.Second, 2}},
-		"another process":                         {nil, now - policy.Second, now - 9, Belief{Started: now - 9}},
-		"the list does not tell, a short absence": {nil, now - policy.Second, 0, Belief{kept.Started, now + 3*policy.Second, 2}},
-		"the list does not tell, a long absence":  {nil, now - 20*policy.Second, 0, Belief{now - 20*policy.Second, now + 3*policy.Second, 2}},
-		"it was cold":                             {func(s *Server) { s.Cold = now + 4*policy.Second }, now, kept.Started, Belief{now - 6*policy.Second, now + 3*policy.Second, 2}},
-		"a breaker open for an hour is not believed": {func(s *Server) { s.OpenUntil = now + 3600*policy.Second }, now, kept.Started,
-			Belief{kept.Started, now + breakerLasts, 2}},
-		"failures of long ago":  {func(s *Server) { s.At = now - 100*policy.Second }, now, kept.Started, Belief{kept.Started, now + 3*policy.Second, 0}},
-		"written in the future": {func(s *Server) { s.At = now + 60*policy.Second }, now, 0, Belief{Started: now}},
+		"the same process, listed":          {nil, now - policy.Second, stored.Started, ServerState{stored.Started, now + 3*policy.Second, 2}},
+		"another process":                   {nil, now - policy.Second, now - 9, ServerState{Started: now - 9}},
+		"no start listed, a short downtime": {nil, now - policy.Second, 0, ServerState{stored.Started, now + 3*policy.Second, 2}},
+		"no start listed, a long downtime":  {nil, now - 20*policy.Second, 0, ServerState{now - 20*policy.Second, now + 3*policy.Second, 2}},
+		"it was cold":                       {func(s *Server) { s.Cold = now + 4*policy.Second }, now, stored.Started, ServerState{now - 6*policy.Second, now + 3*policy.Second, 2}},
+		"a breaker pause of an hour is shortened": {func(s *Server) { s.OpenUntil = now + 3600*policy.Second }, now, stored.Started,
+			ServerState{stored.Started, now + maxBreakerPause, 2}},
+		"failures of long ago":  {func(s *Server) { s.At = now - 100*policy.Second }, now, stored.Started, ServerState{stored.Started, now + 3*policy.Second, 0}},
+		"written in the future": {func(s *Server) { s.At = now + 60*policy.Second }, now, 0, ServerState{Started: now}},
 	} {
-		s := kept
+		s := stored
 		if c.change != nil {
 			c.change(&s)
 		}
-		if got := Recall(now, c.alive, span, s, c.listed); got != c.want {
-			t.Errorf("%s: %+v, not %+v", name, got, c.want)
+		if got := RestoreServer(now, c.lastAliveAt, coldWindow, s, c.listedStart); got != c.want {
+			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
 	}
 }
 
-func TestAListThatIsOldOrFromTheFutureIsNotBelieved(t *testing.T) {
-	day := ListLasts
-	if !List(now+day, now+1) || List(now+day, now) || List(now, now+3*policy.Second) {
-		t.Error("limits of a kept list")
+func TestListTooOldOrFromFutureIsNotUsable(t *testing.T) {
+	day := ListTTL
+	if !ListUsable(now+day, now+1) || ListUsable(now+day, now) || ListUsable(now, now+3*policy.Second) {
+		t.Error("ListUsable is wrong at its limits")
 	}
 }
 
-// TestAStoreThatFailsHoldsNobodyUp, is told of once a spell, and is tried again.
-func TestAStoreThatFailsHoldsNobodyUp(t *testing.T) {
+// TestFailingStoreDoesNotDelaySetups: a failing store is reported once for each period of failure, and is tried
+// again.
+func TestFailingStoreDoesNotDelaySetups(t *testing.T) {
 	var h Health
 	if !h.Waits(now) || h.Wrote(now, 1, nil) {
-		t.Fatal("a store that works")
+		t.Fatal("a working store is not waited for, or reported as failed")
 	}
 	if !h.Wrote(now, 1, errors.New("disk full")) || h.Wrote(now, 1, errors.New("disk full")) || h.Waits(now+1) {
-		t.Error("told once, and not waited for")
+		t.Error("a failing store is not reported exactly once, or is waited for")
 	}
-	if later := now + tryAgain; !h.Waits(later) || h.Wrote(later, 1, nil) || !h.Waits(later+1) {
-		t.Error("not tried again")
+	if later := now + retryInterval; !h.Waits(later) || h.Wrote(later, 1, nil) || !h.Waits(later+1) {
+		t.Error("a failed store is not tried again")
 	}
-	for i := range slowTrips {
-		if say := h.Wrote(now, WriteWait, nil); say != (i == slowTrips-1) {
-			t.Error("slow writes", i, say)
+	for i := range maxSlowWrites {
+		if report := h.Wrote(now, WriteWait, nil); report != (i == maxSlowWrites-1) {
+			t.Error("reported after slow write", i, report)
 		}
 	}
 	if h.Waits(now + 1) {
-		t.Error("a slow store holds set-ups up")
+		t.Error("a slow store delays set-ups")
 	}
 }
