--- a/decide/work/work.go
+++ b/decide/work/work.go
@@ -1,9 +1,10 @@
-// Package work decides which background work runs next and how much of it: compaction, snapshots, looks at the catalogue,
-// re-verification of streams, connections kept warm. It is pure; time and what the request path needs are passed in.
+// Package work decides which background work runs next and how much of it: compaction, snapshots, checks of the
+// catalogue, re-verification of streams, connections kept warm. It is pure; time and the load of the request path are
+// passed in.
 //
-// Danger: work that nobody waits for takes the disk and the processor from set-ups that somebody does. So nothing runs
-// while requests are late, each task has a budget in time and bytes, and a step is short. Harm: under a load that never
-// eases work is put off, so what has a deadline runs then in spite of it, at a tenth of the pace.
+// Background work must not take the disk and the processor from set-ups that players wait for. So nothing runs while
+// requests are late, each task has a budget in time and bytes, and a step is short. The cost: under permanent load
+// work is postponed. Tasks with a deadline run then all the same, at a tenth of the pace.
 package work
 
 import (
@@ -13,56 +14,56 @@
 	"tealledge/policy"
 )
 
-// Time is a clock reading or span in nanoseconds.
+// Time is a point of time or a duration in nanoseconds.
 type Time = policy.Time
 
-// Task is work that comes again and again, or once.
+// Task is recurring or one-time work.
 type Task struct {
-	Name     string
-	Every    Time    // from the end of one run to the start of the next; 0: once
-	Deadline Time    // a run that is due is late after; 0: it can wait for ever
-	Priority int     // the higher runs first; among equals the one that had least
-	Share    float64 // of the time that background work may take; 0: all of it
-	Bytes    float64 // a second that it may read and write; 0: no bound
+	Name           string
+	Every          Time    // from the end of one run to the start of the next; 0: once
+	Deadline       Time    // time after which a due run is late; 0: it can wait for ever
+	Priority       int     // the higher runs first; among equals the one that has used the least time
+	Share          float64 // of the time for background work; 0: all of it
+	BytesPerSecond float64 // that it may read and write; 0: no limit
 
-	due   Time
-	had   Time // time it took lately, halved now and then
-	owed  Time // by its share: it may not run before
-	stage bool // a run is under way
+	dueAt      Time
+	recentTime Time // time used recently; halved every usageHalfLife
+	notBefore  Time // by its share and bytes it may not run before
+	running    bool // a run is under way
 }
 
-// Pressure is how the request path fares.
+// Pressure is the load of the request path.
 type Pressure struct {
 	Backlog int  // events that wait for the owner
-	Wait    Time // that the last one waited
+	Wait    Time // of the last event
 }
 
-// Limits of the whole.
+// Limits of all background work.
 const (
-	MostTasks = 64
-	stepTime  = 2 * policy.Millisecond // a step should last no longer
-	lateWait  = 3 * policy.Millisecond // a wait over this says that requests come first
-	backlog   = 32                     // and so do so many events that wait
-	ease      = 20 * policy.Millisecond
-	part      = 0.2 // of one processor that background work may take in all
-	lateSlow  = 10  // a task past its deadline under pressure runs so much slower
-	forget    = 10 * policy.Second
+	MaxTasks        = 64
+	maxStepTime     = 2 * policy.Millisecond // longest planned step
+	pressureWait    = 3 * policy.Millisecond // a longer wait of an event postpones background work
+	pressureBacklog = 32                     // and so do more waiting events
+	calmDelay       = 20 * policy.Millisecond
+	backgroundShare = 0.2 // of one processor for all background work
+	lateSlowdown    = 10  // a late task under pressure runs slower by this factor
+	usageHalfLife   = 10 * policy.Second
 )
 
-// Plan holds tasks. The zero value has none.
+// Plan schedules tasks. The zero value has none.
 type Plan struct {
-	tasks   []*Task
-	next    Time // nothing runs before
-	forgot  Time
-	blocked Time // the request path was pressed last
+	tasks     []*Task
+	notBefore Time // no task runs before
+	halvedAt  Time
+	pressedAt Time // when the request path was last under pressure
 }
 
-// Add adds a task; its first run is due at once. It gives false if there are too many, or one of the name.
+// Add adds a task; its first run is due at once. It returns false if there are too many tasks, or one of that name.
 func (p *Plan) Add(now Time, t Task) bool {
-	if len(p.tasks) >= MostTasks || slices.ContainsFunc(p.tasks, func(o *Task) bool { return o.Name == t.Name }) {
+	if len(p.tasks) >= MaxTasks || slices.ContainsFunc(p.tasks, func(o *Task) bool { return o.Name == t.Name }) {
 		return false
 	}
-	t.due = now
+	t.dueAt = now
 	p.tasks = append(p.tasks, &t)
 	return true
 }
@@ -70,37 +71,37 @@
 // Wake makes a task due now.
 func (p *Plan) Wake(now Time, name string) {
 	for _, t := range p.tasks {
-		if t.Name == name && !t.stage {
-			t.due = min(t.due, now)
+		if t.Name == name && !t.running {
+			t.dueAt = min(t.dueAt, now)
 		}
 	}
 }
 
-// Next decides what runs now: a step of a task, of at most budget. With no task it tells when to ask again.
-func (p *Plan) Next(now Time, pr Pressure) (task string, budget Time, again Time) {
-	if now-p.forgot >= forget {
-		p.forgot = now
+// Next decides what runs now: a step of a task, of at most budget. Without a task it returns when to call again.
+func (p *Plan) Next(now Time, pressure Pressure) (task string, budget Time, retryAt Time) {
+	if now-p.halvedAt >= usageHalfLife {
+		p.halvedAt = now
 		for _, t := range p.tasks {
-			t.had /= 2
+			t.recentTime /= 2
 		}
 	}
-	pressed := pr.Wait > lateWait || pr.Backlog > backlog
+	pressed := pressure.Wait > pressureWait || pressure.Backlog > pressureBacklog
 	if pressed {
-		p.blocked = now
+		p.pressedAt = now
 	}
-	pressed = pressed || p.blocked != 0 && now-p.blocked < ease
-	again = now + policy.Second
-	if now < p.next {
-		return "", 0, p.next
+	pressed = pressed || p.pressedAt != 0 && now-p.pressedAt < calmDelay
+	retryAt = now + policy.Second
+	if now < p.notBefore {
+		return "", 0, p.notBefore
 	}
 	var best *Task
 	for _, t := range p.tasks {
-		if at := max(t.due, t.owed); at > now {
-			again = min(again, at)
+		if at := max(t.dueAt, t.notBefore); at > now {
+			retryAt = min(retryAt, at)
 			continue
 		}
 		if pressed && !t.late(now) {
-			again = min(again, now+ease)
+			retryAt = min(retryAt, now+calmDelay)
 			continue
 		}
 		if best == nil || t.before(best, now) {
@@ -108,15 +109,15 @@
 		}
 	}
 	if best == nil {
-		return "", 0, again
+		return "", 0, retryAt
 	}
-	best.stage = true
-	return best.Name, stepTime, now
+	best.running = true
+	return best.Name, maxStepTime, now
 }
 
-func (t *Task) late(now Time) bool { return t.Deadline > 0 && now-t.due > t.Deadline }
+func (t *Task) late(now Time) bool { return t.Deadline > 0 && now-t.dueAt > t.Deadline }
 
-// before orders tasks that may run: the late, then the higher, then who had least.
+// before orders runnable tasks: late ones first, then by priority, then those that have used the least time.
 func (t *Task) before(o *Task, now Time) bool {
 	if a, b := t.late(now), o.late(now); a != b {
 		return a
@@ -124,32 +125,32 @@
 	if c := cmp.Compare(o.Priority, t.Priority); c != 0 {
 		return c < 0
 	}
-	return t.had < o.had
+	return t.recentTime < o.recentTime
 }
 
-// Ran books a step: what it took, the bytes it moved, and whether its run is over.
-func (p *Plan) Ran(now Time, name string, took Time, bytes int, done bool, pr Pressure) {
+// RecordStep records a step: the time it took, the bytes it moved, and whether its run is done.
+func (p *Plan) Ran(now Time, name string, took Time, bytes int, done bool, pressure Pressure) {
 	for _, t := range p.tasks {
 		if t.Name != name {
 			continue
 		}
-		pause := Time(float64(took) * (1 - part) / part)
-		if pr.Wait > lateWait || pr.Backlog > backlog {
-			pause *= lateSlow
+		pause := Time(float64(took) * (1 - backgroundShare) / backgroundShare)
+		if pressure.Wait > pressureWait || pressure.Backlog > pressureBacklog {
+			pause *= lateSlowdown
 		}
-		p.next = now + pause
-		t.had += took
+		p.notBefore = now + pause
+		t.recentTime += took
 		if t.Share > 0 {
-			t.owed = now + Time(float64(took)/(part*t.Share))
+			t.notBefore = now + Time(float64(took)/(backgroundShare*t.Share))
 		}
-		if t.Bytes > 0 {
-			t.owed = max(t.owed, now+Time(float64(bytes)/t.Bytes*float64(policy.Second)))
+		if t.BytesPerSecond > 0 {
+			t.notBefore = max(t.notBefore, now+Time(float64(bytes)/t.BytesPerSecond*float64(policy.Second)))
 		}
 		if !done {
 			return
 		}
-		t.stage = false
-		if t.due = now + t.Every; t.Every <= 0 {
+		t.running = false
+		if t.dueAt = now + t.Every; t.Every <= 0 {
 			p.tasks = slices.DeleteFunc(p.tasks, func(o *Task) bool { return o == t })
 		}
 		return
