--- a/decide/members/members.go
+++ b/decide/members/members.go
@@ -82,7 +82,7 @@
 			delete(v.drainingSince, id)
 		}
 	}
-	return v.Entries(), Believed
+	return v.List(), Believed
 }
 
 // Index returns the version from which to request changes; 0 requests the whole list.
@@ -107,8 +107,8 @@
 	return entry, true
 }
 
-// Entries returns the accepted list, sorted by server ID.
-func (v *View) Entries() []policy.Entry {
+// List returns the accepted list, sorted by server ID.
+func (v *View) List() []policy.Entry {
 	list := make([]policy.Entry, 0, len(v.entries))
 	for _, e := range v.entries {
 		list = append(list, e)
--- a/decide/members/members_test.go
+++ b/decide/members/members_test.go
@@ -28,11 +28,11 @@
 	v.mustApply(t, now, Believed, 5, 1, 2)
 	v.mustApply(t, now, EmptyUnconfirmed, 6)
 	v.mustApply(t, now+emptyListDelay-1, EmptyUnconfirmed, 7)
-	if len(v.Entries()) != 2 || !v.Doubted() {
+	if len(v.List()) != 2 || !v.Doubted() {
 		t.Fatal("the old list was not kept")
 	}
 	v.mustApply(t, now+emptyListDelay, Believed, 7)
-	if len(v.Entries()) != 0 {
+	if len(v.List()) != 0 {
 		t.Fatal("the empty list was not accepted after the delay")
 	}
 	v.mustApply(t, now+emptyListDelay, Believed, 8, 1)
@@ -58,8 +58,8 @@
 	var v View
 	v.mustApply(t, 1, Believed, 50, 1, 2)
 	v.mustApply(t, 2, IndexWentBack, 3, 9)
-	if v.Index() != 0 || len(v.Entries()) != 2 {
-		t.Fatal(v.Index(), v.Entries())
+	if v.Index() != 0 || len(v.List()) != 2 {
+		t.Fatal(v.Index(), v.List())
 	}
 	v.mustApply(t, 3, Believed, 3, 1)
 	v.mustApply(t, 4, Same, 3, 1)
--- a/decide/work/work.go
+++ b/decide/work/work.go
@@ -52,10 +52,10 @@
 
 // Plan schedules tasks. The zero value has none.
 type Plan struct {
-	tasks     []*Task
-	notBefore Time // no task runs before
-	halvedAt  Time
-	pressedAt Time // when the request path was last under pressure
+	tasks      []*Task
+	nextStepAt Time // no task runs before
+	halvedAt   Time
+	pressedAt  Time // when the request path was last under pressure
 }
 
 // Add adds a task; its first run is due at once. It returns false if there are too many tasks, or one of that name.
@@ -91,8 +91,8 @@
 	}
 	pressed = pressed || p.pressedAt != 0 && now-p.pressedAt < calmDelay
 	retryAt = now + policy.Second
-	if now < p.notBefore {
-		return "", 0, p.notBefore
+	if now < p.nextStepAt {
+		return "", 0, p.nextStepAt
 	}
 	var best *Task
 	for _, t := range p.tasks {
@@ -138,7 +138,7 @@
 		if pressure.Wait > pressureWait || pressure.Backlog > pressureBacklog {
 			pause *= lateSlowdown
 		}
-		p.notBefore = now + pause
+		p.nextStepAt = now + pause
 		t.recentTime += took
 		if t.Share > 0 {
 			t.notBefore = now + Time(float64(took)/(backgroundShare*t.Share))
