--- a/internal/front/api.go
+++ b/internal/front/api.go
@@ -1,13 +1,14 @@
-// Package front is the session front's core: a pure state machine round the decision module. Events go in, effects
-// come out, time is passed in. It does no I/O, reads no clock and starts nothing, so that one core runs in the
-// real front, in the exhaustive check and in models, and any run replays.
+// Package front is the core of a session front: a pure state machine around the decision module. It takes events and
+// the current time and returns effects. It does no I/O, reads no clock and starts no goroutines, so the same core runs
+// in the real front, in the exhaustive check and in models, and every run can be replayed.
 //
-// The module (policy.Front) decides where a session plays, at which rung, and when it moves or is turned away. The
-// core keeps the records that this needs on real connections, and the last line of the rules: one answer a
-// request, never two attempts out, nothing to a server that is not ready, no paid set-up twice.
+// The module (policy.Front) decides where a session plays, at which rung, and when it is moved or refused. The core
+// keeps the session records that real connections need, and enforces the safety rules whatever the module decides: one
+// answer per request, at most one attempt in flight per session, no set-up at a server that is not ready, and no second
+// set-up of a paid session that may have run.
 //
-// This file is the interface; core.go takes events in, carry.go carries the module's decisions out, timers.go
-// keeps its time.
+// This file declares the interface. core.go handles events, actions.go executes the module's decisions, restore.go and
+// resume.go handle sessions after a restart and after a lost connection, and timers.go holds the timers.
 package front
 
 import (
@@ -15,45 +16,44 @@
 	"tealledge/policy"
 )
 
-// Time is a clock reading or span in nanoseconds; readings are above 0.
+// Time is a point of time or a duration in nanoseconds; points of time are above 0.
 type Time = policy.Time
 
-// Module is what decides: policy.Front, or a baseline to compare it with.
+// Module makes the decisions: policy.Front, or a baseline for comparison.
 type Module interface {
 	Handle(now Time, event policy.Event) []policy.Action
 }
 
-// Config is what a core is started with.
+// Config configures a core.
 type Config struct {
 	Settings policy.Settings
 	Module   Module
-	FirstID  uint64        // ids of sessions count up from here; a later start of the same front must begin above
-	Token    func() uint64 // draws tokens; nobody must be able to guess them
+	FirstID  uint64        // session IDs count up from here; a restarted front must begin above its earlier IDs
+	Token    func() uint64 // generates a token that can't be guessed
 
-	AnswerMargin Time // the module is told a deadline this much earlier, so that its answer arrives in time
-	LastLine     Time // a request still unanswered this long before its deadline is failed by the core
-	MovedFor     Time // a moved player's token is good for so long
-	MovedMost    int  // tokens remembered
-	ResumeFor    Time // a session outlives its player's connection so long; 0: not at all
+	AnswerMargin Time // subtracted from the deadline that the module gets, so that its answer arrives in time
+	LastLine     Time // the core fails a request that is still unanswered this long before its deadline
+	MovedFor     Time // validity of a moved player's token
+	MovedMost    int  // maximum number of tokens kept
+	ResumeFor    Time // how long a session outlives its player's connection; 0: not at all
 
-	// KnownViewers tells that viewers are known by their numbers: one that was moved is known when it comes again, and
-	// needs no token.
+	// TrustViewerIDs makes the viewer ID alone identify a moved viewer when it asks again; no token is needed.
 	KnownViewers bool
 }
 
-// Event is something that happened.
+// Event is an input of the core.
 type Event interface{}
 
-// Ask is a player's request for a session.
+// Request is a player's request for a session.
 type Ask struct {
-	Player   uint64 // the shell's handle for where the answer goes; the core only hands it back
-	Read     Time   // when its last byte was read
-	Wait     Time   // the player waits so long from then; at most the class's deadline is taken
+	Player   uint64 // the shell's handle for the recipient of the answer; opaque to the core
+	Read     Time   // when the last byte of the request was read
+	Wait     Time   // how long the player waits from ReadAt; capped at the class's deadline
 	Title    uint64
 	Home     int
 	Copies   int
-	Holders  []policy.Holder // in place of Home and Copies, if not nil
-	Name     string          // of the title at servers; "": the desk knows it by its number
+	Holders  []policy.Holder // replaces Home and Copies if not nil
+	Name     string          // title name at the servers; "": derived from the title number
 	Class    int
 	Tenant   int
 	Viewer   uint64
@@ -61,25 +61,25 @@
 	Length   Time
 	Hinted   bool
 	Again    bool
-	Token    uint64 // from a Moved; 0: none
-	ID       uint64 // the session's, if the player names it; it must not be Known. 0: the core counts
-	Text     string // a description for the server, passed on unchanged until the session plays
-	Draining bool   // set by the shell: nothing new is begun any more
+	Token    uint64 // from Moved; 0: none
+	ID       uint64 // session ID chosen by the player, which must not be in use (IDInUse); 0: the core assigns one
+	Text     string // description for the server, passed on unchanged and dropped once the session plays
+	Draining bool   // set by the shell: the front starts no new sessions
 }
 
-// Leave tells that a player closed its session or is gone.
+// Leave reports that a player closed its session or disconnected for good.
 type Leave struct{ Session uint64 }
 
-// Began tells that an attempt plays.
+// AttemptStarted reports that an attempt plays.
 type Began struct {
 	Session uint64
 	Attempt int
 	Took    Time
-	Report  []float64 // in the order of Settings.Fields; nil: none
+	Report  []float64 // in the order of Settings.Fields; nil: no report
 	Text    string    // the server's description, passed on unchanged
 }
 
-// Ended tells that an attempt ended, or the stream that it started. Exactly one follows each Setup.
+// AttemptEnded reports that an attempt, or the stream that it started, ended. Exactly one follows each Setup.
 type Ended struct {
 	Session uint64
 	Attempt int
@@ -88,7 +88,7 @@
 	Report  []float64
 }
 
-// Note is a server's news on a stream.
+// Note is a value that a server reported for a stream.
 type Note struct {
 	Session uint64
 	Attempt int
@@ -104,16 +104,16 @@
 	Report []float64
 }
 
-// Listed brings the server list or changes to it.
+// Listed carries the server list or changes to it.
 type Listed struct{ policy.List }
 
-// Vacate tells that a server is to be empty by a time.
+// Vacate requests that a server be empty by a given time.
 type Vacate struct{ policy.Vacate }
 
-// CloseAll ends all sessions: the front leaves.
+// CloseAll ends all sessions because the front leaves service.
 type CloseAll struct{}
 
-// Effect is something that the shell is to do.
+// Effect is an output of the core for the shell to carry out.
 type Effect interface{}
 
 // Setup starts an attempt at a server.
@@ -125,13 +125,13 @@
 	Class   int
 	Viewer  uint64
 	Rung    int
-	Name    string // of the title; "": known by its number
+	Name    string // title name; "": derived from the title number
 	Text    string // the player's description
-	Within  Time   // the front waits so long
+	Within  Time   // how long the front waits for the attempt
 }
 
-// Abandon ends the wait on an attempt that is out. The shell answers with its Ended; the server is told to tear
-// down whatever comes of it.
+// Abandon stops waiting for an attempt in flight. The shell replies with its AttemptEnded and makes the server tear
+// down any stream that results from the attempt.
 type Abandon struct {
 	Session uint64
 	Attempt int
@@ -139,18 +139,18 @@
 	Cause   fate.Cause
 }
 
-// Withdraw takes back set-ups for a server that were not sent yet; each gets its Ended.
+// Withdraw cancels the set-ups for a server that were not sent yet; each gets its AttemptEnded.
 type Withdraw struct{ Server uint32 }
 
-// Stop tears down a stream that plays.
+// Stop tears down a playing stream.
 type Stop struct {
 	Session uint64
 	Attempt int
 	Server  uint32
-	Moved   bool // its player is told to come again
+	Moved   bool // the player is asked to request a session again
 }
 
-// SetRung sets the rung of a stream that plays.
+// SetRung sets the rung of a playing stream.
 type SetRung struct {
 	Session uint64
 	Attempt int
@@ -161,10 +161,11 @@
 // Probe asks a server for its load.
 type Probe struct{ Server uint32 }
 
-// Follow asks for the server list.
+// Follow subscribes to the server list.
 type Follow struct{}
 
-// Plays, Refused and Failed answer a request: exactly one of them for each Ask whose player stays.
+// Plays is the answer to a request whose session plays. Each Request gets exactly one of Plays, Refused and Failed,
+// unless its player leaves.
 type Plays struct {
 	Player  uint64
 	Session uint64
@@ -174,52 +175,52 @@
 	Text    string // the server's description
 }
 
-// Refused turns a request away; After is a come-back time, 0 for none.
+// Refused is the answer that rejects a request. RetryAfter is the delay before a retry, 0 for none.
 type Refused struct {
 	Player  uint64
 	Session uint64
 	After   Time
 }
 
-// Failed ends a request with no word on what ran.
+// Failed is the answer to a request that failed; it does not say whether a set-up ran.
 type Failed struct {
 	Player  uint64
 	Session uint64
 }
 
-// RungTold tells a player of a new rung.
+// RungChanged notifies a player of a new rung.
 type RungTold struct {
 	Player, Session uint64
 	Rung            int
 }
 
-// Moved tells a player to come again; Token marks it as moved.
+// Moved asks a player to request a session again; Token identifies it as a moved player.
 type Moved struct{ Player, Session, Token uint64 }
 
-// Over tells a player that its stream ended.
+// SessionEnded notifies a player that its stream ended.
 type Over struct {
 	Player, Session uint64
 	Why             Why
 }
 
-// Why a stream ended.
+// EndReason is the reason for which a stream ended.
 type Why string
 
-// Why streams end.
+// Reasons for which streams end.
 const (
-	WhyEnd     Why = "end"     // the title is over
-	WhyLost    Why = "lost"    // the server or the connection to it is lost
-	WhyLeaving Why = "leaving" // the front leaves service
-	WhyLeft    Why = "left"    // its player was gone too long, or asked anew
+	WhyEnd                Why = "end"     // the title finished
+	WhyLost               Why = "lost"    // the server or the connection to it is lost
+	EndReasonFrontLeaving Why = "leaving" // the front leaves service
+	WhyLeft               Why = "left"    // the player left, was disconnected too long, or made a new request
 )
 
-// Log is a line of the module for the operators' log.
+// Log is a line from the module for the operators' log.
 type Log struct{ Text string }
 
-// Fault is a fault of this software that the last line caught; none may ever be seen.
+// Fault reports a bug in the module or the core that a safety rule caught. Correct software emits none.
 type Fault struct{ Text string }
 
-// Stats counts what the core did since its start.
+// Stats holds the core's counters since its start.
 type Stats struct {
 	Taken, Plays, Refused, Failed, Left uint64
 	Attempts, Further, Moves, Probes    uint64
--- a/internal/front/core.go
+++ b/internal/front/core.go
@@ -6,87 +6,87 @@
 	"tealledge/policy"
 )
 
-// Core is one front. It is not safe for use by several goroutines: one owner drives it.
+// Core is the state machine of one front. It is not safe for concurrent use: one goroutine owns it.
 type Core struct {
-	cfg      Config
-	now      Time
-	nextID   uint64
-	sessions map[uint64]*session
-	open     int // requests that wait for their answer
-	ready    map[uint32]bool
-	tokens   tokens
-	timers   timers
-	stats    Stats
+	cfg          Config
+	now          Time
+	nextID       uint64
+	sessions     map[uint64]*session
+	openRequests int // requests without an answer
+	readyServers map[uint32]bool
+	moveTokens   moveTokens
+	timers       timers
+	stats        Stats
 
-	out     []Effect
-	pending []policy.Event // for the module, in order
-	feeding bool
-	closing bool              // CloseAll came
-	alone   map[uint64]uint64 // by viewer: a session that waits to be resumed
+	effects       []Effect
+	pendingEvents []policy.Event // for the module, in order of arrival
+	feeding       bool
+	closing       bool              // CloseAll was received
+	detached      map[uint64]uint64 // sessions that wait to be resumed, by viewer
 }
 
-// session is a request from its arrival until nothing of it is left here or at a server.
+// session is a request from its arrival until nothing of it remains here or at a server.
 type session struct {
-	id       uint64
-	ask      Ask
-	deadline Time // the player's
-	answered bool
-	left     bool // the player is gone, or the request was ended by the last line
-	rung     int
-	attempts int    // sent so far; the one out, or playing, is attempts-1
-	server   uint32 // of that one
-	out      bool   // an attempt is out
-	dropped  bool   // it was abandoned; its Ended is still to come
-	playing  bool
-	mayRun   bool // an earlier attempt may have run
-	token    uint64
-	alone    bool // it plays, and its player's connection is lost
-	detached int  // how often that happened
+	id          uint64
+	request     Ask
+	deadline    Time // of the player
+	answered    bool
+	closed      bool // the player left or was moved, or the request was refused or failed
+	rung        int
+	attempts    int    // sent so far; the one in flight or playing is attempts-1
+	server      uint32 // of the latest attempt
+	inFlight    bool   // an attempt has no outcome yet
+	abandoned   bool   // the attempt in flight was abandoned; its AttemptEnded is pending
+	playing     bool
+	mayHaveRun  bool // an earlier attempt may have run
+	token       uint64
+	detached    bool // it plays, and its player's connection is lost
+	detachCount int  // how often the player's connection was lost
 }
 
-// New makes a core. The list comes as an event.
+// New returns a core without servers; the server list arrives as an event.
 func New(cfg Config) *Core {
 	return &Core{cfg: cfg, nextID: cfg.FirstID,
-		sessions: map[uint64]*session{}, ready: map[uint32]bool{}, alone: map[uint64]uint64{},
-		tokens: tokens{byToken: map[uint64]moved{}, most: cfg.MovedMost, lasts: cfg.MovedFor}}
+		sessions: map[uint64]*session{}, readyServers: map[uint32]bool{}, detached: map[uint64]uint64{},
+		moveTokens: moveTokens{byToken: map[uint64]moveToken{}, maxTokens: cfg.MovedMost, ttl: cfg.MovedFor}}
 }
 
-// Stats gives the counters.
+// Stats returns the counters.
 func (c *Core) Stats() Stats { return c.stats }
 
-// Open tells how many requests wait for their answer, and Held how many sessions are held in all.
-func (c *Core) Open() int { return c.open }
+// OpenRequests returns the number of requests without an answer.
+func (c *Core) Open() int { return c.openRequests }
 
-// Held tells how many sessions are held, open requests and attempts being torn down included.
+// SessionCount returns the number of sessions held, including open requests and attempts that are being torn down.
 func (c *Core) Held() int { return len(c.sessions) }
 
-// Step takes an event and gives the effects that follow, in order. The slice is good until the next call. Timers
-// wait for Advance: after a standstill a reply that was there in time is taken before the time-out that it raced,
-// unless the player's own deadline has passed too.
+// Step handles an event and returns the resulting effects in order. The slice is valid until the next call. Timers fire
+// in Advance only: after a pause of the process, a reply that arrived in time is handled before the timeout that it
+// raced, unless the player's own deadline has passed too.
 func (c *Core) Step(now Time, event Event) []Effect {
-	c.begin(now)
-	c.take(event)
-	return c.out
+	c.setTime(now)
+	c.dispatch(event)
+	return c.effects
 }
 
-// Advance lets time pass and gives the effects of what fell due.
+// Advance moves the time forward and returns the effects of the timers that are due.
 func (c *Core) Advance(now Time) []Effect {
-	c.begin(now)
+	c.setTime(now)
 	c.runTimers()
-	return c.out
+	return c.effects
 }
 
-func (c *Core) begin(now Time) {
-	c.now = max(now, c.now, 1) // a clock that steps back stands still here
-	c.timers.begin(c.now)
-	c.out = c.out[:0]
+func (c *Core) setTime(now Time) {
+	c.now = max(now, c.now, 1) // time stands still while the clock is behind
+	c.timers.start(c.now)
+	c.effects = c.effects[:0]
 }
 
-func (c *Core) do(e Effect) { c.out = append(c.out, e) }
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 func (c *Core) runTimers() {
 	for {
-		t, ok := c.timers.due(c.now)
+		t, ok := c.timers.popDue(c.now)
 		if !ok {
 			return
 		}
@@ -94,21 +94,21 @@
 		case timerModule:
 			c.feed(policy.Alarm{Token: t.token})
 		case timerAttempt:
-			if s := c.sessions[t.session]; s != nil && s.out && !s.dropped && s.attempts-1 == t.attempt {
+			if s := c.sessions[t.session]; s != nil && s.inFlight && !s.abandoned && s.attempts-1 == t.attempt {
 				c.abandon(s, fate.Expired)
 			}
-		case timerLastLine:
-			c.lastLine(c.sessions[t.session])
-		case timerDetached:
-			c.detachedOut(t)
+		case timerFailsafe:
+			c.failUnanswered(c.sessions[t.session])
+		case timerResume:
+			c.expireDetached(t)
 		}
 	}
 }
 
-func (c *Core) take(event Event) {
+func (c *Core) dispatch(event Event) {
 	switch e := event.(type) {
 	case Ask:
-		c.asked(e)
+		c.handleRequest(e)
 	case Leave:
 		c.leave(c.sessions[e.Session])
 	case Detach:
@@ -116,11 +116,11 @@
 	case Resume:
 		c.resume(e)
 	case Adopt:
-		c.adopt(e)
+		c.restore(e)
 	case Began:
-		c.began(e)
+		c.attemptStarted(e)
 	case Ended:
-		c.ended(e)
+		c.attemptEnded(e)
 	case Note:
 		if s := c.sessions[e.Session]; s != nil && s.playing && s.attempts-1 == e.Attempt {
 			c.feed(policy.Note{ID: s.id, Attempt: e.Attempt, Server: s.server, Kind: e.Kind, Value: e.Value})
@@ -128,7 +128,7 @@
 	case Probed:
 		c.feed(policy.Probed{Server: e.Server, Status: e.Status, Took: e.Took, Report: e.Report})
 	case Listed:
-		c.listed(e.List)
+		c.updateServers(e.List)
 	case Vacate:
 		c.feed(e.Vacate)
 	case CloseAll:
@@ -136,35 +136,36 @@
 	}
 }
 
-// asked takes a request. From here on it owes exactly one answer, unless its player leaves.
-func (c *Core) asked(a Ask) {
-	c.supersede(a.Viewer)
+// handleRequest opens a session for a request. From here on the request gets exactly one answer, unless its player
+// leaves.
+func (c *Core) handleRequest(request Ask) {
+	c.supersede(request.Viewer)
 	c.nextID++
-	wait := a.Wait
-	if a.Class >= 0 && a.Class < len(c.cfg.Settings.Classes) {
-		// A class without a deadline waits as long as its player says.
-		if most := c.cfg.Settings.Classes[a.Class].Deadline; wait <= 0 || most > 0 && wait > most {
-			wait = most
+	timeout := request.Wait
+	if request.Class >= 0 && request.Class < len(c.cfg.Settings.Classes) {
+		// For a class without a deadline the player's own timeout applies.
+		if limit := c.cfg.Settings.Classes[request.Class].Deadline; timeout <= 0 || limit > 0 && timeout > limit {
+			timeout = limit
 		}
 	}
 	id := c.nextID
-	if a.ID != 0 {
-		if id = a.ID; c.Known(id) { // its records would mix with the other's
-			c.fault("a request under the id of another: %d", id)
+	if request.ID != 0 {
+		if id = request.ID; c.Known(id) { // the records of both sessions would mix
+			c.fault("request with the ID of another session: %d", id)
 			return
 		}
 	}
 	if c.cfg.KnownViewers {
-		a.Token = a.Viewer
+		request.Token = request.Viewer
 	}
-	s := &session{id: id, ask: a, deadline: a.Read + wait}
-	if s.ask.Class >= 0 && s.ask.Class < len(c.cfg.Settings.Classes) {
-		s.rung = c.cfg.Settings.Classes[a.Class].Floor
+	s := &session{id: id, request: request, deadline: request.Read + timeout}
+	if s.request.Class >= 0 && s.request.Class < len(c.cfg.Settings.Classes) {
+		s.rung = c.cfg.Settings.Classes[request.Class].Floor
 	}
 	c.sessions[s.id] = s
 	c.stats.Taken++
-	c.open++
-	if a.Draining {
+	c.openRequests++
+	if request.Draining {
 		c.refuse(s, c.cfg.Settings.MaxRetry)
 		return
 	}
@@ -172,69 +173,70 @@
 		c.fail(s)
 		return
 	}
-	c.timers.set(timer{at: s.deadline - c.cfg.LastLine, kind: timerLastLine, session: s.id})
-	p := policy.Ask{ID: s.id, Title: a.Title, Viewer: a.Viewer, Class: a.Class, Tenant: a.Tenant, Home: a.Home,
-		Copies: a.Copies, Top: a.Top, Deadline: s.deadline - c.cfg.AnswerMargin, Length: a.Length, Hinted: a.Hinted,
-		Again: a.Again, Holders: a.Holders}
-	if a.Token != 0 && c.tokens.redeem(a.Token, a.Viewer, c.now) {
-		p.Moved, p.Again = true, true
+	c.timers.set(timer{at: s.deadline - c.cfg.LastLine, kind: timerFailsafe, session: s.id})
+	ask := policy.Ask{ID: s.id, Title: request.Title, Viewer: request.Viewer, Class: request.Class,
+		Tenant: request.Tenant, Home: request.Home, Copies: request.Copies, Top: request.Top,
+		Deadline: s.deadline - c.cfg.AnswerMargin, Length: request.Length, Hinted: request.Hinted,
+		Again: request.Again, Holders: request.Holders}
+	if request.Token != 0 && c.moveTokens.redeem(request.Token, request.Viewer, c.now) {
+		ask.Moved, ask.Again = true, true
 	}
-	c.feed(policy.Request{Ask: p})
+	c.feed(policy.Request{Ask: ask})
 }
 
 func (c *Core) leave(s *session) {
-	if s == nil || s.left {
+	if s == nil || s.closed {
 		return
 	}
-	s.left = true
-	c.accompany(s)
+	s.closed = true
+	c.markAttached(s)
 	switch {
 	case s.playing:
-		c.do(Stop{s.id, s.attempts - 1, s.server, false})
+		c.emit(Stop{s.id, s.attempts - 1, s.server, false})
 		c.finish(s, policy.OK, nil)
-	case s.out:
-		c.settle(s)
+	case s.inFlight:
+		c.markAnswered(s)
 		c.stats.Left++
 		c.feed(policy.Gone{ID: s.id})
-		if !s.dropped {
+		if !s.abandoned {
 			c.abandon(s, fate.Withdrawn)
 		}
 	default:
-		c.settle(s)
+		c.markAnswered(s)
 		c.stats.Left++
 		c.feed(policy.Gone{ID: s.id})
 		delete(c.sessions, s.id)
 	}
 }
 
-func (c *Core) began(e Began) {
+func (c *Core) attemptStarted(e Began) {
 	s := c.sessions[e.Session]
-	if s == nil || !s.out || s.dropped || s.left || s.attempts-1 != e.Attempt {
-		return // the shell tears down what was abandoned; its Ended comes or came
+	if s == nil || !s.inFlight || s.abandoned || s.closed || s.attempts-1 != e.Attempt {
+		return // the shell tears down abandoned attempts and reports their AttemptEnded
 	}
-	if c.now >= s.deadline { // too late to be of use: its player has given up
+	if c.now >= s.deadline { // the player has given up
 		c.abandon(s, fate.Expired)
 		return
 	}
-	s.out, s.playing = false, true
+	s.inFlight, s.playing = false, true
 	if !c.answer(s) {
-		c.do(Stop{s.id, e.Attempt, s.server, false})
+		c.emit(Stop{s.id, e.Attempt, s.server, false})
 		c.finish(s, policy.CancelledSt, e.Report)
 		return
 	}
 	c.stats.Plays++
-	if s.ask.Text = ""; !c.cfg.KnownViewers {
+	if s.request.Text = ""; !c.cfg.KnownViewers {
 		s.token = c.cfg.Token()
 	}
-	c.do(Plays{s.ask.Player, s.id, s.server, s.rung, s.token, e.Text})
+	c.emit(Plays{s.request.Player, s.id, s.server, s.rung, s.token, e.Text})
 	c.feed(policy.Playing{ID: s.id, Attempt: e.Attempt, Server: s.server, Took: e.Took})
 	if c.cfg.Settings.Inline {
-		c.reported(s, e.Report)
+		c.feedReport(s, e.Report)
 	}
 }
 
-// reported books the report that came with a set-up's answer as notes on the new stream.
-func (c *Core) reported(s *session, report []float64) {
+// feedReport passes the report in a set-up's reply to the module as notes on the new stream.
+func (c *Core) feedReport(s *session, report []float64) {
 	for i, f := range c.cfg.Settings.Fields[:min(len(c.cfg.Settings.Fields), len(report))] {
 		kind := policy.NoteLink
 		switch f {
@@ -248,118 +250,118 @@
 	}
 }
 
-func (c *Core) ended(e Ended) {
+func (c *Core) attemptEnded(e Ended) {
 	s := c.sessions[e.Session]
-	if s == nil || s.attempts-1 != e.Attempt || !s.out && !s.playing {
+	if s == nil || s.attempts-1 != e.Attempt || !s.inFlight && !s.playing {
 		return
 	}
 	if s.playing {
-		c.stats.Lost += count(e.Status != policy.OK)
-		why := WhyLost
+		c.stats.Lost += countIf(e.Status != policy.OK)
+		reason := WhyLost
 		switch e.Status {
 		case policy.OK:
-			why = WhyEnd
-		case policy.CancelledSt: // at its server, by its player
-			why = WhyLeft
+			reason = WhyEnd
+		case policy.CancelledSt: // the player ended it at the server
+			reason = WhyLeft
 		}
-		c.do(Over{s.ask.Player, s.id, why})
+		c.emit(Over{s.request.Player, s.id, reason})
 		c.finish(s, e.Status, e.Report)
 		return
 	}
-	s.out, s.dropped = false, false
-	s.mayRun = s.mayRun || !fate.NeverRan(e.Status)
+	s.inFlight, s.abandoned = false, false
+	s.mayHaveRun = s.mayHaveRun || !fate.NeverRan(e.Status)
 	c.feed(policy.Outcome{ID: s.id, Attempt: e.Attempt, Server: s.server, Status: e.Status, Took: e.Took,
-		Final: s.left, Report: e.Report})
-	if s.left && !s.out {
+		Final: s.closed, Report: e.Report})
+	if s.closed && !s.inFlight {
 		delete(c.sessions, s.id)
 	}
 }
 
-// finish ends a session that played.
+// finish ends a playing session.
 func (c *Core) finish(s *session, status policy.Status, report []float64) {
 	s.playing = false
-	c.accompany(s)
+	c.markAttached(s)
 	delete(c.sessions, s.id)
 	c.feed(policy.Outcome{ID: s.id, Attempt: s.attempts - 1, Server: s.server, Status: status, Final: true,
 		Report: report})
 }
 
-// listed passes the list on. Set-ups that wait for a connection to a server that is no longer ready are taken
-// back first: sent when the connection stands, they would reach it after the grace.
-func (c *Core) listed(l policy.List) {
-	if l.Kind != policy.ListFailed {
-		was := c.ready
-		if l.Kind != policy.ListDelta {
-			c.ready = make(map[uint32]bool, len(l.Entries))
+// updateServers passes the server list to the module. Set-ups that wait for a connection to a server that is no longer
+// ready are withdrawn first: sent once the connection is up, they would reach the server after the drain grace.
+func (c *Core) updateServers(list policy.List) {
+	if list.Kind != policy.ListFailed {
+		previous := c.readyServers
+		if list.Kind != policy.ListDelta {
+			c.readyServers = make(map[uint32]bool, len(list.Entries))
 		}
-		for _, e := range l.Entries {
-			wasReady := was[e.Server]
-			if c.ready[e.Server] = e.Health == policy.Ready; e.Health == policy.Removed {
-				delete(c.ready, e.Server) // servers come and go for as long as a front lives
+		for _, e := range list.Entries {
+			wasReady := previous[e.Server]
+			if c.readyServers[e.Server] = e.Health == policy.Ready; e.Health == policy.Removed {
+				delete(c.readyServers, e.Server) // keeps the map bounded while servers come and go
 			}
 			if e.Health != policy.Ready && wasReady {
-				c.do(Withdraw{e.Server})
+				c.emit(Withdraw{e.Server})
 			}
 		}
-		if l.Kind != policy.ListDelta {
-			for _, id := range sorted(was) {
-				if _, still := c.ready[id]; !still && was[id] {
-					c.do(Withdraw{id})
+		if list.Kind != policy.ListDelta {
+			for _, id := range sortedKeys(previous) {
+				if _, still := c.readyServers[id]; !still && previous[id] {
+					c.emit(Withdraw{id})
 				}
 			}
 		}
 	}
-	c.feed(l)
+	c.feed(list)
 }
 
 func (c *Core) closeAll() {
 	c.closing = true
-	for _, id := range sorted(c.sessions) {
+	for _, id := range sortedKeys(c.sessions) {
 		s := c.sessions[id]
-		if s == nil || s.left {
+		if s == nil || s.closed {
 			continue
 		}
 		if !s.answered {
-			if !s.mayRun && !s.out || !c.paid(s) {
+			if !s.mayHaveRun && !s.inFlight || !c.paid(s) {
 				c.refuse(s, c.cfg.Settings.MaxRetry)
 			} else {
 				c.fail(s)
 			}
 		}
 		if s.playing {
-			c.do(Over{s.ask.Player, s.id, WhyLeaving})
+			c.emit(Over{s.request.Player, s.id, EndReasonFrontLeaving})
 		}
 		c.leave(s)
 	}
 }
 
-// Sessions calls fn for each session held, in the order of ids.
+// Sessions calls fn for each session held, in the order of IDs.
 func (c *Core) Sessions(fn func(id, player uint64, playing bool)) {
-	for _, id := range sorted(c.sessions) {
+	for _, id := range sortedKeys(c.sessions) {
 		s := c.sessions[id]
-		fn(id, s.ask.Player, s.playing)
+		fn(id, s.request.Player, s.playing)
 	}
 }
 
-// Standing calls fn for each session that plays or is being set up, with what it is served.
+// ActiveSessions calls fn with the server, class and rung of each session that plays or is being set up.
 func (c *Core) Standing(fn func(server uint32, class, rung int)) {
 	for _, s := range c.sessions {
-		if s.playing || s.out {
-			fn(s.server, s.ask.Class, s.rung)
+		if s.playing || s.inFlight {
+			fn(s.server, s.request.Class, s.rung)
 		}
 	}
 }
 
-// Known tells whether an id is in use: by a session, or by a set-up that is still being taken back.
+// IDInUse reports whether an ID belongs to a session or to a set-up that is still being cancelled.
 func (c *Core) Known(id uint64) bool { return c.sessions[id] != nil }
 
-// LastID gives the id of the request taken last.
+// LastID returns the highest session ID that the core assigned or restored.
 func (c *Core) LastID() uint64 { return c.nextID }
 
-// Ready tells how many servers are listed ready.
+// ReadyServers returns the number of servers listed as ready.
 func (c *Core) Ready() (n int) {
-	for _, ready := range c.ready {
-		n += int(count(ready))
+	for _, ready := range c.readyServers {
+		n += int(countIf(ready))
 	}
 	return n
 }
--- a/internal/front/core_test.go
+++ b/internal/front/core_test.go
@@ -14,7 +14,7 @@
 	ms    = policy.Millisecond
 )
 
-// settings: 3 servers that all hold all titles; class 0 safe, class 1 paid, class 2 with a floor.
+// settings returns settings for 3 servers that all hold all titles. Class 0 is safe, class 1 paid, class 2 has a floor.
 func settings() policy.Settings {
 	return policy.Settings{Fleet: 1, Classes: []policy.Class{
 		{Aim: policy.Second, Deadline: 4 * policy.Second, Worth: 1, Scale: 1, Top: 3},
@@ -26,23 +26,24 @@
 		MaxRetry: 2 * policy.Second, DrainGrace: policy.Second / 4}
 }
 
-// rig drives a core by hand.
-type rig struct {
-	t   *testing.T
-	c   *Core
-	now Time
-	out []Effect
+// harness drives a core step by step.
+type harness struct {
+	t    *testing.T
+	core *Core
+	now  Time
+	out  []Effect
 }
 
-func newRig(t *testing.T, module Module) *rig {
+func newHarness(t *testing.T, module Module) *harness {
 	set := settings()
 	if module == nil {
 		module = policy.New(set, 1)
 	}
-	last := uint64(1000)
-	draw := func() uint64 { last++; return last }
-	r := &rig{t: t, now: start, c: New(Config{Settings: set, Module: module, Token: draw, AnswerMargin: 50 * ms,
-		LastLine: 20 * ms, MovedFor: 10 * policy.Second, MovedMost: 2, ResumeFor: 3 * policy.Second})}
+	lastToken := uint64(1000)
+	newToken := func() uint64 { lastToken++; return lastToken }
+	r := &harness{t: t, now: start, core: New(Config{Settings: set, Module: module, Token: newToken,
+		AnswerMargin: 50 * ms, LastLine: 20 * ms, MovedFor: 10 * policy.Second, MovedMost: 2,
+		ResumeFor: 3 * policy.Second})}
 	r.step(Listed{policy.List{Kind: policy.ListFull, Entries: entries(policy.Ready, 1, 2, 3)}})
 	return r
 }
@@ -54,29 +55,30 @@
 	return out
 }
 
-func (r *rig) step(e Event) []Effect {
-	r.out = append([]Effect(nil), r.c.Step(r.now, e)...)
+func (r *harness) step(e Event) []Effect {
+	r.out = append([]Effect(nil), r.core.Step(r.now, e)...)
 	return r.out
 }
 
-func (r *rig) ask(class int) []Effect {
+func (r *harness) request(class int) []Effect {
 	return r.step(Ask{Player: 77, Read: r.now, Title: 5, Copies: 3, Class: class, Viewer: 9, Top: 3})
 }
 
-// pass lets time go by, with every timer at its time, and gives what came of it.
-func (r *rig) pass(d Time) (all []Effect) {
+// advance lets time pass, fires every timer at its time and returns all effects.
+func (r *harness) advance(d Time) (all []Effect) {
 	for end := r.now + d; ; {
-		at, ok := r.c.Next()
+		at, ok := r.core.Next()
 		if !ok || at > end {
 			r.now = end
 			return all
 		}
 		r.now = max(at, r.now)
-		all = append(all, r.c.Advance(r.now)...)
+		all = append(all, r.core.Advance(r.now)...)
 	}
 }
 
-func of[T any](list []Effect) (out []T) {
+// effectsOf returns the effects of type T.
+func effectsOf[T any](list []Effect) (out []T) {
 	for _, e := range list {
 		if x, ok := e.(T); ok {
 			out = append(out, x)
@@ -85,24 +87,28 @@
 	return out
 }
 
-func one[T any](t *testing.T, list []Effect) T {
+// onlyEffect returns the single effect of type T and fails the test if there is not exactly one.
+func onlyEffect[T any](t *testing.T, list []Effect) T {
 	t.Helper()
-	got := of[T](list)
+	got := effectsOf[T](list)
 	if len(got) != 1 {
 		t.Fatalf("want one %T in %+v", *new(T), list)
 	}
 	return got[0]
 }
 
+// answers returns the number of answers to requests.
 func answers(list []Effect) (n int) {
-	return len(of[Plays](list)) + len(of[Refused](list)) + len(of[Failed](list))
+	return len(effectsOf[Plays](list)) + len(effectsOf[Refused](list)) + len(effectsOf[Failed](list))
 }
 
-func TestAnswerFollowsTheAttempt(t *testing.T) {
+// TestRetriesOnlyWhatIsSafeToRepeat guards against retries of a paid set-up that may have run, and against failing a
+// request that can be retried safely.
+func TestRetriesOnlyWhatIsSafeToRepeat(t *testing.T) {
 	for name, c := range map[string]struct {
 		class  int
 		status policy.Status
-		want   Effect // kind of answer, or a further Setup
+		want   Effect // type of the answer, or Setup for another attempt
 	}{
 		"safe, never ran":     {0, policy.NoConnect, Setup{}},
 		"safe, may have run":  {0, policy.ResetConn, Setup{}},
@@ -115,8 +121,8 @@
 		"paid, cancelled":     {1, policy.CancelledSt, Failed{}},
 		"floor, may have run": {2, policy.TimedOut, Setup{}},
 	} {
-		r := newRig(t, nil)
-		s := one[Setup](t, r.ask(c.class))
+		r := newHarness(t, nil)
+		s := onlyEffect[Setup](t, r.request(c.class))
 		out := r.step(Ended{Session: s.Session, Attempt: s.Attempt, Status: c.status})
 		var got Effect
 		for _, e := range out {
@@ -124,86 +130,86 @@
 				got = e
 			}
 		}
-		if got == nil || answers(out)+len(of[Setup](out)) != 1 || r.c.Stats().Faults > 0 {
+		if got == nil || answers(out)+len(effectsOf[Setup](out)) != 1 || r.core.Stats().Faults > 0 {
 			t.Errorf("%s: %+v", name, out)
 		}
 		if next, ok := got.(Setup); ok && (next.Server == s.Server || next.Attempt != 1) {
-			t.Errorf("%s: again %+v", name, next)
+			t.Errorf("%s: unexpected second attempt %+v", name, next)
 		}
 	}
 }
 
-func TestTimeOutIsAbandonedAtTheServerBeforeTheNextAttempt(t *testing.T) {
-	r := newRig(t, nil)
-	s := one[Setup](t, r.ask(0))
+func TestAbandonsTimedOutAttemptBeforeNextOne(t *testing.T) {
+	r := newHarness(t, nil)
+	s := onlyEffect[Setup](t, r.request(0))
 	var out []Effect
-	for len(of[Abandon](out)) == 0 && r.now < start+policy.Second {
-		out = r.pass(10 * ms)
+	for len(effectsOf[Abandon](out)) == 0 && r.now < start+policy.Second {
+		out = r.advance(10 * ms)
 	}
-	a := one[Abandon](t, out)
-	if a.Cause != fate.Expired || a.Server != s.Server || len(of[Setup](out)) > 0 {
+	a := onlyEffect[Abandon](t, out)
+	if a.Cause != fate.Expired || a.Server != s.Server || len(effectsOf[Setup](out)) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	// A reply that comes after all is not answered; the shell tears it down.
+	// A late reply does not answer the request; the shell tears the stream down.
 	if out := r.step(Began{Session: s.Session, Attempt: s.Attempt}); answers(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	if next := one[Setup](t, r.step(Ended{Session: s.Session, Status: policy.TimedOut})); next.Attempt != 1 {
+	if next := onlyEffect[Setup](t, r.step(Ended{Session: s.Session, Status: policy.TimedOut})); next.Attempt != 1 {
 		t.Fatal(next)
 	}
 }
 
-func TestReplyTakenBeforeTheTimeOutThatItRaced(t *testing.T) {
-	r := newRig(t, nil)
-	s := one[Setup](t, r.ask(0))
-	r.now += 2 * policy.Second // the front stood still past the attempt's time, not past the player's
-	if out := r.step(Began{Session: s.Session}); len(of[Plays](out)) != 1 {
+func TestAcceptsReplyReadTogetherWithItsTimeout(t *testing.T) {
+	r := newHarness(t, nil)
+	s := onlyEffect[Setup](t, r.request(0))
+	r.now += 2 * policy.Second // the process paused past the attempt's timeout, not past the player's deadline
+	if out := r.step(Began{Session: s.Session}); len(effectsOf[Plays](out)) != 1 {
 		t.Fatalf("%+v", out)
 	}
-	if out := r.c.Advance(r.now); answers(out) > 0 || len(of[Abandon](out)) > 0 {
+	if out := r.core.Advance(r.now); answers(out) > 0 || len(effectsOf[Abandon](out)) > 0 {
 		t.Fatalf("%+v", out)
 	}
 }
 
-func TestReplyAfterThePlayersDeadlineIsTornDown(t *testing.T) {
-	r := newRig(t, nil)
-	s := one[Setup](t, r.ask(1))
+func TestAbandonsReplyAfterPlayerDeadline(t *testing.T) {
+	r := newHarness(t, nil)
+	s := onlyEffect[Setup](t, r.request(1))
 	r.now += 3 * policy.Second
 	out := r.step(Began{Session: s.Session})
-	if answers(out) > 0 || len(of[Abandon](out)) != 1 {
+	if answers(out) > 0 || len(effectsOf[Abandon](out)) != 1 {
 		t.Fatalf("%+v", out)
 	}
 	out = r.step(Ended{Session: s.Session, Status: policy.TimedOut})
-	one[Failed](t, out)
-	if r.c.Open() != 0 {
-		t.Fatal("still open")
+	onlyEffect[Failed](t, out)
+	if r.core.Open() != 0 {
+		t.Fatal("the request is still open")
 	}
 }
 
-func TestSilentModuleIsCaughtByTheLastLine(t *testing.T) {
-	r := newRig(t, mute{})
-	r.ask(0)
-	if out := r.pass(3979 * ms); answers(out) > 0 {
+func TestFailsRequestThatModuleNeverAnswers(t *testing.T) {
+	r := newHarness(t, silentModule{})
+	r.request(0)
+	if out := r.advance(3979 * ms); answers(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	out := r.pass(2 * ms)
-	one[Failed](t, out)
-	one[Fault](t, out)
-	if r.c.Held() != 0 || r.c.Stats().Faults != 1 {
-		t.Fatal(r.c.Held(), r.c.Stats())
+	out := r.advance(2 * ms)
+	onlyEffect[Failed](t, out)
+	onlyEffect[Fault](t, out)
+	if r.core.Held() != 0 || r.core.Stats().Faults != 1 {
+		t.Fatal(r.core.Held(), r.core.Stats())
 	}
 }
 
-type mute struct{}
+type silentModule struct{}
 
-func (mute) Handle(Time, policy.Event) []policy.Action { return nil }
+func (silentModule) Handle(Time, policy.Event) []policy.Action { return nil }
 
-// rogue is a module that does whatever it is told to on each request and outcome, and breaks rules by it.
-type rogue struct {
+// scriptedModule returns scripted actions for each request and outcome, to violate the safety rules.
+type scriptedModule struct {
 	onRequest, onOutcome func(id uint64) []policy.Action
 }
 
-func (m rogue) Handle(_ Time, e policy.Event) []policy.Action {
+func (m scriptedModule) Handle(_ Time, e policy.Event) []policy.Action {
 	switch e := e.(type) {
 	case policy.Request:
 		return m.onRequest(e.ID)
@@ -215,91 +221,96 @@
 	return nil
 }
 
-func TestLastLineHoldsARogueModule(t *testing.T) {
+func TestEnforcesSafetyRulesAgainstFaultyModule(t *testing.T) {
 	send := func(id uint64, to uint32) policy.Action { return policy.Send{ID: id, Server: to} }
 	for name, c := range map[string]struct {
 		class   int
-		m       rogue
+		m       scriptedModule
 		outcome policy.Status
 		setups  int
 		answers int
 	}{
-		"two attempts at once": {0, rogue{onRequest: func(id uint64) []policy.Action {
+		"two attempts at once": {0, scriptedModule{onRequest: func(id uint64) []policy.Action {
 			return []policy.Action{send(id, 1), send(id, 2)}
 		}}, 0, 1, 0},
-		"two answers": {0, rogue{onRequest: func(id uint64) []policy.Action {
+		"two answers": {0, scriptedModule{onRequest: func(id uint64) []policy.Action {
 			return []policy.Action{policy.Refuse{ID: id}, policy.Fail{ID: id}}
 		}}, 0, 0, 1},
-		"a server never listed": {0, rogue{onRequest: func(id uint64) []policy.Action {
+		"a server never listed": {0, scriptedModule{onRequest: func(id uint64) []policy.Action {
 			return []policy.Action{send(id, 9)}
 		}}, 0, 0, 0},
-		"paid again": {1, rogue{onRequest: func(id uint64) []policy.Action { return []policy.Action{send(id, 1)} },
+		"paid again": {1, scriptedModule{
+			onRequest: func(id uint64) []policy.Action { return []policy.Action{send(id, 1)} },
 			onOutcome: func(id uint64) []policy.Action { return []policy.Action{send(id, 2)} }}, policy.ResetConn, 1, 0},
-		"paid refused": {1, rogue{onRequest: func(id uint64) []policy.Action { return []policy.Action{send(id, 1)} },
-			onOutcome: func(id uint64) []policy.Action { return []policy.Action{policy.Refuse{ID: id}} }}, policy.TimedOut, 1, 1},
+		"paid refused": {1, scriptedModule{
+			onRequest: func(id uint64) []policy.Action { return []policy.Action{send(id, 1)} },
+			onOutcome: func(id uint64) []policy.Action { return []policy.Action{policy.Refuse{ID: id}} }},
+			policy.TimedOut, 1, 1},
 	} {
-		r := newRig(t, c.m)
-		all := append([]Effect(nil), r.ask(c.class)...)
-		if s := of[Setup](all); len(s) > 0 && c.outcome != 0 {
+		r := newHarness(t, c.m)
+		all := append([]Effect(nil), r.request(c.class)...)
+		if s := effectsOf[Setup](all); len(s) > 0 && c.outcome != 0 {
 			all = append(all, r.step(Ended{Session: s[0].Session, Status: c.outcome})...)
 		}
-		if len(of[Setup](all)) != c.setups || answers(all) != c.answers || r.c.Stats().Faults != 1 {
-			t.Errorf("%s: %+v, faults %d", name, all, r.c.Stats().Faults)
+		if len(effectsOf[Setup](all)) != c.setups || answers(all) != c.answers || r.core.Stats().Faults != 1 {
+			t.Errorf("%s: %+v, faults %d", name, all, r.core.Stats().Faults)
 		}
-		if name == "paid refused" && len(of[Failed](all)) != 1 {
+		if name == "paid refused" && len(effectsOf[Failed](all)) != 1 {
 			t.Errorf("%s: %+v", name, all)
 		}
-		all = append(all, r.pass(5*policy.Second)...)
-		for _, a := range of[Abandon](all) {
+		all = append(all, r.advance(5*policy.Second)...)
+		for _, a := range effectsOf[Abandon](all) {
 			all = append(all, r.step(Ended{Session: a.Session, Attempt: a.Attempt, Status: policy.TimedOut})...)
 		}
-		if answers(all) != 1 || r.c.Open() != 0 {
-			t.Errorf("%s: %d answers in the end", name, answers(all))
+		if answers(all) != 1 || r.core.Open() != 0 {
+			t.Errorf("%s: %d answers in total, want 1", name, answers(all))
 		}
 	}
 }
 
-func TestPlayerLeaves(t *testing.T) {
-	// Before the send: held for room, as no server is listed.
-	r := newRig(t, nil)
+// TestReleasesSessionWhenPlayerLeaves guards against sessions that stay here or at their server after their player
+// left.
+func TestReleasesSessionWhenPlayerLeaves(t *testing.T) {
+	// Before an attempt: the request waits because no server is listed.
+	r := newHarness(t, nil)
 	r.step(Listed{policy.List{Kind: policy.ListFull}})
-	r.ask(0)
+	r.request(0)
 	r.step(Leave{1})
-	if r.c.Held() != 0 || answers(r.pass(5*policy.Second)) > 0 {
-		t.Fatal("held on after the player left")
+	if r.core.Held() != 0 || answers(r.advance(5*policy.Second)) > 0 {
+		t.Fatal("the request is still held or was answered after its player left")
 	}
-	// Between send and reply.
-	r = newRig(t, nil)
-	s := one[Setup](t, r.ask(0))
-	if a := one[Abandon](t, r.step(Leave{s.Session})); a.Cause != fate.Withdrawn {
+	// While an attempt is in flight.
+	r = newHarness(t, nil)
+	s := onlyEffect[Setup](t, r.request(0))
+	if a := onlyEffect[Abandon](t, r.step(Leave{s.Session})); a.Cause != fate.Withdrawn {
 		t.Fatal(a)
 	}
-	if out := r.step(Ended{Session: s.Session, Status: policy.CancelledSt}); answers(out)+len(of[Setup](out)) > 0 {
+	if out := r.step(Ended{Session: s.Session, Status: policy.CancelledSt}); answers(out)+len(effectsOf[Setup](out)) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	if r.c.Held() != 0 {
+	if r.core.Held() != 0 {
 		t.Fatal("still held")
 	}
-	// While it plays.
-	r = newRig(t, nil)
-	s = one[Setup](t, r.ask(0))
+	// While the session plays.
+	r = newHarness(t, nil)
+	s = onlyEffect[Setup](t, r.request(0))
 	r.step(Began{Session: s.Session})
-	one[Stop](t, r.step(Leave{s.Session}))
-	if r.c.Held() != 0 {
+	onlyEffect[Stop](t, r.step(Leave{s.Session}))
+	if r.core.Held() != 0 {
 		t.Fatal("still held")
 	}
 }
 
-func TestDrainNoticeTakesBackWhatWasNotSent(t *testing.T) {
-	r := newRig(t, nil)
-	s := one[Setup](t, r.ask(0))
+func TestWithdrawsUnsentSetupsWhenServerDrains(t *testing.T) {
+	r := newHarness(t, nil)
+	s := onlyEffect[Setup](t, r.request(0))
 	out := r.step(Listed{policy.List{Kind: policy.ListDelta, Entries: entries(policy.Draining, s.Server)}})
-	if w := one[Withdraw](t, out); w.Server != s.Server {
+	if w := onlyEffect[Withdraw](t, out); w.Server != s.Server {
 		t.Fatal(w)
 	}
-	next := one[Setup](t, r.step(Ended{Session: s.Session, Status: policy.Moot}))
+	next := onlyEffect[Setup](t, r.step(Ended{Session: s.Session, Status: policy.Moot}))
 	if next.Server == s.Server {
-		t.Fatal("sent to a draining server")
+		t.Fatal("the next attempt went to a draining server")
 	}
 	var left []uint32
 	for _, id := range []uint32{1, 2, 3} {
@@ -308,137 +319,141 @@
 		}
 	}
 	out = r.step(Listed{policy.List{Kind: policy.ListFull, Entries: entries(policy.Ready, left...)}})
-	if w := one[Withdraw](t, out); w.Server != next.Server {
-		t.Fatal("a server missing from a full list", w)
+	if w := onlyEffect[Withdraw](t, out); w.Server != next.Server {
+		t.Fatal("the withdrawal for a server missing from a full list went to another server:", w)
 	}
 }
 
-func TestMovedPlayerComesAgainWithItsToken(t *testing.T) {
-	var asked []policy.Request
-	spy := rogue{onRequest: func(id uint64) []policy.Action { return []policy.Action{policy.Send{ID: id, Server: 1}} }}
-	r := newRig(t, tap{spy, &asked})
-	s := one[Setup](t, r.ask(0))
+func TestMoveTokenIsValidOnceForItsViewer(t *testing.T) {
+	var requests []policy.Request
+	sender := scriptedModule{onRequest: func(id uint64) []policy.Action {
+		return []policy.Action{policy.Send{ID: id, Server: 1}}
+	}}
+	r := newHarness(t, requestRecorder{sender, &requests})
+	s := onlyEffect[Setup](t, r.request(0))
 	r.step(Began{Session: s.Session})
-	r.c.move(r.c.sessions[s.Session])
-	token := r.c.tokens.order[0]
-	ask := func(viewer, token uint64) bool {
+	r.core.move(r.core.sessions[s.Session])
+	token := r.core.moveTokens.order[0]
+	moved := func(viewer, token uint64) bool {
 		r.step(Ask{Player: 1, Read: r.now, Viewer: viewer, Token: token, Copies: 3})
-		return asked[len(asked)-1].Moved
+		return requests[len(requests)-1].Moved
 	}
-	if ask(8, token) {
-		t.Error("another viewer's token taken")
+	if moved(8, token) {
+		t.Error("another viewer's token was accepted")
 	}
-	if !ask(9, token) || ask(9, token) {
-		t.Error("a token holds once")
+	if !moved(9, token) || moved(9, token) {
+		t.Error("a token must be accepted exactly once")
 	}
-	r.c.tokens.put(4, 9, r.now)
+	r.core.moveTokens.put(4, 9, r.now)
 	r.now += 11 * policy.Second
-	if ask(9, 4) {
-		t.Error("an old token taken")
+	if moved(9, 4) {
+		t.Error("an expired token was accepted")
 	}
 	for i := uint64(10); i < 13; i++ {
-		r.c.tokens.put(i, 9, r.now)
+		r.core.moveTokens.put(i, 9, r.now)
 	}
-	if ask(9, 10) || !ask(9, 12) || len(r.c.tokens.byToken) > 2 {
-		t.Error("tokens are not bounded")
+	if moved(9, 10) || !moved(9, 12) || len(r.core.moveTokens.byToken) > 2 {
+		t.Error("the number of tokens is not bounded")
 	}
 }
 
-type tap struct {
+type requestRecorder struct {
 	Module
-	asked *[]policy.Request
+	requests *[]policy.Request
 }
 
-func (m tap) Handle(now Time, e policy.Event) []policy.Action {
+func (m requestRecorder) Handle(now Time, e policy.Event) []policy.Action {
 	if q, ok := e.(policy.Request); ok {
-		*m.asked = append(*m.asked, q)
+		*m.requests = append(*m.requests, q)
 	}
 	return m.Module.Handle(now, e)
 }
 
-func TestLeavingFrontAnswersWhatItHolds(t *testing.T) {
-	r := newRig(t, nil)
-	playing := one[Setup](t, r.ask(0))
+func TestLeavingFrontAnswersAllRequests(t *testing.T) {
+	r := newHarness(t, nil)
+	playing := onlyEffect[Setup](t, r.request(0))
 	r.step(Began{Session: playing.Session})
-	r.ask(0)
-	r.ask(1)
+	r.request(0)
+	r.request(1)
 	out := r.step(Ask{Player: 1, Read: r.now, Copies: 3, Draining: true})
-	one[Refused](t, out)
+	onlyEffect[Refused](t, out)
 	out = r.step(CloseAll{})
-	if len(of[Refused](out)) != 1 || len(of[Failed](out)) != 1 || len(of[Over](out)) != 1 || len(of[Stop](out)) != 1 {
+	if len(effectsOf[Refused](out)) != 1 || len(effectsOf[Failed](out)) != 1 || len(effectsOf[Over](out)) != 1 ||
+		len(effectsOf[Stop](out)) != 1 {
 		t.Fatalf("%+v", out)
 	}
-	for _, a := range of[Abandon](out) {
+	for _, a := range effectsOf[Abandon](out) {
 		r.step(Ended{Session: a.Session, Attempt: a.Attempt, Status: policy.CancelledSt})
 	}
-	if r.c.Held() != 0 || r.c.Open() != 0 {
-		t.Fatal(r.c.Held(), r.c.Open())
+	if r.core.Held() != 0 || r.core.Open() != 0 {
+		t.Fatal(r.core.Held(), r.core.Open())
 	}
 }
 
-func TestASessionOutlivesABreakAndIsResumedOnce(t *testing.T) {
-	r := newRig(t, nil)
-	s := one[Setup](t, r.ask(0))
-	p := one[Plays](t, r.step(Began{Session: s.Session}))
+func TestResumesSessionAfterLostConnection(t *testing.T) {
+	r := newHarness(t, nil)
+	s := onlyEffect[Setup](t, r.request(0))
+	p := onlyEffect[Plays](t, r.step(Began{Session: s.Session}))
 	if out := r.step(Detach{s.Session}); len(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	r.pass(2 * policy.Second)
-	one[Unknown](t, r.step(Resume{s.Session, p.Token + 1, 88}))
-	got := one[Resumed](t, r.step(Resume{s.Session, p.Token, 88}))
-	if got.Old != 77 || got.Server != s.Server {
+	r.advance(2 * policy.Second)
+	onlyEffect[Unknown](t, r.step(Resume{s.Session, p.Token + 1, 88}))
+	got := onlyEffect[Resumed](t, r.step(Resume{s.Session, p.Token, 88}))
+	if got.OldPlayer != 77 || got.Server != s.Server {
 		t.Fatalf("%+v", got)
 	}
-	if out := r.pass(5 * policy.Second); len(of[Stop](out)) > 0 {
-		t.Fatal("ended by the time-out of a break that is over")
+	if out := r.advance(5 * policy.Second); len(effectsOf[Stop](out)) > 0 {
+		t.Fatal("ended by the timer of a detachment that is over")
 	}
 	r.step(Detach{s.Session})
-	out := r.pass(3100 * ms)
-	one[Stop](t, out)
-	one[Unknown](t, r.step(Resume{s.Session, p.Token, 89}))
-	if r.c.Held() != 0 || answers(out) > 0 || r.c.Stats().Attempts != 1 {
-		t.Fatal(r.c.Held(), out, r.c.Stats())
+	out := r.advance(3100 * ms)
+	onlyEffect[Stop](t, out)
+	onlyEffect[Unknown](t, r.step(Resume{s.Session, p.Token, 89}))
+	if r.core.Held() != 0 || answers(out) > 0 || r.core.Stats().Attempts != 1 {
+		t.Fatal(r.core.Held(), out, r.core.Stats())
 	}
 }
 
-func TestAViewerThatAsksAnewGivesUpItsDetachedSession(t *testing.T) {
-	r := newRig(t, nil)
-	s := one[Setup](t, r.ask(0))
+func TestNewRequestEndsDetachedSession(t *testing.T) {
+	r := newHarness(t, nil)
+	s := onlyEffect[Setup](t, r.request(0))
 	r.step(Began{Session: s.Session})
 	r.step(Detach{s.Session})
-	out := r.ask(0)
-	if stop := one[Stop](t, out); stop.Session != s.Session || one[Over](t, out).Why != WhyLeft || one[Setup](t, out).Session == s.Session {
+	out := r.request(0)
+	if stop := onlyEffect[Stop](t, out); stop.Session != s.Session || onlyEffect[Over](t, out).Why != WhyLeft ||
+		onlyEffect[Setup](t, out).Session == s.Session {
 		t.Fatalf("%+v", out)
 	}
-	if r.c.Held() != 1 || len(r.c.alone) != 0 {
-		t.Fatal(r.c.Held(), r.c.alone)
+	if r.core.Held() != 1 || len(r.core.detached) != 0 {
+		t.Fatal(r.core.Held(), r.core.detached)
 	}
 }
 
-func TestABreakBeforeTheAnswerEndsTheRequest(t *testing.T) {
-	r := newRig(t, nil)
-	s := one[Setup](t, r.ask(1))
-	one[Abandon](t, r.step(Detach{s.Session}))
-	one[Unknown](t, r.step(Resume{s.Session, 0, 88})) // no token was ever given
+func TestLostConnectionBeforeAnswerEndsRequest(t *testing.T) {
+	r := newHarness(t, nil)
+	s := onlyEffect[Setup](t, r.request(1))
+	onlyEffect[Abandon](t, r.step(Detach{s.Session}))
+	onlyEffect[Unknown](t, r.step(Resume{s.Session, 0, 88})) // no token was issued
 	if out := r.step(Began{Session: s.Session}); answers(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
 }
 
-func TestRequestReadTooLateIsAnsweredAndNotBegun(t *testing.T) {
-	r := newRig(t, nil)
+func TestFailsRequestReadPastDeadline(t *testing.T) {
+	r := newHarness(t, nil)
 	out := r.step(Ask{Player: 1, Read: r.now - 4*policy.Second, Copies: 3})
-	one[Failed](t, out)
-	if len(of[Setup](out)) > 0 {
+	onlyEffect[Failed](t, out)
+	if len(effectsOf[Setup](out)) > 0 {
 		t.Fatalf("%+v", out)
 	}
 }
 
-func TestSameEventsSameEffects(t *testing.T) {
+func TestSameEventsGiveSameEffects(t *testing.T) {
 	run := func() (trace []string) {
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		for i := 0; i < 40; i++ {
-			for _, s := range of[Setup](r.ask(i % 3)) {
+			for _, s := range effectsOf[Setup](r.request(i % 3)) {
 				trace = append(trace, strings.Repeat("s", int(s.Server)))
 				if i%4 == 0 {
 					r.step(Ended{Session: s.Session, Attempt: s.Attempt, Status: policy.ResetConn})
@@ -446,7 +461,7 @@
 					r.step(Began{Session: s.Session, Attempt: s.Attempt, Report: []float64{0.5, 0.2}})
 				}
 			}
-			r.pass(37 * ms)
+			r.advance(37 * ms)
 		}
 		return trace
 	}
@@ -455,52 +470,54 @@
 	}
 }
 
-// TestAnAdoptedSessionIsResumedOrEnds: it counts from the first, is resumed by its token alone, and ends when nobody
-// comes; nothing is set up for it and nobody is answered but who resumes.
-func TestAnAdoptedSessionIsResumedOrEnds(t *testing.T) {
-	r := newRig(t, nil)
-	old := Ask{Title: 5, Copies: 3, Class: 1, Viewer: 9, Top: 3, Token: 321}
-	all := r.step(Adopt{Ask: old, ID: 500, Server: 2, Attempt: 1, Rung: 2, Until: r.now + 3*policy.Second})
-	if len(of[Setup](all))+answers(all) > 0 || r.c.Held() != 1 || r.c.Open() != 0 {
+// TestRestoredSessionIsResumedOrEnds guards against restored sessions that are set up or answered again, are resumed
+// without their token, or stay forever when nobody resumes them. They count as held from the first.
+func TestRestoredSessionIsResumedOrEnds(t *testing.T) {
+	r := newHarness(t, nil)
+	request := Ask{Title: 5, Copies: 3, Class: 1, Viewer: 9, Top: 3, Token: 321}
+	all := r.step(Adopt{Ask: request, ID: 500, Server: 2, Attempt: 1, Rung: 2, Until: r.now + 3*policy.Second})
+	if len(effectsOf[Setup](all))+answers(all) > 0 || r.core.Held() != 1 || r.core.Open() != 0 {
 		t.Fatalf("%+v", all)
 	}
-	one[Unknown](t, r.step(Resume{Session: 500, Token: 322, Player: 1}))
-	if got := one[Resumed](t, r.step(Resume{Session: 500, Token: 321, Player: 2})); got.Server != 2 {
+	onlyEffect[Unknown](t, r.step(Resume{Session: 500, Token: 322, Player: 1}))
+	if got := onlyEffect[Resumed](t, r.step(Resume{Session: 500, Token: 321, Player: 2})); got.Server != 2 {
 		t.Fatal(got)
 	}
-	if all := r.pass(5 * policy.Second); len(of[Stop](all)) > 0 {
-		t.Fatal("ended though it was resumed")
+	if all := r.advance(5 * policy.Second); len(effectsOf[Stop](all)) > 0 {
+		t.Fatal("ended although it was resumed")
 	}
-	if s := one[Setup](t, r.ask(0)); s.Session <= 500 {
-		t.Error("a number was given twice:", s.Session)
+	if s := onlyEffect[Setup](t, r.request(0)); s.Session <= 500 {
+		t.Error("a session ID was assigned twice:", s.Session)
 	}
-	r = newRig(t, nil)
-	r.step(Adopt{Ask: old, ID: 500, Server: 2, Until: r.now + 3*policy.Second})
-	one[Stop](t, r.pass(4*policy.Second))
-	one[Unknown](t, r.step(Resume{Session: 500, Token: 321, Player: 2}))
-	// Its server no longer knows it.
-	r = newRig(t, nil)
-	r.step(Adopt{Ask: old, ID: 500, Server: 2, Until: r.now + 3*policy.Second})
+	r = newHarness(t, nil)
+	r.step(Adopt{Ask: request, ID: 500, Server: 2, Until: r.now + 3*policy.Second})
+	onlyEffect[Stop](t, r.advance(4*policy.Second))
+	onlyEffect[Unknown](t, r.step(Resume{Session: 500, Token: 321, Player: 2}))
+	// The server no longer knows the stream.
+	r = newHarness(t, nil)
+	r.step(Adopt{Ask: request, ID: 500, Server: 2, Until: r.now + 3*policy.Second})
 	r.step(Ended{Session: 500, Status: policy.ResetConn})
-	one[Unknown](t, r.step(Resume{Session: 500, Token: 321, Player: 2}))
-	if r.c.Held() != 0 || r.c.Stats().Faults > 0 {
-		t.Error(r.c.Held(), r.c.Stats())
+	onlyEffect[Unknown](t, r.step(Resume{Session: 500, Token: 321, Player: 2}))
+	if r.core.Held() != 0 || r.core.Stats().Faults > 0 {
+		t.Error(r.core.Held(), r.core.Stats())
 	}
 }
 
-// TestAGhostHoldsItsSeatAndNothingElse: a paid set-up of an earlier life that may have run counts against the title's
-// seats until no server can hold it any more, can't be resumed and is not sent again.
-func TestAGhostHoldsItsSeatAndNothingElse(t *testing.T) {
+// TestUnconfirmedPaidSetupKeepsItsSeat guards against a second use of a paid seat after a restart: a paid set-up from
+// before it that may have run occupies its seat until no server can still hold it, can't be resumed and is not sent
+// again.
+func TestUnconfirmedPaidSetupKeepsItsSeat(t *testing.T) {
 	set := settings()
 	set.Classes[1].Seats = 1
-	r := &rig{t: t, now: start, c: New(Config{Settings: set, Module: policy.New(set, 1), Token: func() uint64 { return 4 },
-		AnswerMargin: 50 * ms, LastLine: 20 * ms, ResumeFor: 3 * policy.Second})}
+	r := &harness{t: t, now: start, core: New(Config{Settings: set, Module: policy.New(set, 1),
+		Token: func() uint64 { return 4 }, AnswerMargin: 50 * ms, LastLine: 20 * ms, ResumeFor: 3 * policy.Second})}
 	r.step(Listed{policy.List{Kind: policy.ListFull, Entries: entries(policy.Ready, 1, 2, 3)}})
-	r.step(Adopt{Ask: Ask{Title: 5, Copies: 3, Class: 1, Viewer: 9}, ID: 500, Server: 2, Until: r.now + 20*policy.Second, Ghost: true})
-	one[Unknown](t, r.step(Resume{Session: 500, Token: 0, Player: 1}))
-	if all := append(r.ask(1), r.pass(5*policy.Second)...); len(of[Setup](all)) > 0 {
-		t.Fatalf("its seat was given away: %+v", all)
-	}
-	r.pass(20 * policy.Second)
-	one[Setup](t, r.ask(1))
+	r.step(Adopt{Ask: Ask{Title: 5, Copies: 3, Class: 1, Viewer: 9}, ID: 500, Server: 2,
+		Until: r.now + 20*policy.Second, Ghost: true})
+	onlyEffect[Unknown](t, r.step(Resume{Session: 500, Token: 0, Player: 1}))
+	if all := append(r.request(1), r.advance(5*policy.Second)...); len(effectsOf[Setup](all)) > 0 {
+		t.Fatalf("its seat was assigned to another session: %+v", all)
+	}
+	r.advance(20 * policy.Second)
+	onlyEffect[Setup](t, r.request(1))
 }
--- a/internal/front/platform_test.go
+++ b/internal/front/platform_test.go
@@ -6,54 +6,55 @@
 	"tealledge/policy"
 )
 
-// What the operators' platform needs of the core: ids that viewers give, viewers known by their numbers, descriptions,
-// sessions handed over that their viewers hold.
+// These tests cover what the operators' platform needs from the core: session IDs chosen by the viewers, viewers
+// identified by their IDs alone, descriptions, and restored sessions whose viewers are still connected.
 
-func knownRig(t *testing.T) *rig {
+func newTrustingHarness(t *testing.T) *harness {
 	set := settings()
-	r := &rig{t: t, now: start, c: New(Config{Settings: set, Module: policy.New(set, 1), AnswerMargin: 50 * ms, LastLine: 20 * ms,
-		MovedFor: 10 * policy.Second, MovedMost: 2, KnownViewers: true})}
+	r := &harness{t: t, now: start, core: New(Config{Settings: set, Module: policy.New(set, 1), AnswerMargin: 50 * ms,
+		LastLine: 20 * ms, MovedFor: 10 * policy.Second, MovedMost: 2, KnownViewers: true})}
 	r.step(Listed{policy.List{Kind: policy.ListFull, Entries: entries(policy.Ready, 1, 2, 3)}})
 	return r
 }
 
-func (r *rig) named(id, viewer uint64) []Effect {
-	return r.step(Ask{ID: id, Player: 77, Read: r.now, Wait: 900 * ms, Title: 5, Copies: 3, Class: 1, Viewer: viewer, Top: 3, Text: "who"})
+func (r *harness) requestWithID(id, viewer uint64) []Effect {
+	return r.step(Ask{ID: id, Player: 77, Read: r.now, Wait: 900 * ms, Title: 5, Copies: 3, Class: 1, Viewer: viewer,
+		Top: 3, Text: "who"})
 }
 
-func TestIdsAndDescriptionsPassUnchanged(t *testing.T) {
-	r := knownRig(t)
+func TestPassesIDsAndDescriptionsUnchanged(t *testing.T) {
+	r := newTrustingHarness(t)
 	const id = 0xfedcba9876543210
-	s := one[Setup](t, r.named(id, 9))
+	s := onlyEffect[Setup](t, r.requestWithID(id, 9))
 	if s.Session != id || s.Text != "who" || s.Within <= 0 || s.Within > 900*ms {
 		t.Fatalf("%+v", s)
 	}
-	if !r.c.Known(id) || r.c.Known(id+1) {
-		t.Error("known")
+	if !r.core.Known(id) || r.core.Known(id+1) {
+		t.Error("IDInUse is wrong")
 	}
-	p := one[Plays](t, r.step(Began{Session: id, Text: "mine"}))
+	p := onlyEffect[Plays](t, r.step(Began{Session: id, Text: "mine"}))
 	if p.Session != id || p.Text != "mine" || p.Player != 77 {
 		t.Errorf("%+v", p)
 	}
-	if r.c.sessions[id].ask.Text != "" {
-		t.Error("a description is kept while it plays")
+	if r.core.sessions[id].request.Text != "" {
+		t.Error("the description is kept while the session plays")
 	}
-	if out := r.named(id, 10); len(of[Setup](out)) != 0 || one[Fault](t, out).Text == "" {
-		t.Errorf("two under one id: %+v", out)
+	if out := r.requestWithID(id, 10); len(effectsOf[Setup](out)) != 0 || onlyEffect[Fault](t, out).Text == "" {
+		t.Errorf("a second request with the same ID: %+v", out)
 	}
-	over := one[Over](t, r.step(Ended{Session: id, Status: policy.CancelledSt}))
-	if over.Why != WhyLeft || r.c.Known(id) {
+	over := onlyEffect[Over](t, r.step(Ended{Session: id, Status: policy.CancelledSt}))
+	if over.Why != WhyLeft || r.core.Known(id) {
 		t.Errorf("%+v", over)
 	}
 }
 
-// mover asks for a move at the first note, and remembers what requests it saw.
-type mover struct{ seen []policy.Ask }
+// movingModule moves a session at each note and records the requests.
+type movingModule struct{ requests []policy.Ask }
 
-func (m *mover) Handle(now Time, e policy.Event) []policy.Action {
+func (m *movingModule) Handle(now Time, e policy.Event) []policy.Action {
 	switch e := e.(type) {
 	case policy.Request:
-		m.seen = append(m.seen, e.Ask)
+		m.requests = append(m.requests, e.Ask)
 		return []policy.Action{policy.Send{ID: e.ID, Server: 1}}
 	case policy.Note:
 		return []policy.Action{policy.Move{ID: e.ID}}
@@ -61,49 +62,52 @@
 	return nil
 }
 
-func TestAMovedViewerIsKnownByItsNumber(t *testing.T) {
-	r := knownRig(t)
-	m := &mover{}
-	r.c.cfg.Module = m
-	r.named(1, 9)
+func TestIdentifiesMovedViewerByID(t *testing.T) {
+	r := newTrustingHarness(t)
+	m := &movingModule{}
+	r.core.cfg.Module = m
+	r.requestWithID(1, 9)
 	r.step(Began{Session: 1})
 	out := r.step(Note{Session: 1, Kind: policy.NoteShare, Value: 0.1})
-	if !one[Stop](t, out).Moved || len(of[Moved](out)) != 1 {
+	if !onlyEffect[Stop](t, out).Moved || len(effectsOf[Moved](out)) != 1 {
 		t.Fatalf("%+v", out)
 	}
-	r.named(2, 9)  // the one that was moved
-	r.named(3, 10) // another
-	r.named(4, 9)  // once only
+	r.requestWithID(2, 9)  // the moved viewer
+	r.requestWithID(3, 10) // another viewer
+	r.requestWithID(4, 9)  // the move counts once only
 	for i, want := range []bool{false, true, false, false} {
-		if m.seen[i].Moved != want {
-			t.Errorf("request %d: moved %v", i+1, m.seen[i].Moved)
+		if m.requests[i].Moved != want {
+			t.Errorf("request %d: moved %v", i+1, m.requests[i].Moved)
 		}
 	}
 }
 
-func TestASessionThatItsViewerHoldsAlready(t *testing.T) {
-	r := knownRig(t)
-	r.step(Adopt{ID: 5, Server: 1, Held: true, Ask: Ask{Player: 77, Title: 5, Copies: 3, Class: 1, Viewer: 9, Top: 3, Text: "who"}})
-	r.pass(30 * policy.Second) // nobody has to resume it
-	if !r.c.Holds(5) {
-		t.Fatal("given away")
+// TestKeepsRestoredSessionWithConnectedViewer guards against the end of a restored session whose viewer is still
+// connected and therefore never resumes it.
+func TestKeepsRestoredSessionWithConnectedViewer(t *testing.T) {
+	r := newTrustingHarness(t)
+	r.step(Adopt{ID: 5, Server: 1, Held: true,
+		Ask: Ask{Player: 77, Title: 5, Copies: 3, Class: 1, Viewer: 9, Top: 3, Text: "who"}})
+	r.advance(30 * policy.Second) // it needs no resume
+	if !r.core.Holds(5) {
+		t.Fatal("the session ended")
 	}
-	r.named(6, 9) // its viewer's next session does not end it
-	if !r.c.Holds(5) {
-		t.Fatal("superseded")
+	r.requestWithID(6, 9) // another request of its viewer does not end it
+	if !r.core.Holds(5) {
+		t.Fatal("the session was superseded")
 	}
-	if s := one[Stop](t, r.step(Leave{Session: 5})); s.Session != 5 || s.Server != 1 || r.c.Known(5) {
+	if s := onlyEffect[Stop](t, r.step(Leave{Session: 5})); s.Session != 5 || s.Server != 1 || r.core.Known(5) {
 		t.Errorf("%+v", s)
 	}
 }
 
-func TestServersThatLeftAreForgotten(t *testing.T) {
-	r := knownRig(t)
+func TestRemovesServersThatLeftTheList(t *testing.T) {
+	r := newTrustingHarness(t)
 	for id := uint32(10); id < 60; id++ {
 		r.step(Listed{policy.List{Kind: policy.ListDelta, Entries: entries(policy.Ready, id)}})
 		r.step(Listed{policy.List{Kind: policy.ListDelta, Entries: entries(policy.Removed, id)}})
 	}
-	if len(r.c.ready) != 3 {
-		t.Errorf("%d servers are kept", len(r.c.ready))
+	if len(r.core.readyServers) != 3 {
+		t.Errorf("%d servers kept, want 3", len(r.core.readyServers))
 	}
 }
--- a/internal/front/timers.go
+++ b/internal/front/timers.go
@@ -2,14 +2,14 @@
 
 import "tealledge/internal/wheel"
 
-// timerKind tells what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
-	timerModule   timerKind = iota // the module's own; token
-	timerAttempt                   // an attempt's time is up
-	timerLastLine                  // a request must have its answer now
-	timerDetached                  // a session whose player is gone was not resumed
+	timerModule   timerKind = iota // set by the module; carries its token
+	timerAttempt                   // an attempt timed out
+	timerFailsafe                  // a request is still unanswered shortly before its deadline
+	timerResume                    // a detached session was not resumed in time
 )
 
 type timer struct {
@@ -20,58 +20,59 @@
 	attempt int
 }
 
-// wheelTick is what a slot of the timing wheel spans; timers keep their exact times.
+// wheelTick is the width of a timing wheel slot, 1 ms; timers keep their exact times.
 const wheelTick = Time(1e6)
 
-// timers is a wheel that starts with the first event.
-type timers struct{ w *wheel.Wheel[timer] }
+// timers is a timing wheel that starts with the first event.
+type timers struct{ queue *wheel.Wheel[timer] }
 
-func (t *timers) begin(now Time) {
-	if t.w == nil {
-		t.w = wheel.New[timer](wheelTick, now)
+func (t *timers) start(now Time) {
+	if t.queue == nil {
+		t.queue = wheel.New[timer](wheelTick, now)
 	}
 }
 
-func (t *timers) set(x timer) { t.w.Set(x.at, x) }
+func (t *timers) set(x timer) { t.queue.Set(x.at, x) }
 
-// due takes the first timer that is due, if any.
-func (t *timers) due(now Time) (timer, bool) { return t.w.Pop(now) }
+// popDue removes and returns the first timer that is due, if any.
+func (t *timers) popDue(now Time) (timer, bool) { return t.queue.Pop(now) }
 
-// Next gives the time at which Advance is to be called; ok is false if nothing waits.
+// Next returns the time at which Advance should be called; ok is false if no timer is set.
 func (c *Core) Next() (at Time, ok bool) {
-	if c.timers.w == nil {
+	if c.timers.queue == nil {
 		return 0, false
 	}
-	return c.timers.w.Next()
+	return c.timers.queue.Next()
 }
 
-// Essence gives all that decides how the core goes on, to compare two states: sessions, what is known of servers and
-// tokens, the module, and the timers that wait. Counters are left out.
+// ComparisonState returns all state that affects the core's future behaviour, so that two states can be compared:
+// sessions, readiness of servers, tokens, the module and the pending timers. Counters are left out.
 func (c *Core) Essence() any {
-	var waiting []wheel.Waiting[timer]
-	if c.timers.w != nil {
-		waiting = c.timers.w.All()
+	var pending []wheel.PendingTimer[timer]
+	if c.timers.queue != nil {
+		pending = c.timers.queue.All()
 	}
 	return struct {
 		Sessions map[uint64]*session
-		Open     int
+		Requests int
 		Ready    map[uint32]bool
-		Tokens   tokens
-		Alone    map[uint64]uint64
+		Tokens   moveTokens
+		Detached map[uint64]uint64
 		Closing  bool
-		Next     uint64
-		Waiting  []wheel.Waiting[timer]
+		NextID   uint64
+		Timers   []wheel.PendingTimer[timer]
 		Module   Module
-	}{c.sessions, c.open, c.ready, c.tokens, c.alone, c.closing, c.nextID, waiting, c.cfg.Module}
+	}{c.sessions, c.openRequests, c.readyServers, c.moveTokens, c.detached, c.closing, c.nextID, pending,
+		c.cfg.Module}
 }
 
-// NextOwn gives the first time at which something of the core's own runs out: an attempt that is out, a request without
-// its answer, a player's absence. The module's housekeeping does not count, nor what has ended meanwhile.
+// NextSessionTimer returns the time of the core's own next timer: for an attempt in flight, an unanswered request or a
+// detached session. The module's timers and timers without effect on their session any more do not count.
 func (c *Core) NextOwn() (at Time, ok bool) {
-	if c.timers.w == nil {
+	if c.timers.queue == nil {
 		return 0, false
 	}
-	for _, t := range c.timers.w.All() {
+	for _, t := range c.timers.queue.All() {
 		s := c.sessions[t.Item.session]
 		if s == nil {
 			continue
@@ -79,11 +80,11 @@
 		matters := false
 		switch t.Item.kind {
 		case timerAttempt:
-			matters = s.out && !s.dropped && s.attempts-1 == t.Item.attempt
-		case timerLastLine:
-			matters = !s.answered && !s.left
-		case timerDetached:
-			matters = s.alone && s.detached == t.Item.attempt
+			matters = s.inFlight && !s.abandoned && s.attempts-1 == t.Item.attempt
+		case timerFailsafe:
+			matters = !s.answered && !s.closed
+		case timerResume:
+			matters = s.detached && s.detachCount == t.Item.attempt
 		}
 		if matters && (!ok || t.At < at) {
 			at, ok = t.At, true
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -8,25 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// plain is the heap that the wheel is checked and measured against.
-type plain []entry[int]
+// referenceHeap is the heap that the wheel is tested and benchmarked against.
+type referenceHeap []entry[int]
 
-func (h plain) Len() int           { return len(h) }
-func (h plain) Less(i, j int) bool { return compare(h[i], h[j]) < 0 }
-func (h plain) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *plain) Push(x any)        { *h = append(*h, x.(entry[int])) }
-func (h *plain) Pop() any {
+func (h referenceHeap) Len() int           { return len(h) }
+func (h referenceHeap) Less(i, j int) bool { return compare(h[i], h[j]) < 0 }
+func (h referenceHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *referenceHeap) Push(x any)        { *h = append(*h, x.(entry[int])) }
+func (h *referenceHeap) Pop() any {
 	x := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return x
 }
 
-// TestSameAsAHeap drives both with the same steps: the same items come, in the same order, at the same calls.
-func TestSameAsAHeap(t *testing.T) {
+// TestReturnsSameTimersAsHeap drives a wheel and a heap with the same steps: both must return the same items in the
+// same order at the same calls.
+func TestReturnsSameTimersAsHeap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const tick = 1000
 		now := rapid.Int64Range(0, 1<<50).Draw(t, "start")
-		w, h, seq := New[int](tick, now), &plain{}, uint64(0)
+		w, h, seq := New[int](tick, now), &referenceHeap{}, uint64(0)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "set") {
 				far := []int64{5, tick, 300 * tick, 70_000 * tick, 1 << 35, 1 << 45}[rapid.IntRange(0, 5).Draw(t, "scale")]
@@ -37,7 +38,7 @@
 				continue
 			}
 			if next, ok := w.Next(); ok != (h.Len() > 0) || ok && next > max((*h)[0].at, now) {
-				t.Fatalf("next %d, %v; the first is at %v", next, ok, (*h)[0].at)
+				t.Fatalf("next %d, %v; the first timer is at %v", next, ok, (*h)[0].at)
 			}
 			now += rapid.Int64Range(0, []int64{10, 2 * tick, 400 * tick, 1 << 33, 1 << 44}[rapid.IntRange(0, 4).Draw(t, "pass")]).Draw(t, "by")
 			for {
@@ -54,29 +55,30 @@
 				}
 			}
 			if w.Len() != h.Len() {
-				t.Fatalf("%d wait, want %d", w.Len(), h.Len())
+				t.Fatalf("%d timers pending, want %d", w.Len(), h.Len())
 			}
 		}
 	})
 }
 
-// TestNextIsExactNearby: within the lowest level the owner is woken at the timer's own time, not the slot's.
-func TestNextIsExactNearby(t *testing.T) {
+// TestNextIsExactWithinLowestLevel: within the lowest level Next returns the timer's own time, not that of its slot:
+// the owner would wake up too early.
+func TestNextIsExactWithinLowestLevel(t *testing.T) {
 	w := New[int](1000, 0)
 	w.Set(5432, 1)
 	if at, ok := w.Next(); !ok || at != 5432 {
 		t.Fatal(at, ok)
 	}
 	if _, ok := w.Pop(5431); ok {
-		t.Fatal("too early")
+		t.Fatal("timer popped before its time")
 	}
 	if _, ok := w.Pop(5432); !ok {
-		t.Fatal("not due")
+		t.Fatal("timer not popped at its time")
 	}
 }
 
-// The benchmarks are what a front does: per request two timers of 1 to 4 s, while time passes and others fall due,
-// with so many waiting.
+// benchmark simulates the load of a front: timers of 1 to 4 s are set, two per request, while time passes and other
+// timers fall due, with a constant number of pending timers.
 func benchmark(b *testing.B, waiting int, set func(int64), pop func(int64) bool) {
 	rng := rand.New(rand.NewSource(1))
 	now := int64(1e15)
@@ -106,7 +108,7 @@
 func BenchmarkHeap(b *testing.B) {
 	for _, n := range []int{1000, 50_000} {
 		b.Run(map[int]string{1000: "1k", 50_000: "50k"}[n], func(b *testing.B) {
-			h, seq := &plain{}, uint64(0)
+			h, seq := &referenceHeap{}, uint64(0)
 			benchmark(b, n, func(at int64) { seq++; heap.Push(h, entry[int]{at, seq, 1}) }, func(now int64) bool {
 				if h.Len() == 0 || (*h)[0].at > now {
 					return false
