--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,10 +1,10 @@
-// Package exchange speaks RTSP 2.0 (RFC 7826) with the media servers for one front: one persistent, pipelined
-// connection a server. It is a pure state machine: the core's effects and what the connections bring go in, bytes
-// to write and events for the core come out. The shell that owns the sockets is internal/media.
+// Package exchange implements one front's side of RTSP 2.0 (RFC 7826) with the media servers, over one persistent,
+// pipelined connection per server. It is a pure state machine: it takes the core's effects and the connections' input,
+// and returns bytes to write and events for the core. The shell that owns the sockets is internal/media.
 //
-// An attempt is SETUP and PLAY written together, bound by a Pipelined-Requests header (section 18.33), so that it
-// costs one round trip. An attempt given up on is followed by a TEARDOWN bound by the same header: a server that
-// runs the set-up after all tears it down at once, whether or not its reply is ever read.
+// An attempt is a SETUP and a PLAY written together and linked by a Pipelined-Requests header (section 18.33), so that
+// it takes one round trip. An abandoned attempt is followed by a TEARDOWN with the same header: a server that executes
+// the set-up after all tears it down at once, whether or not its reply is ever read.
 package exchange
 
 import (
@@ -18,151 +18,153 @@
 	"tealledge/policy"
 )
 
-// Time is a clock reading or span in nanoseconds.
+// Time is a point of time or a duration in nanoseconds.
 type Time = policy.Time
 
-// Headers of our own. They name a session and attempt, so that what crossed the sockets can be matched later.
+// Private headers. They name the session and attempt, so that recorded traffic can be matched later.
 const (
 	HeaderAttempt = "Tealledge-Attempt" // FRONT/SESSION/ATTEMPT
-	HeaderClass   = "Tealledge-Class"   // the class's number
+	HeaderClass   = "Tealledge-Class"   // the class number
 	HeaderRung    = "Tealledge-Rung"
 	HeaderViewer  = "Tealledge-Viewer"
 )
 
-// Config is what a desk is started with.
+// Config configures a Protocol.
 type Config struct {
-	Front     string // this front's name, in its attempts' ids
+	Front     string // name of this front, part of its attempt IDs
 	Fields    []policy.Field
-	ProbeWait Time // a probe unanswered for so long has failed
-	Stall     Time // a connection with calls waiting and nothing read for so long is closed
-	KeepAlive Time // an idle connection is checked with OPTIONS so often
+	ProbeWait Time // a probe unanswered for this long has failed
+	Stall     Time // a connection with unanswered requests and nothing read for this long is closed
+	KeepAlive Time // interval of OPTIONS requests on an idle connection
 	TitleName func(uint64) string
-	Connect   Time   // a connection must stand, and have answered once, within
-	IdleClose Time   // a connection without sessions that was not used for so long is closed; 0: never
-	Aims      []Time // of the classes: a connect that takes too long of one is given up for the next holder
-	Draw      func() float64
+	Connect   Time           // a connection must be established and have answered once within this time
+	IdleClose Time           // a connection without sessions that is unused for this long is closed; 0: never
+	Aims      []Time         // per class: a connect that takes too much of the aim is abandoned for the next holder
+	Draw      func() float64 // from 0 to 1; spreads the fronts' dials after a server restart
 }
 
-// Act is what the shell is to do with a connection. Exactly one of Dial, Close and Bytes is set.
+// Effect is an operation on a connection for the shell to carry out. Exactly one of Dial, Close and Bytes is set.
 type Act struct {
 	Server uint32
 	Conn   uint64
 	Dial   string // address to connect to
-	Within Time   // for a dial
+	Within Time   // dial timeout
 	Close  bool
 	Bytes  []byte
 }
 
-// Desk holds the dialogues with all servers.
+// Protocol holds the RTSP state of all servers.
 type Desk struct {
-	cfg    Config
-	now    Time
-	lines  map[uint32]*line
-	order  []uint32 // of lines, sorted
-	conns  uint64
-	pipes  uint64
-	played map[uint64]*attempt // by session, those out or playing
-	pace   paths.Pace
-	acts   []Act
-	news   []front.Event
+	cfg          Config
+	now          Time
+	peers        map[uint32]*peerState
+	peerOrder    []uint32 // server IDs, sorted
+	lastConn     uint64
+	lastPipeline uint64
+	attempts     map[uint64]*attempt // by session: waiting, in flight or playing
+	pacer        paths.Pace
+	effects      []Act
+	events       []front.Event
 }
 
-// state of a line's connection.
-type state uint8
+// connState is the state of a peer's connection.
+type connState uint8
 
 const (
-	down state = iota
-	dialing
-	up
+	disconnected connState = iota
+	connecting
+	connected
 )
 
-// line is the dialogue with one server.
-type line struct {
-	server  uint32
-	addr    string // told to players
-	listed  bool
-	set     paths.Set
-	path    string // address that the connection goes to
-	stoodAt Time
-	proven  bool // it was answered on
-	usedAt  Time // last set-up written
-	race    *race
-	check   *runner // a connect alone, to an address that rested
-	started Time
-	state   state
-	conn    uint64
-	seq     uint32
-	sent    uint64           // bytes handed to the connection so far
-	calls   map[uint32]*call // unanswered, by CSeq
-	waiting []*attempt       // not sent: the connection does not stand yet
-	probing bool             // a probe waits with them
-	probeAt Time
-	live    []*attempt // playing here, oldest first
-	readAt  Time       // when something was last read, or the connection came up
-	callAt  Time       // when the oldest of the unanswered calls was written
-	seqs    []uint32   // unanswered CSeqs in the order written
-	doomed  []string   // streams to be torn down when a connection stands again
-	doomAt  Time       // when a connection is next looked for, for that alone
-	doomGap Time       // pause after that look
-	doomEnd Time       // they are remembered until then
+// peerState is the RTSP state of one server.
+type peerState struct {
+	server            uint32
+	addr              string // address for players
+	listed            bool
+	pathSet           paths.Set
+	connAddr          string // address of the connection
+	connectedAt       Time
+	connAnswered      bool // a response was read on the connection
+	lastSetupAt       Time // when the last set-up was written
+	race              *race
+	recheck           *candidate // test connection to an address that rested, without a set-up
+	processStartedAt  Time
+	connState         connState
+	conn              uint64
+	lastCSeq          uint32
+	bytesSent         uint64              // bytes handed to the connection so far
+	requests          map[uint32]*request // unanswered, by CSeq
+	unsent            []*attempt          // set-ups that wait for the connection
+	probeWaiting      bool                // a probe waits for the connection
+	probeAt           Time                // when that probe was requested
+	streams           []*attempt          // playing streams, oldest first
+	lastReadAt        Time                // when something was last read or the connection was established
+	oldestRequestAt   Time                // when the oldest unanswered request was written
+	requestOrder      []uint32            // CSeqs of unanswered requests in the order written
+	pendingTeardowns  []string            // RTSP session IDs of streams to tear down on the next connection
+	teardownDialAt    Time                // when a connection is next dialled for them alone
+	teardownBackoff   Time                // delay after that dial
+	teardownsExpireAt Time                // they are dropped then
 }
 
-// doomedMost bounds the streams remembered for that, doomedFor the time: the server drops what is past either by its
-// own time-out (RFC 7826 section 10.5: 60 s unless it says otherwise). Looks for a connection begin at doomedGap and
-// double up to doomedGapMost.
+// Limits of the pending teardowns of one server: at most maxPendingTeardowns streams are kept, for pendingTeardownTTL.
+// Beyond that the server ends them by its own timeout (RFC 7826 section 10.5: 60 s unless it specifies another). The
+// delay between dials for them starts at minTeardownBackoff and doubles up to maxTeardownBackoff.
 const (
-	doomedMost               = 256
-	doomedFor                = Time(60e9)
-	doomedGap, doomedGapMost = Time(5e8), Time(8e9)
+	maxPendingTeardowns                    = 256
+	pendingTeardownTTL                     = Time(60e9)
+	minTeardownBackoff, maxTeardownBackoff = Time(5e8), Time(8e9)
 )
 
-type callKind uint8
+// requestKind is the purpose of a request.
+type requestKind uint8
 
 const (
-	callSetup callKind = iota
-	callPlay
-	callTeardown
-	callRung
-	callProbe
-	callVerify
-	callAlive
+	requestSetup requestKind = iota
+	requestPlay
+	requestTeardown
+	requestRung
+	requestProbe
+	requestVerify
+	requestKeepAlive
 )
 
-type call struct {
-	kind callKind
-	at   Time
-	a    *attempt
-	done bool // a probe whose time was up
+// request is a request that was sent and is not answered yet.
+type request struct {
+	kind      requestKind
+	startedAt Time     // when it was written
+	owner     *attempt // attempt that it belongs to; nil for probes and keep-alives
+	timedOut  bool     // a probe whose timeout was reported
 }
 
 // attempt is one set-up and the stream that it starts.
 type attempt struct {
-	setup    front.Setup
-	at       Time // when the core asked for it
-	pipe     uint64
-	setupEnd uint64 // offset on the connection of the end of SETUP
-	sentOn   uint64 // connection that it was written to; 0: none
-	accepted string // RTSP session id from the server
-	report   []float64
-	over     bool // its Ended was given, or it is being torn down
-	playing  bool
-	adrift   bool // it plays, but the connection that it was set up on is lost
+	setup      front.Setup
+	startedAt  Time // when the core requested the attempt
+	pipeline   uint64
+	setupEnd   uint64 // offset of the end of SETUP in the bytes sent on the connection
+	sentConn   uint64 // connection that it was written to; 0: none yet
+	sessionID  string // RTSP session ID from the server; "" until SETUP is accepted
+	report     []float64
+	ended      bool // its AttemptEnded was emitted, or it is being torn down
+	playing    bool
+	unverified bool // it plays, but its connection was lost and the server has not confirmed it since
 }
 
-// New makes a desk that knows no servers.
+// New returns a Protocol without servers.
 func New(cfg Config) *Desk {
-	return &Desk{cfg: cfg, lines: map[uint32]*line{}, played: map[uint64]*attempt{}}
+	return &Desk{cfg: cfg, peers: map[uint32]*peerState{}, attempts: map[uint64]*attempt{}}
 }
 
-// Take gives what has come up since the last call: what the shell is to do, and events for the core. Both slices
-// are good until the next call into the desk.
-func (d *Desk) Take() ([]Act, []front.Event) {
-	acts, news := d.acts, d.news
-	d.acts, d.news = nil, nil
-	return acts, news
+// Take returns the effects for the shell and the events for the core since the last call. Both slices are valid until
+// the next call of a method.
+func (p *Desk) Take() ([]Act, []front.Event) {
+	effects, events := p.effects, p.events
+	p.effects, p.events = nil, nil
+	return effects, events
 }
 
-// Server is an entry of the server list with its addresses; Addr is the one told to players.
+// Server is an entry of the server list with its addresses. Addr is the address given to players.
 type Server struct {
 	ID      uint32
 	Addr    string
@@ -170,129 +172,131 @@
 	Started Time
 }
 
-// Listed tells the desk the servers and their addresses. A server whose process is newer or whose address changed
-// gets a new connection: replies of the old one are not the new one's.
-func (d *Desk) Listed(now Time, servers []Server) {
-	d.now = now
+// SetServers replaces the list of servers and their addresses. A server whose process is newer or whose address is gone
+// gets a new connection: replies on the old one don't apply to the new process.
+func (p *Desk) Listed(now Time, servers []Server) {
+	p.now = now
 	seen := map[uint32]bool{}
-	for _, l := range d.lines {
-		l.listed = false
+	for _, peer := range p.peers {
+		peer.listed = false
 	}
 	for _, s := range servers {
 		seen[s.ID] = true
-		l := d.lines[s.ID]
-		if l == nil {
-			l = &line{server: s.ID, addr: s.Addr, started: s.Started, calls: map[uint32]*call{}}
-			d.lines[s.ID] = l
-			i, _ := slices.BinarySearch(d.order, s.ID)
-			d.order = slices.Insert(d.order, i, s.ID)
-			l.set.Update(s.Paths)
-			l.listed = true
+		peer := p.peers[s.ID]
+		if peer == nil {
+			peer = &peerState{server: s.ID, addr: s.Addr, processStartedAt: s.Started,
+				requests: map[uint32]*request{}}
+			p.peers[s.ID] = peer
+			i, _ := slices.BinarySearch(p.peerOrder, s.ID)
+			p.peerOrder = slices.Insert(p.peerOrder, i, s.ID)
+			peer.pathSet.Update(s.Paths)
+			peer.listed = true
 			continue
 		}
-		restarted := s.Started > l.started && l.started > 0
-		changed := l.set.Update(s.Paths)
-		l.addr, l.started, l.listed = s.Addr, s.Started, true
+		restarted := s.Started > peer.processStartedAt && peer.processStartedAt > 0
+		changed := peer.pathSet.Update(s.Paths)
+		peer.addr, peer.processStartedAt, peer.listed = s.Addr, s.Started, true
 		if restarted {
-			// Same addresses, another process: replies of the old one are not the new one's.
-			d.pace.Restarted(l.server, now, d.cfg.Draw())
-			l.set.Forgive()
-			d.drop(l, l.sent, true, false)
-		} else if changed && l.state == up && l.pathIndex(l.path) < 0 {
-			d.drop(l, l.sent, false, false) // its address is gone; streams are looked for on another
-		} else if changed && l.state == dialing {
-			d.again(l)
+			// A new process at the same addresses: replies of the old one don't apply to it.
+			p.pacer.Restarted(peer.server, now, p.cfg.Draw())
+			peer.pathSet.Forgive()
+			p.closeConnection(peer, peer.bytesSent, true, false)
+		} else if changed && peer.connState == connected && peer.pathIndex(peer.connAddr) < 0 {
+			p.closeConnection(peer, peer.bytesSent, false, false) // address removed; streams are verified on another
+		} else if changed && peer.connState == connecting {
+			p.restartRace(peer)
 		}
 	}
-	for _, id := range slices.Clone(d.order) {
-		if l := d.lines[id]; !seen[id] && l.state == down && len(l.live) == 0 && len(l.waiting) == 0 && len(l.doomed) == 0 {
-			delete(d.lines, id)
-			d.order = slices.DeleteFunc(d.order, func(o uint32) bool { return o == id })
+	for _, id := range slices.Clone(p.peerOrder) {
+		if peer := p.peers[id]; !seen[id] && peer.connState == disconnected && len(peer.streams) == 0 &&
+			len(peer.unsent) == 0 && len(peer.pendingTeardowns) == 0 {
+			delete(p.peers, id)
+			p.peerOrder = slices.DeleteFunc(p.peerOrder, func(o uint32) bool { return o == id })
 		}
 	}
 }
 
-// Address gives a server's address, "" if it is not known.
-func (d *Desk) Address(server uint32) string {
-	if l := d.lines[server]; l != nil {
-		return l.addr
+// Address returns a server's address for players, "" if the server is unknown.
+func (p *Desk) Address(server uint32) string {
+	if peer := p.peers[server]; peer != nil {
+		return peer.addr
 	}
 	return ""
 }
 
-// Do carries out an effect of the core; effects that are not about servers are ignored.
-func (d *Desk) Do(now Time, effect front.Effect) {
-	d.now = now
+// Apply carries out an effect of the core; effects that don't concern servers are ignored.
+func (p *Desk) Do(now Time, effect front.Effect) {
+	p.now = now
 	switch e := effect.(type) {
 	case front.Setup:
-		d.setup(e)
+		p.setup(e)
 	case front.Abandon:
-		d.abandon(e)
+		p.abandon(e)
 	case front.Withdraw:
-		if l := d.lines[e.Server]; l != nil {
-			d.withdraw(l, fate.Withdrawn)
+		if peer := p.peers[e.Server]; peer != nil {
+			p.cancelWaiting(peer, fate.Withdrawn)
 		}
 	case front.Stop:
-		if a := d.played[e.Session]; a != nil && a.setup.Attempt == e.Attempt {
-			d.teardown(d.lines[a.setup.Server], a)
+		if a := p.attempts[e.Session]; a != nil && a.setup.Attempt == e.Attempt {
+			p.teardown(p.peers[a.setup.Server], a)
 		}
 	case front.SetRung:
-		d.rung(e)
+		p.setRung(e)
 	case front.Probe:
-		d.probe(e.Server)
+		p.probe(e.Server)
 	}
 }
 
-// Doomed tells how many streams wait for a connection on which they can be torn down.
-func (d *Desk) Doomed() (n int) {
-	for _, l := range d.lines {
-		n += len(l.doomed)
+// PendingTeardowns returns the number of streams that wait for a connection to be torn down on.
+func (p *Desk) Doomed() (n int) {
+	for _, peer := range p.peers {
+		n += len(peer.pendingTeardowns)
 	}
 	return n
 }
 
-func (d *Desk) rung(e front.SetRung) {
-	a := d.played[e.Session]
+func (p *Desk) setRung(e front.SetRung) {
+	a := p.attempts[e.Session]
 	if a == nil || !a.playing || a.setup.Attempt != e.Attempt {
 		return
 	}
-	l := d.lines[a.setup.Server]
+	peer := p.peers[a.setup.Server]
 	a.setup.Rung = e.Rung
-	if l.state != up || a.adrift {
-		return // it is set when the stream is found again
+	if peer.connState != connected || a.unverified {
+		return // sent when the stream is verified
 	}
-	d.writeRung(l, a)
+	p.writeRung(peer, a)
 }
 
-func (d *Desk) writeRung(l *line, a *attempt) {
-	m := rtsp.Message{Method: rtsp.SetParameter, URI: d.uri(l, &a.setup), Headers: []rtsp.Header{
-		{Name: "Session", Value: a.accepted}, {Name: "Content-Type", Value: "text/parameters"}},
+func (p *Desk) writeRung(peer *peerState, a *attempt) {
+	m := rtsp.Message{Method: rtsp.SetParameter, URI: p.uri(peer, &a.setup), Headers: []rtsp.Header{
+		{Name: "Session", Value: a.sessionID}, {Name: "Content-Type", Value: "text/parameters"}},
 		Body: []byte("rung: " + strconv.Itoa(a.setup.Rung) + "\r\n")}
-	d.push(l, d.request(l, &m, call{kind: callRung, a: a}, nil))
+	p.send(peer, p.appendRequest(peer, &m, request{kind: requestRung, owner: a}, nil))
 }
 
-func (d *Desk) probe(server uint32) {
-	l := d.lines[server]
-	if l == nil || len(l.set.Paths) == 0 {
-		d.news = append(d.news, front.Probed{Server: server, Status: policy.NoConnect})
+func (p *Desk) probe(server uint32) {
+	peer := p.peers[server]
+	if peer == nil || len(peer.pathSet.Paths) == 0 {
+		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect})
 		return
 	}
-	if l.state != up {
-		l.probing, l.probeAt = true, d.now
-		d.dial(l)
+	if peer.connState != connected {
+		peer.probeWaiting, peer.probeAt = true, p.now
+		p.dial(peer)
 		return
 	}
-	d.writeProbe(l)
+	p.writeProbe(peer)
 }
 
-func (d *Desk) writeProbe(l *line) {
-	m := rtsp.Message{Method: rtsp.GetParameter, URI: "rtsp://" + l.addr + "/", Headers: []rtsp.Header{
+func (p *Desk) writeProbe(peer *peerState) {
+	m := rtsp.Message{Method: rtsp.GetParameter, URI: "rtsp://" + peer.addr + "/", Headers: []rtsp.Header{
 		{Name: "Content-Type", Value: "text/parameters"}}, Body: []byte("link\r\nuplink\r\n")}
-	d.push(l, d.request(l, &m, call{kind: callProbe}, nil))
+	p.send(peer, p.appendRequest(peer, &m, request{kind: requestProbe}, nil))
 }
 
-// Out tells whether an attempt is held here: waiting, out, or playing.
-func (d *Desk) Out(session uint64, number int) bool {
-	a := d.played[session]
+// HoldsAttempt reports whether an attempt is held here: waiting, in flight or playing.
+func (p *Desk) Out(session uint64, number int) bool {
+	a := p.attempts[session]
 	return a != nil && a.setup.Attempt == number
 }
--- a/internal/exchange/race.go
+++ b/internal/exchange/race.go
@@ -8,80 +8,80 @@
 	"tealledge/internal/rtsp"
 )
 
-// This file finds a connection among a server's addresses. Connections race (RFC 8305): the next address is started
-// when the one before has not won within its delay, or at once when it failed. A connection wins when it has
-// answered an OPTIONS, not when it stands: an address that accepts and never answers would else swallow set-ups.
-// Set-ups never race: only the winner ever carries one.
+// This file selects a connection among a server's addresses. Connections race (RFC 8305): the next address is dialled
+// when the previous one has not won within its delay, or at once when it failed. A connection wins when it has answered
+// an OPTIONS, not when it is established: otherwise set-ups would be lost at an address that accepts connections and
+// never answers. Set-ups never race: only the winner carries them.
 
-// runner is a connection that takes part in a race, or checks an address that rested.
-type runner struct {
-	conn  uint64
-	addr  string
-	at    Time // started
-	sent  uint64
-	seq   uint32
-	stood bool
+// candidate is a connection that takes part in a race or rechecks an address that rested.
+type candidate struct {
+	conn      uint64
+	addr      string
+	startedAt Time
+	bytesSent uint64
+	lastCSeq  uint32
+	connected bool
 }
 
-// race is the search for a connection.
+// race is the selection of a connection.
 type race struct {
-	running []*runner
-	toCome  []string // addresses not started yet, best first
-	nextAt  Time     // when the next one is started
-	until   Time
+	candidates []*candidate
+	remaining  []string // addresses not dialled yet, best first
+	nextDialAt Time     // when the next address is dialled
+	deadline   Time
 }
 
-func (l *line) pathIndex(addr string) int {
-	return slices.IndexFunc(l.set.Paths, func(p paths.Path) bool { return p.Addr == addr })
+func (s *peerState) pathIndex(addr string) int {
+	return slices.IndexFunc(s.pathSet.Paths, func(p paths.Path) bool { return p.Addr == addr })
 }
 
-// dial starts a race, unless a connection stands or one is under way.
-func (d *Desk) dial(l *line) {
-	if l.state != down {
+// dial starts a race, unless a connection is established or a race is running.
+func (p *Desk) dial(peer *peerState) {
+	if peer.connState != disconnected {
 		return
 	}
-	l.state = dialing
-	l.race = &race{until: d.now + d.cfg.Connect}
-	for _, i := range l.set.Order(d.now) {
-		l.race.toCome = append(l.race.toCome, l.set.Paths[i].Addr)
+	peer.connState = connecting
+	peer.race = &race{deadline: p.now + p.cfg.Connect}
+	for _, i := range peer.pathSet.Order(p.now) {
+		peer.race.remaining = append(peer.race.remaining, peer.pathSet.Paths[i].Addr)
 	}
-	d.startNext(l)
+	p.dialNext(peer)
 }
 
-// startNext starts the next address; if none is left and none runs, the server is not reachable.
-func (d *Desk) startNext(l *line) {
-	r := l.race
-	for len(r.toCome) > 0 {
-		addr := r.toCome[0]
-		r.toCome = r.toCome[1:]
-		i := l.pathIndex(addr)
+// dialNext dials the next address; if none is left and no candidate is running, the server is unreachable.
+func (p *Desk) dialNext(peer *peerState) {
+	r := peer.race
+	for len(r.remaining) > 0 {
+		addr := r.remaining[0]
+		r.remaining = r.remaining[1:]
+		i := peer.pathIndex(addr)
 		if i < 0 {
-			continue // it left the list meanwhile
+			continue // removed from the list meanwhile
 		}
-		d.pace.Allow(l.server, d.now, true)
-		r.running = append(r.running, d.start(l, addr, r.until-d.now))
-		r.nextAt = d.now + l.set.Delay(i, r.until-d.now, len(r.toCome))
+		p.pacer.Allow(peer.server, p.now, true)
+		r.candidates = append(r.candidates, p.startDial(peer, addr, r.deadline-p.now))
+		r.nextDialAt = p.now + peer.pathSet.Delay(i, r.deadline-p.now, len(r.remaining))
 		return
 	}
-	if len(r.running) == 0 {
-		l.race = nil
-		d.unreachable(l)
+	if len(r.candidates) == 0 {
+		peer.race = nil
+		p.unreachable(peer)
 	}
 }
 
-func (d *Desk) start(l *line, addr string, within Time) *runner {
-	d.conns++
-	d.acts = append(d.acts, Act{Server: l.server, Conn: d.conns, Dial: addr, Within: max(within, 1)})
-	return &runner{conn: d.conns, addr: addr, at: d.now}
+func (p *Desk) startDial(peer *peerState, addr string, timeout Time) *candidate {
+	p.lastConn++
+	p.effects = append(p.effects, Act{Server: peer.server, Conn: p.lastConn, Dial: addr, Within: max(timeout, 1)})
+	return &candidate{conn: p.lastConn, addr: addr, startedAt: p.now}
 }
 
-// runner finds a connection that races or checks.
-func (l *line) runner(conn uint64) *runner {
-	if l.check != nil && l.check.conn == conn {
-		return l.check
+// candidate returns the racing or rechecking candidate of a connection, nil if there is none.
+func (s *peerState) candidate(conn uint64) *candidate {
+	if s.recheck != nil && s.recheck.conn == conn {
+		return s.recheck
 	}
-	if l.race != nil {
-		for _, r := range l.race.running {
+	if s.race != nil {
+		for _, r := range s.race.candidates {
 			if r.conn == conn {
 				return r
 			}
@@ -90,172 +90,175 @@
 	return nil
 }
 
-// Connected tells that a dial came through. It is asked for a sign of life.
-func (d *Desk) Connected(now Time, server uint32, conn uint64) {
-	d.now = now
-	l := d.lines[server]
-	var r *runner
-	if l != nil {
-		r = l.runner(conn)
+// Connected reports that a dial succeeded. The connection gets an OPTIONS request, which it must answer to win.
+func (p *Desk) Connected(now Time, server uint32, conn uint64) {
+	p.now = now
+	peer := p.peers[server]
+	var r *candidate
+	if peer != nil {
+		r = peer.candidate(conn)
 	}
 	if r == nil { // the race is over
-		d.acts = append(d.acts, Act{Server: server, Conn: conn, Close: true})
+		p.effects = append(p.effects, Act{Server: server, Conn: conn, Close: true})
 		return
 	}
-	r.stood, r.seq = true, 1
-	if i := l.pathIndex(r.addr); i >= 0 {
-		l.set.Connected(i, now, now-r.at)
+	r.connected, r.lastCSeq = true, 1
+	if i := peer.pathIndex(r.addr); i >= 0 {
+		peer.pathSet.Connected(i, now, now-r.startedAt)
 	}
-	m := rtsp.Message{Method: rtsp.Options, URI: "rtsp://" + l.addr + "/", CSeq: r.seq}
+	m := rtsp.Message{Method: rtsp.Options, URI: "rtsp://" + peer.addr + "/", CSeq: r.lastCSeq}
 	b := m.Append(nil)
-	r.sent = uint64(len(b))
-	d.acts = append(d.acts, Act{Server: server, Conn: conn, Bytes: b})
+	r.bytesSent = uint64(len(b))
+	p.effects = append(p.effects, Act{Server: server, Conn: conn, Bytes: b})
 }
 
-// spoke tells that something was read on a connection that does not carry the line: it works.
-func (d *Desk) spoke(l *line, conn uint64) {
-	r := l.runner(conn)
+// connectionAnswered handles the first message read on a candidate: the address works, and the candidate wins its race.
+func (p *Desk) connectionAnswered(peer *peerState, conn uint64) {
+	r := peer.candidate(conn)
 	if r == nil {
 		return
 	}
-	if i := l.pathIndex(r.addr); i >= 0 {
-		l.set.Proved(i, d.now)
+	if i := peer.pathIndex(r.addr); i >= 0 {
+		peer.pathSet.Proved(i, p.now)
 	}
-	if r == l.check {
-		l.check = nil
-		d.acts = append(d.acts, Act{Server: l.server, Conn: conn, Close: true})
+	if r == peer.recheck {
+		peer.recheck = nil
+		p.effects = append(p.effects, Act{Server: peer.server, Conn: conn, Close: true})
 		return
 	}
-	l.race.running = slices.DeleteFunc(l.race.running, func(o *runner) bool { return o == r })
-	for _, o := range l.race.running {
-		// Started before the winner, with its delay's head start, and still no answer: it rests, and is looked at alone.
-		if i := l.pathIndex(o.addr); i >= 0 && o.at < r.at {
-			l.set.Failed(i, d.now)
+	peer.race.candidates = slices.DeleteFunc(peer.race.candidates, func(o *candidate) bool { return o == r })
+	for _, o := range peer.race.candidates {
+		// It was dialled before the winner, with a head start of at least one delay, and has not answered: the address
+		// rests and is rechecked without set-ups.
+		if i := peer.pathIndex(o.addr); i >= 0 && o.startedAt < r.startedAt {
+			peer.pathSet.Failed(i, p.now)
 		}
 	}
-	d.scratch(l)
-	d.stands(l, r)
+	p.cancelRace(peer)
+	p.connectionReady(peer, r)
 }
 
-// scratch ends a race; those that still run are closed, or when their dial comes through.
-func (d *Desk) scratch(l *line) {
-	if l.race == nil {
+// cancelRace ends a race. Established candidates are closed now, the others when their dial succeeds.
+func (p *Desk) cancelRace(peer *peerState) {
+	if peer.race == nil {
 		return
 	}
-	for _, r := range l.race.running {
-		if r.stood {
-			d.acts = append(d.acts, Act{Server: l.server, Conn: r.conn, Close: true})
+	for _, r := range peer.race.candidates {
+		if r.connected {
+			p.effects = append(p.effects, Act{Server: peer.server, Conn: r.conn, Close: true})
 		}
 	}
-	l.race = nil
+	peer.race = nil
 }
 
-// again begins a race anew: the addresses changed while it ran.
-func (d *Desk) again(l *line) {
-	d.scratch(l)
-	l.state = down
-	d.dial(l)
+// restartRace starts a race again because the addresses changed while it was running.
+func (p *Desk) restartRace(peer *peerState) {
+	p.cancelRace(peer)
+	peer.connState = disconnected
+	p.dial(peer)
 }
 
-// DialFailed tells that a connection could not be had: refused, unreachable or not in time.
-func (d *Desk) DialFailed(now Time, server uint32, conn uint64) {
-	d.now = now
-	if l := d.lines[server]; l != nil {
-		d.fell(l, conn)
+// DialFailed reports that a dial failed: refused, unreachable or timed out.
+func (p *Desk) DialFailed(now Time, server uint32, conn uint64) {
+	p.now = now
+	if peer := p.peers[server]; peer != nil {
+		p.connectionFailed(peer, conn)
 	}
 }
 
-// fell takes a runner out that failed, and starts the next address at once.
-func (d *Desk) fell(l *line, conn uint64) {
-	r := l.runner(conn)
+// connectionFailed removes a candidate that failed and dials the next address at once.
+func (p *Desk) connectionFailed(peer *peerState, conn uint64) {
+	r := peer.candidate(conn)
 	if r == nil {
 		return
 	}
-	if i := l.pathIndex(r.addr); i >= 0 {
-		l.set.Failed(i, d.now)
+	if i := peer.pathIndex(r.addr); i >= 0 {
+		peer.pathSet.Failed(i, p.now)
 	}
-	if r == l.check {
-		l.check = nil
+	if r == peer.recheck {
+		peer.recheck = nil
 		return
 	}
-	l.race.running = slices.DeleteFunc(l.race.running, func(o *runner) bool { return o == r })
-	d.startNext(l)
+	peer.race.candidates = slices.DeleteFunc(peer.race.candidates, func(o *candidate) bool { return o == r })
+	p.dialNext(peer)
 }
 
-// tickPaths starts the next address when its time has come, ends races that took too long, and looks at addresses
-// that have rested.
-func (d *Desk) tickPaths(l *line) {
-	if r := l.race; r != nil {
+// tickPaths dials the next address of a race when its delay is over, ends races past their deadline, rechecks addresses
+// that rested, closes idle connections, and dials for pending teardowns and for servers in frequent use.
+func (p *Desk) tickPaths(peer *peerState) {
+	if r := peer.race; r != nil {
 		switch {
-		case d.now >= r.until || !d.worth(l):
-			r.toCome = nil
-			for _, x := range slices.Clone(r.running) {
-				if l.race != r {
+		case p.now >= r.deadline || !p.raceWorthwhile(peer):
+			r.remaining = nil
+			for _, running := range slices.Clone(r.candidates) {
+				if peer.race != r {
 					break
 				}
-				if x.stood {
-					d.acts = append(d.acts, Act{Server: l.server, Conn: x.conn, Close: true})
+				if running.connected {
+					p.effects = append(p.effects, Act{Server: peer.server, Conn: running.conn, Close: true})
 				}
-				d.fell(l, x.conn)
+				p.connectionFailed(peer, running.conn)
 			}
-		case d.now >= r.nextAt && len(r.toCome) > 0:
-			d.startNext(l)
+		case p.now >= r.nextDialAt && len(r.remaining) > 0:
+			p.dialNext(peer)
 		}
 	}
 	switch {
-	case l.check != nil && d.now-l.check.at >= 2*d.cfg.Connect:
-		if l.check.stood {
-			d.acts = append(d.acts, Act{Server: l.server, Conn: l.check.conn, Close: true})
+	case peer.recheck != nil && p.now-peer.recheck.startedAt >= 2*p.cfg.Connect:
+		if peer.recheck.connected {
+			p.effects = append(p.effects, Act{Server: peer.server, Conn: peer.recheck.conn, Close: true})
 		}
-		d.fell(l, l.check.conn)
-	case l.check == nil && l.race == nil && l.listed:
-		// A connect alone finds out whether an address works again, with no viewer's set-up on it.
-		if i, ok := l.set.Recheck(d.now); ok && d.pace.Allow(l.server, d.now, false) {
-			l.check = d.start(l, l.set.Paths[i].Addr, d.cfg.Connect)
+		p.connectionFailed(peer, peer.recheck.conn)
+	case peer.recheck == nil && peer.race == nil && peer.listed:
+		// Tests whether the address works again without risking a viewer's set-up.
+		if i, ok := peer.pathSet.Recheck(p.now); ok && p.pacer.Allow(peer.server, p.now, false) {
+			peer.recheck = p.startDial(peer, peer.pathSet.Paths[i].Addr, p.cfg.Connect)
 		}
 	}
-	if l.state == up && d.cfg.IdleClose > 0 && len(l.live) == 0 && len(l.calls) == 0 && d.now-max(l.usedAt, l.stoodAt) >= d.cfg.IdleClose {
-		d.acts = append(d.acts, Act{Server: l.server, Conn: l.conn, Close: true})
-		l.state = down
+	if peer.connState == connected && p.cfg.IdleClose > 0 && len(peer.streams) == 0 && len(peer.requests) == 0 &&
+		p.now-max(peer.lastSetupAt, peer.connectedAt) >= p.cfg.IdleClose {
+		p.effects = append(p.effects, Act{Server: peer.server, Conn: peer.conn, Close: true})
+		peer.connState = disconnected
 	}
-	if l.state == down && len(l.doomed) > 0 {
+	if peer.connState == disconnected && len(peer.pendingTeardowns) > 0 {
 		switch {
-		case d.now >= l.doomEnd:
-			l.doomed = nil
-		case d.now >= l.doomAt && d.pace.Allow(l.server, d.now, false):
-			l.doomGap = min(2*l.doomGap, doomedGapMost)
-			l.doomAt = d.now + l.doomGap
-			d.dial(l)
+		case p.now >= peer.teardownsExpireAt:
+			peer.pendingTeardowns = nil
+		case p.now >= peer.teardownDialAt && p.pacer.Allow(peer.server, p.now, false):
+			peer.teardownBackoff = min(2*peer.teardownBackoff, maxTeardownBackoff)
+			peer.teardownDialAt = p.now + peer.teardownBackoff
+			p.dial(peer)
 		}
 	}
-	if l.state == down && l.listed && l.usedAt > 0 && d.now-l.usedAt < warmFor && !l.set.Dark(d.now) && d.pace.Allow(l.server, d.now, false) {
-		d.dial(l) // sessions are frequent here: the next one finds a connection
+	if peer.connState == disconnected && peer.listed && peer.lastSetupAt > 0 && p.now-peer.lastSetupAt < warmWindow &&
+		!peer.pathSet.Dark(p.now) && p.pacer.Allow(peer.server, p.now, false) {
+		p.dial(peer) // sessions are frequent here: the next one finds an open connection
 	}
 }
 
-// warmFor is how long after its last set-up a connection that was lost is opened again with nobody waiting.
-const warmFor = Time(10e9)
+// warmWindow is how long after its last set-up a lost connection is reopened with no request waiting, 10 s.
+const warmWindow = Time(10e9)
 
-// worth tells whether the race still fits the aims of those that wait for it.
-func (d *Desk) worth(l *line) bool {
-	if len(l.waiting) == 0 {
+// raceWorthwhile reports whether the race still fits the aim of the set-up that has waited longest.
+func (p *Desk) raceWorthwhile(peer *peerState) bool {
+	if len(peer.unsent) == 0 {
 		return true
 	}
-	first := slices.MinFunc(l.waiting, func(a, b *attempt) int { return cmp.Compare(a.at, b.at) })
+	first := slices.MinFunc(peer.unsent, func(a, b *attempt) int { return cmp.Compare(a.startedAt, b.startedAt) })
 	aim := Time(0)
-	if k := first.setup.Class; k >= 0 && k < len(d.cfg.Aims) {
-		aim = d.cfg.Aims[k]
+	if class := first.setup.Class; class >= 0 && class < len(p.cfg.Aims) {
+		aim = p.cfg.Aims[class]
 	}
-	return paths.Worth(d.now-first.at, aim)
+	return paths.Worth(p.now-first.startedAt, aim)
 }
 
-// Next gives the time at which Tick should be called for a race, if one is under way.
-func (d *Desk) Next() (at Time, ok bool) {
-	for _, id := range d.order {
-		if r := d.lines[id].race; r != nil {
-			t := r.until
-			if len(r.toCome) > 0 {
-				t = min(t, r.nextAt)
+// NextTick returns the time at which Tick should be called for a race, if one is running.
+func (p *Desk) Next() (at Time, ok bool) {
+	for _, id := range p.peerOrder {
+		if r := p.peers[id].race; r != nil {
+			t := r.deadline
+			if len(r.remaining) > 0 {
+				t = min(t, r.nextDialAt)
 			}
 			if !ok || t < at {
 				at, ok = t, true
@@ -265,10 +268,10 @@
 	return at, ok
 }
 
-// Paths gives what is known of a server's addresses, for tests and the metrics page.
-func (d *Desk) Paths(server uint32) *paths.Set {
-	if l := d.lines[server]; l != nil {
-		return &l.set
+// Paths returns the state of a server's addresses, for tests and the metrics page.
+func (p *Desk) Paths(server uint32) *paths.Set {
+	if peer := p.peers[server]; peer != nil {
+		return &peer.pathSet
 	}
 	return nil
 }
--- a/internal/exchange/setups.go
+++ b/internal/exchange/setups.go
@@ -11,132 +11,133 @@
 	"tealledge/policy"
 )
 
-// Set-ups at media servers: written, ended, given up on, torn down.
+// This file writes, ends, abandons and tears down set-ups at media servers.
 
-func (d *Desk) setup(e front.Setup) {
-	a := &attempt{setup: e, at: d.now}
-	d.played[e.Session] = a
-	l := d.lines[e.Server]
+func (p *Desk) setup(e front.Setup) {
+	a := &attempt{setup: e, startedAt: p.now}
+	p.attempts[e.Session] = a
+	peer := p.peers[e.Server]
 	switch {
-	case l == nil || len(l.set.Paths) == 0:
-		d.end(a, policy.NoConnect, nil) // listed with no address at all
-	case l.state == up:
-		d.write(l, a)
+	case peer == nil || len(peer.pathSet.Paths) == 0:
+		p.endAttempt(a, policy.NoConnect, nil) // listed without an address
+	case peer.connState == connected:
+		p.writeSetup(peer, a)
 	default:
-		l.waiting = append(l.waiting, a)
-		d.dial(l)
+		peer.unsent = append(peer.unsent, a)
+		p.dial(peer)
 	}
 }
 
-func (d *Desk) uri(l *line, s *front.Setup) string {
+func (p *Desk) uri(peer *peerState, s *front.Setup) string {
 	name := s.Name
 	if name == "" {
-		name = d.cfg.TitleName(s.Title)
+		name = p.cfg.TitleName(s.Title)
 	}
-	return "rtsp://" + l.addr + "/" + name
+	return "rtsp://" + peer.addr + "/" + name
 }
 
-// write puts SETUP and PLAY on the connection.
-func (d *Desk) write(l *line, a *attempt) {
-	d.pipes++
-	l.usedAt = d.now
-	a.pipe, a.sentOn = d.pipes, l.conn
-	pipe, uri := strconv.FormatUint(a.pipe, 10), d.uri(l, &a.setup)
+// writeSetup writes SETUP and PLAY to the connection.
+func (p *Desk) writeSetup(peer *peerState, a *attempt) {
+	p.lastPipeline++
+	peer.lastSetupAt = p.now
+	a.pipeline, a.sentConn = p.lastPipeline, peer.conn
+	pipeline, uri := strconv.FormatUint(a.pipeline, 10), p.uri(peer, &a.setup)
 	m := rtsp.Message{Method: rtsp.Setup, URI: uri, Headers: []rtsp.Header{
-		{Name: "Pipelined-Requests", Value: pipe}, {Name: "Transport", Value: "RTP/AVP/TCP;unicast"},
-		{Name: HeaderAttempt, Value: fmt.Sprintf("%s/%d/%d", d.cfg.Front, a.setup.Session, a.setup.Attempt)},
+		{Name: "Pipelined-Requests", Value: pipeline}, {Name: "Transport", Value: "RTP/AVP/TCP;unicast"},
+		{Name: HeaderAttempt, Value: fmt.Sprintf("%s/%d/%d", p.cfg.Front, a.setup.Session, a.setup.Attempt)},
 		{Name: HeaderClass, Value: strconv.Itoa(a.setup.Class)},
 		{Name: HeaderRung, Value: strconv.Itoa(a.setup.Rung)},
 		{Name: HeaderViewer, Value: strconv.FormatUint(a.setup.Viewer, 10)}}}
-	b := d.request(l, &m, call{kind: callSetup, a: a}, nil)
-	a.setupEnd = l.sent + uint64(len(b))
-	play := rtsp.Message{Method: rtsp.Play, URI: uri, Headers: []rtsp.Header{{Name: "Pipelined-Requests", Value: pipe}}}
-	d.push(l, d.request(l, &play, call{kind: callPlay, a: a}, b))
+	b := p.appendRequest(peer, &m, request{kind: requestSetup, owner: a}, nil)
+	a.setupEnd = peer.bytesSent + uint64(len(b))
+	play := rtsp.Message{Method: rtsp.Play, URI: uri,
+		Headers: []rtsp.Header{{Name: "Pipelined-Requests", Value: pipeline}}}
+	p.send(peer, p.appendRequest(peer, &play, request{kind: requestPlay, owner: a}, b))
 }
 
-// request numbers a request, books it as unanswered and appends it to b.
-func (d *Desk) request(l *line, m *rtsp.Message, c call, b []byte) []byte {
-	l.seq++
-	m.CSeq = l.seq
-	c.at = d.now
-	if len(l.calls) == 0 {
-		l.callAt = d.now
+// appendRequest numbers a request, records it as unanswered and appends it to b.
+func (p *Desk) appendRequest(peer *peerState, m *rtsp.Message, r request, b []byte) []byte {
+	peer.lastCSeq++
+	m.CSeq = peer.lastCSeq
+	r.startedAt = p.now
+	if len(peer.requests) == 0 {
+		peer.oldestRequestAt = p.now
 	}
-	l.calls[l.seq] = &c
-	l.seqs = append(l.seqs, l.seq)
+	peer.requests[peer.lastCSeq] = &r
+	peer.requestOrder = append(peer.requestOrder, peer.lastCSeq)
 	return m.Append(b)
 }
 
-func (d *Desk) push(l *line, b []byte) {
-	l.sent += uint64(len(b))
-	d.acts = append(d.acts, Act{Server: l.server, Conn: l.conn, Bytes: b})
+func (p *Desk) send(peer *peerState, b []byte) {
+	peer.bytesSent += uint64(len(b))
+	p.effects = append(p.effects, Act{Server: peer.server, Conn: peer.conn, Bytes: b})
 }
 
-// end gives an attempt's Ended, once, and forgets it.
-func (d *Desk) end(a *attempt, status policy.Status, report []float64) {
-	if a.over {
+// endAttempt emits an attempt's AttemptEnded, once, and removes the attempt.
+func (p *Desk) endAttempt(a *attempt, status policy.Status, report []float64) {
+	if a.ended {
 		return
 	}
-	a.over = true
-	d.forget(a)
-	d.news = append(d.news, front.Ended{Session: a.setup.Session, Attempt: a.setup.Attempt, Status: status,
-		Took: d.now - a.at, Report: report})
+	a.ended = true
+	p.removeAttempt(a)
+	p.events = append(p.events, front.Ended{Session: a.setup.Session, Attempt: a.setup.Attempt, Status: status,
+		Took: p.now - a.startedAt, Report: report})
 }
 
-func (d *Desk) forget(a *attempt) {
-	if d.played[a.setup.Session] == a {
-		delete(d.played, a.setup.Session)
+func (p *Desk) removeAttempt(a *attempt) {
+	if p.attempts[a.setup.Session] == a {
+		delete(p.attempts, a.setup.Session)
 	}
-	if l := d.lines[a.setup.Server]; l != nil {
-		l.live = slices.DeleteFunc(l.live, func(o *attempt) bool { return o == a })
+	if peer := p.peers[a.setup.Server]; peer != nil {
+		peer.streams = slices.DeleteFunc(peer.streams, func(o *attempt) bool { return o == a })
 	}
 }
 
-// abandon gives up on an attempt that is out.
-func (d *Desk) abandon(e front.Abandon) {
-	a := d.played[e.Session]
-	if a == nil || a.setup.Attempt != e.Attempt || a.over {
+// abandon stops waiting for an attempt in flight.
+func (p *Desk) abandon(e front.Abandon) {
+	a := p.attempts[e.Session]
+	if a == nil || a.setup.Attempt != e.Attempt || a.ended {
 		return
 	}
-	l := d.lines[a.setup.Server]
-	if a.sentOn == 0 {
-		l.waiting = slices.DeleteFunc(l.waiting, func(o *attempt) bool { return o == a })
-		d.end(a, fate.Of(fate.Unsent, e.Cause, 0), nil)
+	peer := p.peers[a.setup.Server]
+	if a.sentConn == 0 {
+		peer.unsent = slices.DeleteFunc(peer.unsent, func(o *attempt) bool { return o == a })
+		p.endAttempt(a, fate.Of(fate.Unsent, e.Cause, 0), nil)
 		return
 	}
-	at := fate.Written
-	if a.accepted != "" {
-		at = fate.Accepted
+	progress := fate.Written
+	if a.sessionID != "" {
+		progress = fate.Accepted
 	}
-	d.teardown(l, a)
-	a.over = false
-	d.end(a, fate.Of(at, e.Cause, 0), nil)
+	p.teardown(peer, a)
+	a.ended = false
+	p.endAttempt(a, fate.Of(progress, e.Cause, 0), nil)
 }
 
-// teardown tells the server to end a stream, or a set-up that it has not answered yet, on the connection that it
-// was sent on: a TEARDOWN on another one could overtake it.
-func (d *Desk) teardown(l *line, a *attempt) {
-	a.over = true
-	d.forget(a)
-	if l == nil || l.state != up || a.sentOn != l.conn && a.accepted == "" {
-		d.doom(l, a) // what was set up on a lost connection and never answered, the server drops itself
+// teardown makes the server end a stream or an unanswered set-up. The TEARDOWN of an unanswered set-up goes to the
+// connection that carried the set-up: on another one it could overtake the set-up.
+func (p *Desk) teardown(peer *peerState, a *attempt) {
+	a.ended = true
+	p.removeAttempt(a)
+	if peer == nil || peer.connState != connected || a.sentConn != peer.conn && a.sessionID == "" {
+		p.queueTeardown(peer, a) // the server itself drops a set-up that was never answered on a lost connection
 		return
 	}
-	m := rtsp.Message{Method: rtsp.Teardown, URI: d.uri(l, &a.setup)}
-	if a.accepted != "" {
-		m.Set("Session", a.accepted)
+	m := rtsp.Message{Method: rtsp.Teardown, URI: p.uri(peer, &a.setup)}
+	if a.sessionID != "" {
+		m.Set("Session", a.sessionID)
 	} else {
-		m.Set("Pipelined-Requests", strconv.FormatUint(a.pipe, 10))
+		m.Set("Pipelined-Requests", strconv.FormatUint(a.pipeline, 10))
 	}
-	d.push(l, d.request(l, &m, call{kind: callTeardown, a: a}, nil))
+	p.send(peer, p.appendRequest(peer, &m, request{kind: requestTeardown, owner: a}, nil))
 }
 
-// doom remembers a stream that the server may still play though its connection is lost.
-func (d *Desk) doom(l *line, a *attempt) {
-	if l != nil && a.accepted != "" && len(l.doomed) < doomedMost {
-		l.doomed = append(l.doomed, a.accepted)
-		l.doomGap, l.doomEnd = doomedGap, d.now+doomedFor
-		l.doomAt = d.now + l.doomGap
-		d.dial(l)
+// queueTeardown records a stream that the server may still play although its connection is lost.
+func (p *Desk) queueTeardown(peer *peerState, a *attempt) {
+	if peer != nil && a.sessionID != "" && len(peer.pendingTeardowns) < maxPendingTeardowns {
+		peer.pendingTeardowns = append(peer.pendingTeardowns, a.sessionID)
+		peer.teardownBackoff, peer.teardownsExpireAt = minTeardownBackoff, p.now+pendingTeardownTTL
+		peer.teardownDialAt = p.now + peer.teardownBackoff
+		p.dial(peer)
 	}
 }
