--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -1,4 +1,4 @@
-// Package inbox is the bounded way from the sockets' goroutines to the goroutine that owns a front.
+// Package inbox is the bounded queue from the sockets' goroutines to the goroutine that owns a front.
 package inbox
 
 import (
@@ -7,30 +7,31 @@
 	"tealledge/decide/admit"
 )
 
-// Queue holds what waits for the owner. What a full one does is decide/admit's.
+// Queue holds the items that wait for the owner. decide/admit chooses what a full queue does with a new item.
 type Queue struct {
-	mu     sync.Mutex
-	room   sync.Cond
-	items  []any // news and advisories, taken first: they end waits
-	asks   []any
-	most   int
-	wake   chan struct{}
-	closed bool
-	peak   int
-	turned uint64 // asks refused, advisories dropped
+	mu       sync.Mutex
+	notFull  sync.Cond
+	events   []any // news and advisories, taken first because they complete pending requests
+	requests []any // items of kind Ask
+	maxItems int
+	wake     chan struct{}
+	closed   bool
+	peak     int
+	rejected uint64 // requests refused and advisories dropped
 }
 
-// New makes a queue for at most so many items.
-func New(most int) *Queue {
-	q := &Queue{most: most, wake: make(chan struct{}, 1)}
-	q.room.L = &q.mu
+// New returns a queue for at most maxItems items.
+func New(maxItems int) *Queue {
+	q := &Queue{maxItems: maxItems, wake: make(chan struct{}, 1)}
+	q.notFull.L = &q.mu
 	return q
 }
 
-// Wake is rung when something has entered.
+// Wake returns a channel that receives a value after items were added.
 func (q *Queue) Wake() <-chan struct{} { return q.wake }
 
-// Put adds an item; it gives false if it was turned away. Items of kind News wait for room.
+// Put adds an item; it returns false if the item was rejected or the queue is closed. Items of kind News block until
+// there is room.
 func (q *Queue) Put(kind admit.Kind, item any) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -38,61 +39,61 @@
 		if q.closed {
 			return false
 		}
-		switch admit.Enter(kind, len(q.items)+len(q.asks), q.most) {
+		switch admit.Enter(kind, len(q.events)+len(q.requests), q.maxItems) {
 		case admit.Refuse:
-			q.turned++
+			q.rejected++
 			return false
 		case admit.Wait:
-			q.room.Wait()
+			q.notFull.Wait()
 			continue
 		}
 		if kind == admit.Ask {
-			q.asks = append(q.asks, item)
-			q.ring()
+			q.requests = append(q.requests, item)
+			q.signal()
 		} else {
-			q.add(item)
+			q.addEvent(item)
 		}
 		return true
 	}
 }
 
-// Force adds an item past the bound: the end of a connection, of which there are no more than connections. The
-// goroutine that tells it may be the one that all sockets wait on.
+// Force adds an item even to a full queue. It is for the end of a connection: the number of connections bounds these
+// items, and the goroutine that reports one may be the one that all sockets wait for, so it must not block.
 func (q *Queue) Force(item any) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.closed {
-		q.add(item)
+		q.addEvent(item)
 	}
 }
 
-func (q *Queue) add(item any) {
-	q.items = append(q.items, item)
-	q.ring()
+func (q *Queue) addEvent(item any) {
+	q.events = append(q.events, item)
+	q.signal()
 }
 
-func (q *Queue) ring() {
-	q.peak = max(q.peak, len(q.items)+len(q.asks))
+func (q *Queue) signal() {
+	q.peak = max(q.peak, len(q.events)+len(q.requests))
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Take gives up to n items: news first, then asks, each in order. Asks get at least a quarter of the batch, so that
-// no stream of notes keeps them out. backlog tells how many asks wait still.
+// Take returns up to n items: news first, then requests, each in order of arrival. Requests get at least a quarter of
+// the batch, so that a continuous stream of notes can't starve them. backlog is the number of requests left.
 func (q *Queue) Take(n int, into []any) (list []any, backlog int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	asks := min(len(q.asks), max(n/4, n-len(q.items)))
-	into = cut(&q.items, n-asks, into[:0])
-	into = cut(&q.asks, asks, into)
-	q.room.Broadcast()
-	return into, len(q.asks)
+	requests := min(len(q.requests), max(n/4, n-len(q.events)))
+	into = moveFirst(&q.events, n-requests, into[:0])
+	into = moveFirst(&q.requests, requests, into)
+	q.notFull.Broadcast()
+	return into, len(q.requests)
 }
 
-// cut moves up to n items from the front of a list.
-func cut(list *[]any, n int, into []any) []any {
+// moveFirst moves up to n items from the front of a list to the end of another.
+func moveFirst(list *[]any, n int, into []any) []any {
 	n = min(n, len(*list))
 	into = append(into, (*list)[:n]...)
 	rest := copy(*list, (*list)[n:])
@@ -101,17 +102,17 @@
 	return into
 }
 
-// Close ends the queue: nothing enters it any more, and nobody waits for room.
+// Close closes the queue: it accepts no more items, and callers that wait for room return.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	q.room.Broadcast()
+	q.notFull.Broadcast()
 }
 
-// Stats tells how many items wait, how many waited at most, and how many were turned away.
-func (q *Queue) Stats() (length, peak int, turned uint64) {
+// Stats returns the number of queued items, its maximum so far, and the number of rejected items.
+func (q *Queue) Stats() (length, peak int, rejected uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.items) + len(q.asks), q.peak, q.turned
+	return len(q.events) + len(q.requests), q.peak, q.rejected
 }
--- a/internal/inbox/inbox_test.go
+++ b/internal/inbox/inbox_test.go
@@ -7,31 +7,33 @@
 	"tealledge/decide/admit"
 )
 
-func TestAFullQueueTurnsAsksAwayAndKeepsNews(t *testing.T) {
+// TestFullQueueRejectsRequestsAndKeepsNews guards against a full queue that drops news, starves requests, or blocks
+// the end of a connection.
+func TestFullQueueRejectsRequestsAndKeepsNews(t *testing.T) {
 	q := New(16)
 	for i := range 8 {
 		if !q.Put(admit.Ask, i) {
-			t.Fatal("turned away too early")
+			t.Fatal("request rejected before the queue was full")
 		}
 	}
 	if q.Put(admit.Ask, 8) {
-		t.Fatal("an ask past its part")
+		t.Fatal("request accepted past its share of the queue")
 	}
 	for i := 8; i < 16; i++ {
 		if !q.Put(admit.News, i) {
-			t.Fatal("news turned away")
+			t.Fatal("news rejected")
 		}
 	}
 	got := make(chan bool)
 	go func() { got <- q.Put(admit.News, 16) }()
 	select {
 	case <-got:
-		t.Fatal("did not wait")
+		t.Fatal("Put of news did not block on a full queue")
 	case <-time.After(20 * time.Millisecond):
 	}
-	q.Force(99) // the end of a connection always gets in
+	q.Force(99) // the end of a connection is always accepted
 	list, backlog := q.Take(10, nil)
-	if len(list) != 10 || list[0] != 8 || list[8] != 0 || backlog != 6 || !<-got { // news first, asks not kept out
+	if len(list) != 10 || list[0] != 8 || list[8] != 0 || backlog != 6 || !<-got { // news first, requests not starved
 		t.Fatal(list, backlog)
 	}
 	if rest, _ := q.Take(100, nil); len(rest) != 8 {
@@ -41,6 +43,6 @@
 	<-got
 	q.Close()
 	if q.Put(admit.News, 1) {
-		t.Fatal("taken after its end")
+		t.Fatal("item accepted after Close")
 	}
 }
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -1,6 +1,6 @@
-// Package seal makes and checks the tokens in HLS addresses: who a session is for, and all that another front needs
-// to place it anew. A token is signed (HMAC-SHA-256, cut to 128 bits) and expires; keys rotate with overlap: the first
-// key signs, all keys check.
+// Package seal signs and verifies the tokens in HLS addresses. A token identifies a session and its viewer and holds
+// everything that another front needs to place the session again. Tokens are signed (HMAC-SHA-256 truncated to 128
+// bits) and expire. Keys rotate with overlap: the first key signs, all keys verify.
 package seal
 
 import (
@@ -12,7 +12,7 @@
 	"fmt"
 )
 
-// Claims are what a token says.
+// Claims is the content of a token.
 type Claims struct {
 	Session uint64
 	Viewer  uint64
@@ -24,34 +24,34 @@
 	Expires int64
 }
 
-// Why a token is not taken.
+// Errors for which a token is rejected.
 var (
-	ErrForged  = errors.New("seal: not signed by any of the keys")
-	ErrExpired = errors.New("seal: expired")
-	ErrForm    = errors.New("seal: no token")
+	ErrSignature = errors.New("seal: signature matches none of the keys")
+	ErrExpired   = errors.New("seal: token expired")
+	ErrMalformed = errors.New("seal: malformed token")
 )
 
 const (
-	version  = 1
-	macSize  = 16
-	maxTitle = 200
-	// MaxToken bounds a token's text.
-	MaxToken = 512
-	// MinKey is the least length of a key in bytes.
-	MinKey = 16
+	version        = 1
+	macSize        = 16
+	maxTitleLength = 200
+	// MaxTokenLength is the maximum length of an encoded token in bytes.
+	MaxTokenLength = 512
+	// MinKeySize is the minimum length of a key in bytes.
+	MinKeySize = 16
 )
 
-// Keys sign and check. They are not changed; a rotation makes new ones.
+// Keys signs and verifies tokens. It is immutable; a rotation creates a new value.
 type Keys struct{ list [][]byte }
 
-// NewKeys takes keys, the one that signs first.
+// NewKeys returns Keys that sign with the first key and verify with all of them.
 func NewKeys(list ...[]byte) (*Keys, error) {
 	if len(list) == 0 || len(list) > 8 {
-		return nil, fmt.Errorf("seal: 1 to 8 keys are needed, there are %d", len(list))
+		return nil, fmt.Errorf("seal: want 1 to 8 keys, got %d", len(list))
 	}
 	for i, k := range list {
-		if len(k) < MinKey {
-			return nil, fmt.Errorf("seal: key %d has %d bytes, %d at least", i+1, len(k), MinKey)
+		if len(k) < MinKeySize {
+			return nil, fmt.Errorf("seal: key %d has %d bytes, want at least %d", i+1, len(k), MinKeySize)
 		}
 	}
 	return &Keys{list}, nil
@@ -63,11 +63,11 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Sign makes a token.
+// Sign returns a signed token for the claims. Titles over 200 bytes are truncated.
 func (k *Keys) Sign(c Claims) string {
 	title := c.Title
-	if len(title) > maxTitle {
-		title = title[:maxTitle]
+	if len(title) > maxTitleLength {
+		title = title[:maxTitleLength]
 	}
 	b := []byte{version}
 	for _, v := range []uint64{c.Session, c.Viewer, uint64(c.Class), uint64(c.Tenant), uint64(c.Top), uint64(c.Issued), uint64(c.Expires)} {
@@ -77,33 +77,34 @@
 	return base64.RawURLEncoding.EncodeToString(append(b, mac(k.list[0], b)...))
 }
 
-// Open checks a token and gives what it says. An expired one is told apart from a forged one.
+// Verify checks a token and returns its claims. It returns ErrExpired for a token that is authentic but expired.
 func (k *Keys) Open(token string, now int64) (c Claims, err error) {
-	if len(token) > MaxToken {
-		return c, ErrForm
+	if len(token) > MaxTokenLength {
+		return c, ErrMalformed
 	}
-	b, err := base64.RawURLEncoding.Strict().DecodeString(token)
-	if err != nil || len(b) < 1+7+macSize || b[0] != version {
-		return c, ErrForm
+	decoded, err := base64.RawURLEncoding.Strict().DecodeString(token)
+	if err != nil || len(decoded) < 1+7+macSize || decoded[0] != version {
+		return c, ErrMalformed
 	}
-	body, sum := b[:len(b)-macSize], b[len(b)-macSize:]
-	good := false
+	body, signature := decoded[:len(decoded)-macSize], decoded[len(decoded)-macSize:]
+	valid := false
 	for _, key := range k.list {
-		good = hmac.Equal(mac(key, body), sum) || good
+		valid = hmac.Equal(mac(key, body), signature) || valid
 	}
-	if !good {
-		return c, ErrForged
+	if !valid {
+		return c, ErrSignature
 	}
 	rest := body[1:]
-	var v [7]uint64
-	for i := range v {
+	var values [7]uint64
+	for i := range values {
 		x, n := binary.Uvarint(rest)
 		if n <= 0 {
-			return c, ErrForm
+			return c, ErrMalformed
 		}
-		v[i], rest = x, rest[n:]
+		values[i], rest = x, rest[n:]
 	}
-	c = Claims{Session: v[0], Viewer: v[1], Class: int(v[2]), Tenant: int(v[3]), Top: int(v[4]), Issued: int64(v[5]), Expires: int64(v[6]), Title: string(rest)}
+	c = Claims{Session: values[0], Viewer: values[1], Class: int(values[2]), Tenant: int(values[3]), Top: int(values[4]),
+		Issued: int64(values[5]), Expires: int64(values[6]), Title: string(rest)}
 	if now >= c.Expires {
 		return c, ErrExpired
 	}
