--- /dev/null
+++ b/internal/pipe/conns.go
@@ -0,0 +1,183 @@
+package pipe
+
+import (
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/cloudwego/netpoll"
+	"golang.org/x/sys/unix"
+)
+
+// Conns holds the connections that this side dials, by numbers chosen by the caller.
+type Links struct {
+	maxQueuedBytes int
+	writeTimeout   time.Duration
+	mu             sync.Mutex
+	writers        map[uint64]*Pipe
+	closed         bool
+	running        sync.WaitGroup
+}
+
+// Handler receives the events of a connection: either Failed alone, or Connected, then Read any number of times, then
+// Closed once. Its functions are called from other goroutines, one at a time, and may block.
+type Handler struct {
+	Connected func()
+	Failed    func(error)
+	Read      func(b []byte) // b is valid until Read returns
+	Lost      func(begun uint64)
+}
+
+// NewConns returns an empty set. Each connection queues at most maxQueuedBytes and is closed if its peer accepts
+// nothing for writeTimeout.
+func NewLinks(maxQueuedBytes int, writeTimeout time.Duration) *Links {
+	return &Links{maxQueuedBytes: maxQueuedBytes, writeTimeout: writeTimeout, writers: map[uint64]*Pipe{}}
+}
+
+// Dial opens a connection in its own goroutine.
+func (s *Links) Dial(conn uint64, connect func() (net.Conn, error), h Handler) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.closed {
+		s.running.Add(1)
+		go s.run(conn, connect, h)
+	}
+}
+
+// run opens a connection and reads it until it closes.
+func (s *Links) run(conn uint64, connect func() (net.Conn, error), h Handler) {
+	defer s.running.Done()
+	c, err := connect()
+	if err != nil {
+		h.Failed(err)
+		return
+	}
+	w := New(c, s.maxQueuedBytes, s.writeTimeout)
+	s.mu.Lock()
+	if s.closed {
+		s.mu.Unlock()
+		w.Close()
+		return
+	}
+	s.writers[conn] = w
+	s.mu.Unlock()
+	h.Connected() // before any other event
+	b := make([]byte, readBufferBytes)
+	for err == nil {
+		var n int
+		if n, err = c.Read(b); n > 0 {
+			h.Read(b[:n])
+		}
+	}
+	s.mu.Lock()
+	delete(s.writers, conn)
+	s.mu.Unlock()
+	submitted := w.Stop()
+	c.Close()
+	h.Lost(submitted)
+}
+
+// readBufferBytes is the size of the read buffer that each open connection keeps.
+const readBufferBytes = 4 << 10
+
+// OnClose calls closed when a connection has closed, by either side and after all its input was read. netpoll's
+// OnDisconnect is called before that: the last messages of a player would arrive after the event that it has left.
+func OnEnd(c netpoll.Connection, closed func()) {
+	c.AddCloseCallback(func(netpoll.Connection) error {
+		closed()
+		return nil
+	})
+}
+
+// writer returns the writer of an open connection, or nil.
+func (s *Links) writer(conn uint64) *Pipe {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.writers[conn]
+}
+
+// Send queues bytes, see Writer.Send. Bytes for a closed connection are dropped.
+func (s *Links) Send(conn uint64, b []byte) {
+	if w := s.writer(conn); w != nil {
+		w.Send(b)
+	}
+}
+
+// SendInline writes on the calling goroutine, see Writer.SendInline: bytes for one peer have left before the next
+// peer is sent any.
+func (s *Links) SendInline(conn uint64, b []byte) {
+	if w := s.writer(conn); w != nil {
+		w.SendHere(b)
+	}
+}
+
+// CloseWriteAfterFlush closes the write side, see Writer.CloseWriteAfterFlush: bytes on their way here are still read.
+func (s *Links) CloseWriteAfterFlush(conn uint64) {
+	if w := s.writer(conn); w != nil {
+		w.CloseWriteAfterFlush()
+	}
+}
+
+// CloseConn closes one connection at once.
+func (s *Links) Shut(conn uint64) {
+	if w := s.writer(conn); w != nil {
+		w.Close()
+	}
+}
+
+// Close closes each connection once its queue is written. It waits until all have closed and no dial is in progress.
+func (s *Links) Close() {
+	s.mu.Lock()
+	s.closed = true
+	all := make([]*Pipe, 0, len(s.writers))
+	for _, w := range s.writers {
+		all = append(all, w)
+	}
+	s.mu.Unlock()
+	for _, w := range all {
+		w.Finish()
+	}
+	s.running.Wait()
+}
+
+// DialTCP opens a TCP connection with a single connect and returns the system's error, because a refused connect and
+// an unanswered one prove different things. An established connection is never dropped unread, however soon the peer
+// closes it: the peer may send pending messages on the next connection that it accepts. netpoll's dial closes a
+// connection unread if it has closed by the time netpoll checks it, and does not tell these errors apart.
+func DialTCP(addr string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1, Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) { setTCPOptions(int(fd)) })
+	}}
+	return d.Dial("tcp", addr)
+}
+
+// userTimeout bounds how long written bytes may stay unacknowledged (TCP_USER_TIMEOUT). Without it, a peer that
+// vanished without closing is noticed only after many minutes of retransmission. A longer network outage therefore
+// closes the connection, and its streams are looked up on a new one.
+const userTimeout = 5 * time.Second
+
+// Settings of the kernel's TCP keep-alive probes, for connections on which neither side sends.
+const (
+	keepAliveIdleSeconds     = 20
+	keepAliveIntervalSeconds = 5
+	keepAliveProbes          = 3
+)
+
+// SetTCPOptions sets the socket options of a TCP connection for small messages that a peer waits for: none is delayed
+// to be joined with the next (TCP_NODELAY), and dead peers are detected. Connections without a descriptor are left
+// unchanged.
+func SetTCPOptions(conn netpoll.Connection) {
+	if c, ok := conn.(netpoll.Conn); ok {
+		setTCPOptions(c.Fd())
+	}
+}
+
+func setTCPOptions(fd int) {
+	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
+	syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_KEEPALIVE, 1)
+	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_KEEPIDLE, keepAliveIdleSeconds)
+	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_KEEPINTVL, keepAliveIntervalSeconds)
+	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_KEEPCNT, keepAliveProbes)
+	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
+}
--- a/internal/pipe/listen.go
+++ b/internal/pipe/listen.go
@@ -11,10 +11,10 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// Listen gives a listener for netpoll's loop whose descriptor belongs to the standard library. Danger: netpoll's own closes its
-// descriptor twice, and goes on accepting on the number while it closes. Harm: in between the number may be another's. A
-// connection that a goroutine has just opened loses its descriptor, and with it what it carries; or a connection is taken off
-// another listener.
+// Listen returns a listener for netpoll's event loop whose descriptor is owned by the standard library. netpoll's own
+// listener closes its descriptor twice and goes on accepting on its number while it closes. In between, the number
+// may have been reused: a connection that a goroutine has just opened would lose its descriptor and its data, or a
+// connection would be accepted from another listener.
 func Listen(addr string) (netpoll.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -31,21 +31,23 @@
 	return l, nil
 }
 
+// listener is a TCP listener with the descriptor that the event loop polls.
 type listener struct {
 	net.Listener
 	raw syscall.RawConn
 	fd  int
 }
 
-// Fd is for the loop to wait on. It is this listener's until Close.
+// Fd returns the descriptor that the event loop polls. It belongs to this listener until Close.
 func (l listener) Fd() int { return l.fd }
 
-// Accept gives a connection, or none if none waits. After Close it gives an error, whoever has the number by then.
+// Accept returns a connection, or nil if none is pending. After Close it returns an error, even if the descriptor
+// number has been reused.
 func (l listener) Accept() (net.Conn, error) {
 	var fd int
 	var from syscall.Sockaddr
 	var err error
-	closed := l.raw.Control(func(ln uintptr) {
+	controlErr := l.raw.Control(func(ln uintptr) {
 		for {
 			fd, from, err = syscall.Accept4(int(ln), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			if err != syscall.EINTR && err != syscall.ECONNABORTED {
@@ -54,18 +56,18 @@
 		}
 	})
 	switch {
-	case closed != nil:
-		return nil, closed
+	case controlErr != nil:
+		return nil, controlErr
 	case err == syscall.EAGAIN:
 		return nil, nil
 	case err != nil:
-		return nil, err // as the system words it: the loop knows want of descriptors by that
+		return nil, err // unwrapped: the event loop recognizes a lack of descriptors by it
 	}
 	syscall.SetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_NODELAY, 1)
 	return &accepted{fd: fd, local: l.Addr(), remote: tcpAddr(from)}, nil
 }
 
-// accepted is a connection on its way into the loop, which reads, writes and closes it itself.
+// accepted is a new connection for the event loop, which reads, writes and closes it by its descriptor.
 type accepted struct {
 	fd            int
 	local, remote net.Addr
@@ -80,7 +82,7 @@
 func (a *accepted) SetReadDeadline(time.Time) error  { return errors.ErrUnsupported }
 func (a *accepted) SetWriteDeadline(time.Time) error { return errors.ErrUnsupported }
 
-// Close closes a connection that is not let in, once.
+// Close closes a connection that the loop has not taken over. A second call returns net.ErrClosed.
 func (a *accepted) Close() error {
 	fd := a.fd
 	if fd < 0 {
@@ -90,6 +92,7 @@
 	return syscall.Close(fd)
 }
 
+// tcpAddr converts a socket address.
 func tcpAddr(from syscall.Sockaddr) net.Addr {
 	switch a := from.(type) {
 	case *syscall.SockaddrInet4:
--- a/internal/pipe/listen_test.go
+++ b/internal/pipe/listen_test.go
@@ -13,12 +13,12 @@
 	"github.com/cloudwego/netpoll"
 )
 
-// A listener that closes takes its own descriptor and no other: descriptors that others open meanwhile stay theirs.
-func TestAListenerClosesItsOwnDescriptorOnly(t *testing.T) {
-	const closes, others = 3000, 4
-	stop, bad := make(chan struct{}), make(chan error, others)
+// Closing a listener closes its own descriptor only, not one that another goroutine opens meanwhile.
+func TestListenerCloseLeavesOtherDescriptorsOpen(t *testing.T) {
+	const rounds, goroutines = 3000, 4
+	stop, errs := make(chan struct{}), make(chan error, goroutines)
 	var running sync.WaitGroup
-	for range others {
+	for range goroutines {
 		running.Go(func() {
 			for {
 				select {
@@ -32,13 +32,13 @@
 					err = errors.Join(err, w.Close(), r.Close())
 				}
 				if err != nil {
-					bad <- err
+					errs <- err
 					return
 				}
 			}
 		})
 	}
-	for range closes {
+	for range rounds {
 		ln, err := Listen("127.0.0.1:0")
 		if err != nil {
 			t.Error(err)
@@ -52,14 +52,14 @@
 	close(stop)
 	running.Wait()
 	select {
-	case err := <-bad:
-		t.Error("a descriptor that is another's:", err)
+	case err := <-errs:
+		t.Error("a pipe of another goroutine was closed:", err)
 	default:
 	}
 }
 
-// Of a listener that is closed nothing is accepted, and a second close changes nothing, whoever has its number by then.
-func TestAClosedListenerLeavesItsNumberToOthers(t *testing.T) {
+// A closed listener accepts nothing and ignores a second close, even if its descriptor number has been reused.
+func TestClosedListenerIgnoresReusedDescriptor(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,48 +67,48 @@
 	if err := old.Close(); err != nil {
 		t.Fatal(err)
 	}
-	var all []netpoll.Listener // until one has the number
+	var listeners []netpoll.Listener // until one reuses the descriptor number
 	defer func() {
-		for _, ln := range all {
+		for _, ln := range listeners {
 			ln.Close()
 		}
 	}()
-	for len(all) == 0 || all[len(all)-1].Fd() != old.Fd() {
+	for len(listeners) == 0 || listeners[len(listeners)-1].Fd() != old.Fd() {
 		ln, err := Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if all = append(all, ln); len(all) > 200 {
-			t.Fatal("the number is not used again")
+		if listeners = append(listeners, ln); len(listeners) > 200 {
+			t.Fatal("the descriptor number is not reused")
 		}
 	}
-	heir := all[len(all)-1]
-	c, err := net.Dial("tcp", heir.Addr().String())
+	reuser := listeners[len(listeners)-1]
+	c, err := net.Dial("tcp", reuser.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	if got, err := old.Accept(); got != nil || !errors.Is(err, net.ErrClosed) {
-		t.Errorf("accepted %v, %v", got, err)
+		t.Errorf("the closed listener accepted %v, %v", got, err)
 	}
 	old.Close()
-	got, err := heir.Accept()
+	got, err := reuser.Accept()
 	if got == nil || err != nil {
-		t.Fatalf("its heir accepts %v, %v", got, err)
+		t.Fatalf("the listener that reuses the number accepted %v, %v", got, err)
 	}
 	if got.RemoteAddr().String() != c.LocalAddr().String() || got.LocalAddr().String() != c.RemoteAddr().String() {
 		t.Errorf("from %v to %v, want %v to %v", got.RemoteAddr(), got.LocalAddr(), c.LocalAddr(), c.RemoteAddr())
 	}
-	if next, err := heir.Accept(); next != nil || err != nil {
-		t.Errorf("accepted %v, %v of nobody", next, err)
+	if next, err := reuser.Accept(); next != nil || err != nil {
+		t.Errorf("accepted %v, %v with no connection pending", next, err)
 	}
 	if got.Close() != nil || !errors.Is(got.Close(), net.ErrClosed) {
-		t.Error("it is closed twice, or not at all")
+		t.Error("want a close and then net.ErrClosed")
 	}
 }
 
-// Want of descriptors is told as the system words it: the loop then rests instead of spinning.
-func TestWantOfDescriptorsIsTold(t *testing.T) {
+// A lack of descriptors is returned as the system's own error, so that the event loop pauses instead of spinning.
+func TestAcceptReturnsEMFILEUnchanged(t *testing.T) {
 	ln, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -129,19 +129,19 @@
 		t.Fatal(err)
 	}
 	_, err = ln.Accept()
-	if back := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); back != nil {
-		t.Fatal(back)
+	if restoreErr := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); restoreErr != nil {
+		t.Fatal(restoreErr)
 	}
 	if err != syscall.EMFILE {
-		t.Errorf("%T %v", err, err)
+		t.Errorf("error %T %v, want EMFILE", err, err)
 	}
 	if got, err := ln.Accept(); got == nil || err != nil {
-		t.Errorf("afterwards %v, %v", got, err)
+		t.Errorf("accept after the limit was restored: %v, %v", got, err)
 	}
 }
 
-// A loop serves on it, and ends with it.
-func TestALoopServesOnAListener(t *testing.T) {
+// An event loop serves on the listener and closes it at shutdown.
+func TestEventLoopServesOnListener(t *testing.T) {
 	for _, addr := range []string{"127.0.0.1:0", "[::1]:0"} {
 		ln, err := Listen(addr)
 		if err != nil {
@@ -162,9 +162,9 @@
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(5 * time.Second))
-		c.Write([]byte("words"))
+		c.Write([]byte("bytes"))
 		b := make([]byte, 5)
-		if n, err := c.Read(b); string(b[:n]) != "words" || err != nil {
+		if n, err := c.Read(b); string(b[:n]) != "bytes" || err != nil {
 			t.Errorf("%q, %v", b[:n], err)
 		}
 		c.Close()
@@ -178,7 +178,7 @@
 		}
 		if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 			c.Close()
-			t.Error("it listens still")
+			t.Error("still listening after shutdown")
 		}
 	}
 }
--- /dev/null
+++ b/internal/pipe/writer.go
@@ -0,0 +1,213 @@
+// Package pipe holds the TCP connections of a front: non-blocking writers with bounded queues, the connections
+// that the front dials, a listener for netpoll, and socket options.
+package pipe
+
+import (
+	"io"
+	"net"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+// Conn is a connection of the standard library or of netpoll.
+type Conn interface {
+	io.Writer
+	io.Closer
+}
+
+// Writer writes to a connection without blocking the caller. Bytes are kept in a bounded queue, and a goroutine runs
+// only while there is something to write. It keeps an upper bound of the bytes handed to the kernel, which tells a
+// set-up that provably never left this machine from one that may have run.
+type Pipe struct {
+	conn                 Conn
+	raw                  syscall.RawConn // nil for a netpoll connection
+	writeTimeout         time.Duration   // for a write that the kernel does not accept at once
+	maxQueuedBytes       int
+	submitted            atomic.Uint64
+	mu                   sync.Mutex
+	queued               []byte
+	spare                []byte
+	writing              bool // a goroutine is writing
+	closeAfterFlush      bool // close the connection once the queue is written
+	closeWriteAfterFlush bool // close the write side once the queue is written
+	closed               bool
+}
+
+// NewWriter returns a writer that queues at most maxQueuedBytes. A write that the peer does not accept within
+// writeTimeout closes the connection.
+func New(conn Conn, maxQueuedBytes int, writeTimeout time.Duration) *Pipe {
+	w := &Pipe{conn: conn, maxQueuedBytes: maxQueuedBytes, writeTimeout: writeTimeout}
+	switch c := conn.(type) {
+	case interface{ SetWriteTimeout(time.Duration) error }:
+		c.SetWriteTimeout(writeTimeout)
+	case syscall.Conn:
+		w.raw, _ = c.SyscallConn()
+	}
+	return w
+}
+
+// Send queues bytes. If the queue would exceed its limit, because the peer reads too slowly or not at all, it closes
+// the connection and returns false.
+func (w *Pipe) Send(b []byte) bool {
+	start, ok := w.enqueue(b)
+	if start {
+		go w.writeQueued()
+	}
+	return ok
+}
+
+// SendInline queues bytes like Send and writes them on the calling goroutine, unless another goroutine is writing
+// already. It may block, so it is for callers that may wait.
+func (w *Pipe) SendHere(b []byte) bool {
+	start, ok := w.enqueue(b)
+	if start {
+		w.writeQueued()
+	}
+	return ok
+}
+
+// enqueue adds bytes to the queue. If start is true, no goroutine is writing and the caller must call writeQueued.
+func (w *Pipe) enqueue(b []byte) (start, ok bool) {
+	w.mu.Lock()
+	if w.closed || w.closeAfterFlush || w.closeWriteAfterFlush {
+		w.mu.Unlock()
+		return false, false
+	}
+	if len(w.queued)+len(b) > w.maxQueuedBytes {
+		w.closed, w.queued = true, nil
+		w.mu.Unlock()
+		w.conn.Close()
+		return false, false
+	}
+	w.queued = append(w.queued, b...)
+	start = !w.writing
+	w.writing = true
+	w.mu.Unlock()
+	return start, true
+}
+
+// CloseAfterFlush closes the connection once the queue is written.
+func (w *Pipe) Finish() {
+	w.mu.Lock()
+	w.closeAfterFlush = true
+	idle := !w.writing && !w.closed
+	w.mu.Unlock()
+	if idle {
+		w.conn.Close()
+	}
+}
+
+// CloseWriteAfterFlush closes the write side once the queue is written. Reading goes on until the peer closes its own
+// side.
+func (w *Pipe) CloseWriteAfterFlush() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !w.closeWriteAfterFlush && !w.writing && !w.closed {
+		w.closeWrite()
+	}
+	w.closeWriteAfterFlush = true
+}
+
+// closeWrite closes the write side. An error means that the connection has closed, which its reader reports.
+func (w *Pipe) closeWrite() {
+	if c, ok := w.conn.(interface{ CloseWrite() error }); ok {
+		c.CloseWrite()
+	}
+}
+
+// Close closes the connection at once.
+func (w *Pipe) Close() {
+	w.mu.Lock()
+	w.closed, w.queued = true, nil
+	w.mu.Unlock()
+	w.conn.Close()
+}
+
+// Idle reports whether all queued bytes have been handed to the kernel or dropped.
+func (w *Pipe) Idle() bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.closed || !w.writing && len(w.queued) == 0
+}
+
+// SubmittedBytes returns an upper bound of the number of bytes handed to the kernel. Bytes past it never left this
+// machine.
+func (w *Pipe) SubmittedBytes() uint64 { return w.submitted.Load() }
+
+// maxSpareBytes is the largest buffer that an idle writer keeps.
+const maxSpareBytes = 4 << 10
+
+// writeQueued writes until the queue is empty, then closes the connection or its write side if that was requested.
+func (w *Pipe) writeQueued() {
+	for {
+		w.mu.Lock()
+		if w.closed || len(w.queued) == 0 {
+			w.writing = false
+			closeNow := w.closeAfterFlush && !w.closed
+			if w.closeWriteAfterFlush && !w.closed {
+				w.closeWrite()
+			}
+			w.closed = w.closed || w.closeAfterFlush
+			w.mu.Unlock()
+			if closeNow {
+				w.conn.Close()
+			}
+			return
+		}
+		b := w.queued
+		w.queued, w.spare = w.spare[:0], nil
+		w.submitted.Add(uint64(len(b))) // under the lock: no byte is written before SubmittedBytes counts it
+		w.mu.Unlock()
+		err := w.writeBytes(b)
+		w.mu.Lock()
+		if cap(b) <= maxSpareBytes {
+			w.spare = b
+		}
+		w.mu.Unlock()
+		if err != nil {
+			w.Close()
+		}
+	}
+}
+
+// writeBytes writes bytes and waits for the peer only if the kernel accepts no more of them. The first write has no
+// deadline: if the core stalls for a moment, a deadline set before a write may have passed by the time the write
+// starts. The write would then fail untried, and the connection would be lost with all sessions and requests on it.
+func (w *Pipe) writeBytes(b []byte) error {
+	if w.raw == nil { // netpoll does the same itself; Write, unlike netpoll's Writer, may race with the close of the connection
+		_, err := w.conn.Write(b)
+		return err
+	}
+	var n int
+	var err error
+	if closedErr := w.raw.Write(func(fd uintptr) bool {
+		n, err = syscall.Write(int(fd), b)
+		return true
+	}); closedErr != nil {
+		return closedErr
+	}
+	switch {
+	case err == syscall.EAGAIN || err == syscall.EINTR:
+		n = 0
+	case err != nil:
+		return err
+	case n == len(b):
+		return nil
+	}
+	c := w.conn.(net.Conn)
+	c.SetWriteDeadline(time.Now().Add(w.writeTimeout))
+	defer c.SetWriteDeadline(time.Time{})
+	_, err = c.Write(b[n:])
+	return err
+}
+
+// Stop stops the writer without closing the connection and returns the final SubmittedBytes: no more bytes are handed
+// to the kernel after it.
+func (w *Pipe) Stop() uint64 {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.closed, w.queued = true, nil
+	return w.submitted.Load()
+}
