--- a/internal/platform/node/clients.go
+++ b/internal/platform/node/clients.go
@@ -19,165 +19,181 @@
 	"tealledge/internal/platform/wire"
 )
 
-// clients holds the connections of viewers.
+// clients holds the connections from viewers.
 type clients struct {
-	events clientEvents
-	loop   netpoll.EventLoop
-	ln     netpoll.Listener
-	mu     sync.Mutex
-	conns  map[uint64]*client
-	last   atomic.Uint64
-	held   atomic.Int64 // connections that have a descriptor
-	most   atomic.Int64 // of these; 0: any number
-	shed   atomic.Uint64
-	room   chan struct{} // a connection has ended since the gate last looked
-	holds  time.Duration // how long the gate holds a newcomer for room
-	peeked []byte        // the owner's
+	events      clientEvents
+	loop        netpoll.EventLoop
+	listener    netpoll.Listener
+	mu          sync.Mutex
+	conns       map[uint64]*client
+	lastID      atomic.Uint64
+	openConns   atomic.Int64 // accepted connections whose descriptor is open
+	maxConns    atomic.Int64 // limit of openConns; 0: no limit
+	rejected    atomic.Uint64
+	slotFreed   chan struct{} // holds an item if a connection has closed since the last receive
+	slotTimeout time.Duration // how long Accept waits for a connection to close
+	peekBuffer  []byte        // used by the owner goroutine only
 }
 
-// clientEvents takes what viewers' connections bring; called from many goroutines.
+// clientEvents receives the events of viewers' connections. Its methods are called from many goroutines.
 type clientEvents interface {
 	accepted(conn uint64)
-	said(k *client, list []viewers.In, broken error, partial bool)
-	left(conn uint64)
+	received(k *client, list []viewers.In, readErr error, partial bool)
+	closed(conn uint64)
 }
 
+// client is the connection of one viewer.
 type client struct {
-	id      uint64
-	conn    netpoll.Connection
-	pipe    *pipe.Pipe
-	deaf    atomic.Bool  // it is being closed: what it still sends is read and dropped
-	unheard atomic.Int32 // what was read of it and the owner has not taken yet
-	mu      sync.Mutex
-	cut     *wire.Splitter
-	torn    bool            // its stream can't be read any further
-	back    map[uint64]bool // sessions that it took back or ended, by words that the owner has not taken yet
+	id          uint64
+	conn        netpoll.Connection
+	writer      *pipe.Pipe
+	closing     atomic.Bool  // being closed: further input is read and dropped
+	unprocessed atomic.Int32 // reads that the owner goroutine has not processed yet
+	mu          sync.Mutex
+	splitter    *wire.Splitter
+	unreadable  bool            // the splitter has failed: further input is dropped
+	withdrawn   map[uint64]bool // sessions that it withdrew or ended in lines not processed yet
 }
 
+// clientKey is the context key of a connection's client.
 type clientKey struct{}
 
+// Limits and durations of viewers' connections.
 const (
-	clientBytes = 128 << 10              // that may wait on one connection
-	clientWrite = 2 * time.Second        // a viewer that takes nothing for so long loses its connection
-	lingers     = 150 * time.Millisecond // from the last bytes to the close: closed at once, unread input would destroy them
-	readerTurns = 20                     // that a connection's reader is given before a set-up is sent for it
-	gateHolds   = 20 * time.Millisecond  // the owner makes room within, unless none can be made or it has no core
-	addrWait    = 3 * time.Second        // for an address that is in use at the start
-	addrPause   = 10 * time.Millisecond
-	gateRests   = 5 // times that, after room was waited for in vain, it is not waited for again
+	maxClientQueueBytes = 128 << 10       // unwritten bytes on one connection
+	clientWriteTimeout  = 2 * time.Second // the connection of a viewer that reads nothing for this long is closed
+	// closeDelay is the time from the last bytes to the close: a close at once, with unread input, would discard them.
+	closeDelay      = 150 * time.Millisecond
+	maxReaderYields = 20 // yields to a connection's reader before a set-up is sent for its client
+	// slotWaitTimeout is enough for the owner to close a connection, unless none can be closed or the owner gets no
+	// core.
+	slotWaitTimeout     = 20 * time.Millisecond
+	listenTimeout       = 3 * time.Second // for an address that is in use at start
+	listenRetryInterval = 10 * time.Millisecond
+	slotBackoffFactor   = 5 // Accept does not wait for this many slotTimeouts after a wait without success
 )
 
+// listen creates a listener and an event loop for viewers' connections.
 func listen(addr string, events clientEvents) (*clients, error) {
-	c := &clients{events: events, conns: map[uint64]*client{}, room: make(chan struct{}, 1), holds: gateHolds}
-	ln, err := listenAt(addr)
+	c := &clients{events: events, conns: map[uint64]*client{}, slotFreed: make(chan struct{}, 1),
+		slotTimeout: slotWaitTimeout}
+	ln, err := listenWithRetry(addr)
 	if err != nil {
 		return nil, err
 	}
-	c.ln = &gate{Listener: ln, c: c, born: time.Now()}
-	if c.loop, err = netpoll.NewEventLoop(c.request, netpoll.WithOnPrepare(c.prepare), netpoll.WithOnConnect(c.connect)); err != nil {
+	c.listener = &limitListener{Listener: ln, clients: c, createdAt: time.Now()}
+	if c.loop, err = netpoll.NewEventLoop(c.onRequest, netpoll.WithOnPrepare(c.onPrepare),
+		netpoll.WithOnConnect(c.onConnect)); err != nil {
 		ln.Close()
 		return nil, err
 	}
 	return c, nil
 }
 
-// listenAt listens at an address. Danger: a front that is started again as the process of before still ends finds its address in
-// use, and ends itself. Harm: one whose address is another's says so only after addrWait.
-func listenAt(addr string) (ln netpoll.Listener, err error) {
-	for began := time.Now(); ; time.Sleep(addrPause) {
-		if ln, err = pipe.Listen(addr); !errors.Is(err, syscall.EADDRINUSE) || time.Since(began) >= addrWait {
+// listenWithRetry listens at an address and retries while the address is in use: a front that restarts while its
+// previous process is still exiting would otherwise fail to start. If another program holds the address, the error is
+// returned only after listenTimeout.
+func listenWithRetry(addr string) (ln netpoll.Listener, err error) {
+	for startedAt := time.Now(); ; time.Sleep(listenRetryInterval) {
+		if ln, err = pipe.Listen(addr); !errors.Is(err, syscall.EADDRINUSE) || time.Since(startedAt) >= listenTimeout {
 			return ln, err
 		}
 	}
 }
 
-// gate lets connections in up to the limit. Those past it wait in the system's queue for room; those for whom none is made in time
-// are closed.
-type gate struct {
+// limitListener accepts connections up to a limit. Connections past the limit wait in the kernel's accept queue until
+// another connection closes; if none does in time, they are accepted and closed.
+type limitListener struct {
 	netpoll.Listener
-	c     *clients
-	born  time.Time
-	vain  atomic.Int64 // since born: room is not waited for before
-	waits atomic.Int64 // how often room was waited for
+	clients     *clients
+	createdAt   time.Time
+	noWaitUntil atomic.Int64 // time since createdAt before which Accept does not wait for a slot
+	slotWaits   atomic.Int64 // number of waits for a slot
 }
 
-// Accept gives a connection, or none. Danger: the owner closes those past its own limit, but it may be busy; a flood would
-// meanwhile take what is reserved for servers and the list. Closed at once, a usual viewer that comes in the flood would get no
-// answer, though most of those in its way say nothing and the owner would close them for it. Harm: while room is waited for nobody
-// is read; in a flood of viewers that all have requests open, one is closed on.
-func (g *gate) Accept() (net.Conn, error) {
-	if g.full() && int64(time.Since(g.born)) >= g.vain.Load() {
-		g.wait()
+// Accept returns a connection or nil. The owner goroutine closes connections past its own limit, but it may be busy,
+// and a flood would meanwhile use the descriptors reserved for servers and the list. Accept waits before it closes a
+// connection past the limit: otherwise a regular viewer that connects during the flood would get no answer, though
+// most of the other connections are silent and the owner would close them in its favour. While Accept waits, no
+// connection is read; in a flood of viewers that all have open requests, a new connection is closed.
+func (l *limitListener) Accept() (net.Conn, error) {
+	if l.full() && int64(time.Since(l.createdAt)) >= l.noWaitUntil.Load() {
+		l.waitForSlot()
 	}
-	conn, err := g.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if conn == nil || err != nil {
 		return conn, err
 	}
-	if g.full() {
-		g.c.shed.Add(1)
+	if l.full() {
+		l.clients.rejected.Add(1)
 		conn.Close()
-		return nil, nil // none for now: the next look at the listener comes at once
+		return nil, nil // no connection for now: the event loop polls the listener again at once
 	}
-	g.c.held.Add(1)
+	l.clients.openConns.Add(1)
 	return conn, nil
 }
 
-func (g *gate) full() bool {
-	most := g.c.most.Load()
-	return most > 0 && g.c.held.Load() >= most
+// full reports whether the limit is reached.
+func (l *limitListener) full() bool {
+	maxConns := l.clients.maxConns.Load()
+	return maxConns > 0 && l.clients.openConns.Load() >= maxConns
 }
 
-// wait gives the owner time to make room.
-func (g *gate) wait() {
-	g.waits.Add(1)
-	late := time.NewTimer(g.c.holds)
-	defer late.Stop()
-	for g.full() {
+// waitForSlot waits until the owner goroutine has closed a connection, at most slotTimeout.
+func (l *limitListener) waitForSlot() {
+	l.slotWaits.Add(1)
+	timer := time.NewTimer(l.clients.slotTimeout)
+	defer timer.Stop()
+	for l.full() {
 		select {
-		case <-g.c.room:
-		case <-late.C:
-			g.vain.Store(int64(time.Since(g.born) + gateRests*g.c.holds))
+		case <-l.clients.slotFreed:
+		case <-timer.C:
+			l.noWaitUntil.Store(int64(time.Since(l.createdAt) + slotBackoffFactor*l.clients.slotTimeout))
 			return
 		}
 	}
 }
 
-// prepare comes before anything else is done with a connection that was let in.
-func (c *clients) prepare(nc netpoll.Connection) context.Context {
+// onPrepare is called by the event loop before any other callback of an accepted connection.
+func (c *clients) onPrepare(nc netpoll.Connection) context.Context {
 	pipe.OnEnd(nc, func() {
-		c.held.Add(-1)
+		c.openConns.Add(-1)
 		select {
-		case c.room <- struct{}{}:
+		case c.slotFreed <- struct{}{}:
 		default:
 		}
 	})
 	return context.Background()
 }
 
-func (c *clients) connect(ctx context.Context, nc netpoll.Connection) context.Context {
-	pipe.Tune(nc)
-	k := &client{id: c.last.Add(1), conn: nc, pipe: pipe.New(nc, clientBytes, clientWrite), cut: wire.NewSplitter(wire.MaxMessage)}
+// onConnect registers a new connection.
+func (c *clients) onConnect(ctx context.Context, nc netpoll.Connection) context.Context {
+	pipe.SetTCPOptions(nc)
+	k := &client{id: c.lastID.Add(1), conn: nc, writer: pipe.New(nc, maxClientQueueBytes, clientWriteTimeout),
+		splitter: wire.NewSplitter(wire.MaxMessage)}
 	c.mu.Lock()
 	c.conns[k.id] = k
 	c.mu.Unlock()
-	c.events.accepted(k.id) // before any left
-	pipe.OnEnd(nc, func() { c.leave(k) })
+	c.events.accepted(k.id) // before its closed event
+	pipe.OnEnd(nc, func() { c.onClose(k) })
 	return context.WithValue(ctx, clientKey{}, k)
 }
 
-func (c *clients) leave(k *client) {
-	k.pipe.Stop()
+// onClose removes a closed connection.
+func (c *clients) onClose(k *client) {
+	k.writer.Stop()
 	c.mu.Lock()
 	delete(c.conns, k.id)
 	c.mu.Unlock()
-	c.events.left(k.id)
+	c.events.closed(k.id)
 }
 
-func (c *clients) request(ctx context.Context, nc netpoll.Connection) error {
+// onRequest reads the input of a connection and passes its lines on.
+func (c *clients) onRequest(ctx context.Context, nc netpoll.Connection) error {
 	k, _ := ctx.Value(clientKey{}).(*client)
 	r := nc.Reader()
 	n := r.Len()
-	if k == nil || k.deaf.Load() {
+	if k == nil || k.closing.Load() {
 		r.Skip(n)
 		return r.Release()
 	}
@@ -185,27 +201,27 @@
 	if err != nil {
 		return err
 	}
-	list, broken, partial, ok := k.parse(b)
+	list, readErr, partial, ok := k.parse(b)
 	r.Release()
 	if ok {
-		c.events.said(k, list, broken, partial)
+		c.events.received(k, list, readErr, partial)
 	}
 	return nil
 }
 
-// parse cuts what was read into lines. What takes something back is noted at once, for the owner may be behind.
-func (k *client) parse(b []byte) (list []viewers.In, broken error, partial, ok bool) {
+// parse splits input into lines. It records withdrawn sessions at once, because the owner goroutine may be behind.
+func (k *client) parse(b []byte) (list []viewers.In, readErr error, partial, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.torn {
+	if k.unreadable {
 		return nil, nil, false, false
 	}
-	k.unheard.Add(1)
-	k.cut.Feed(b)
+	k.unprocessed.Add(1)
+	k.splitter.Feed(b)
 	for {
-		line, err := k.cut.Next()
+		line, err := k.splitter.Next()
 		if err != nil {
-			broken, k.torn = err, true
+			readErr, k.unreadable = err, true
 			break
 		}
 		if line == nil {
@@ -214,123 +230,128 @@
 		var in viewers.In
 		in.Line, in.Err = wire.ParseLine(line)
 		if in.Line.Msg == wire.LineClose && in.Line.Sid != 0 {
-			if k.back == nil {
-				k.back = map[uint64]bool{}
+			if k.withdrawn == nil {
+				k.withdrawn = map[uint64]bool{}
 			}
-			k.back[in.Line.Sid] = true
+			k.withdrawn[in.Line.Sid] = true
 		}
 		list = append(list, in)
 	}
-	return list, broken, k.cut.Partial(), true
+	return list, readErr, k.splitter.Partial(), true
 }
 
-// heard tells that the owner has taken what parse gave.
-func (k *client) heard(list []viewers.In) {
-	k.unheard.Add(-1)
+// processed records that the owner goroutine has handled a result of parse.
+func (k *client) processed(list []viewers.In) {
+	k.unprocessed.Add(-1)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for _, in := range list { // a later word about a session named here may wait still
+	for _, in := range list { // a later line about a session of this list may still be unprocessed
 		if in.Line.Msg == wire.LineClose {
-			delete(k.back, in.Line.Sid)
+			delete(k.withdrawn, in.Line.Sid)
 		}
 	}
-	if len(k.back) == 0 {
-		k.back = nil
+	if len(k.withdrawn) == 0 {
+		k.withdrawn = nil
 	}
 }
 
+// get returns an open connection, or nil.
 func (c *clients) get(conn uint64) *client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conns[conn]
 }
 
-// quiet tells whether nothing that came on a connection waits to be read or handed on.
-func (c *clients) quiet(conn uint64) bool {
+// inputDrained reports whether all input of a connection has been read and processed.
+func (c *clients) inputDrained(conn uint64) bool {
 	k := c.get(conn)
 	if k == nil {
 		return true
 	}
-	if k.unheard.Load() != 0 || k.conn.Reader().Len() != 0 {
+	if k.unprocessed.Load() != 0 || k.conn.Reader().Len() != 0 {
 		return false
 	}
-	_, unread := k.look()
+	_, unread := k.poll()
 	return !unread
 }
 
-func (k *client) look() (ended, unread bool) {
+// poll reports the kernel's state of a connection, see pipe.Poll.
+func (k *client) poll() (closed, unread bool) {
 	c, ok := k.conn.(netpoll.Conn)
 	if !ok {
 		return false, false
 	}
-	ended, unread = pipe.Look(c.Fd())
-	return ended || !k.conn.IsActive(), unread // asked last: while it stands its descriptor is nobody else's
+	closed, unread = pipe.Poll(c.Fd())
+	// IsActive is called last: the descriptor can't have been reused while the connection is active.
+	return closed || !k.conn.IsActive(), unread
 }
 
-// waits tells whether the client that sent a request is still there and has not taken it back, by all that has reached this
-// machine: what the readers know and the owner has not heard of, and what still lies in the socket.
-func (c *clients) waits(conn, session uint64) bool {
+// clientWaits reports whether the client of a request is still connected and has not withdrawn it. It considers all
+// input that has reached this machine: lines that were read but not processed by the owner goroutine, and unread
+// bytes in the socket.
+func (c *clients) clientWaits(conn, session uint64) bool {
 	k := c.get(conn)
-	if k == nil || k.deaf.Load() {
+	if k == nil || k.closing.Load() {
 		return false
 	}
-	for i := 0; i < readerTurns && k.conn.Reader().Len() != 0; i++ {
-		runtime.Gosched() // its reader has bytes that it could not look at yet
+	for i := 0; i < maxReaderYields && k.conn.Reader().Len() != 0; i++ {
+		runtime.Gosched() // let the reader parse the bytes that it has
 	}
-	ended, unread := k.look()
-	if ended {
+	closed, unread := k.poll()
+	if closed {
 		return false
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.back[session] {
+	if k.withdrawn[session] {
 		return false
 	}
 	if !unread {
 		return true
 	}
-	if c.peeked == nil {
-		c.peeked = make([]byte, wire.MaxMessage)
+	if c.peekBuffer == nil {
+		c.peekBuffer = make([]byte, wire.MaxMessage)
 	}
-	n := pipe.Peek(k.conn.(netpoll.Conn).Fd(), c.peeked)
-	return !k.cut.TakesBack(c.peeked[:n], session)
+	n := pipe.Peek(k.conn.(netpoll.Conn).Fd(), c.peekBuffer)
+	return !k.splitter.TakesBack(c.peekBuffer[:n], session)
 }
 
-// send writes without holding the owner up; a viewer that reads too slowly loses its connection.
+// send queues bytes without blocking the owner goroutine. The connection of a viewer that reads too slowly is closed.
 func (c *clients) send(conn uint64, b []byte) {
 	if k := c.get(conn); k != nil {
-		k.pipe.Send(b)
+		k.writer.Send(b)
 	}
 }
 
-// shut closes a connection once its last bytes could be read.
-func (c *clients) shut(conn uint64, last []byte) {
+// closeAfter sends the last bytes and closes the connection after a delay in which the viewer can read them.
+func (c *clients) closeAfter(conn uint64, last []byte) {
 	k := c.get(conn)
-	if k == nil || k.deaf.Swap(true) {
+	if k == nil || k.closing.Swap(true) {
 		return
 	}
 	if len(last) == 0 {
-		k.pipe.Finish()
+		k.writer.Finish()
 		return
 	}
-	k.pipe.Send(last)
-	time.AfterFunc(lingers, k.pipe.Finish)
+	k.writer.Send(last)
+	time.AfterFunc(closeDelay, k.writer.Finish)
 }
 
-// drained tells whether nothing waits to be written to anybody or to be read of anybody, and nobody to be let in.
+// drained reports whether all output is written, all input is processed and no connection is waiting to be accepted.
 func (c *clients) drained() bool {
 	c.mu.Lock()
 	all := slices.Collect(maps.Keys(c.conns))
 	c.mu.Unlock()
 	for _, conn := range all {
-		if k := c.get(conn); k != nil && (!k.pipe.Idle() || !c.quiet(conn)) {
+		if k := c.get(conn); k != nil && (!k.writer.Idle() || !c.inputDrained(conn)) {
 			return false
 		}
 	}
-	_, waiting := pipe.Look(c.ln.Fd())
-	return !waiting
+	_, pendingAccept := pipe.Poll(c.listener.Fd())
+	return !pendingAccept
 }
 
+// close closes all connections once their output is written and stops the event loop.
 func (c *clients) close(ctx context.Context) {
 	c.mu.Lock()
 	all := make([]*client, 0, len(c.conns))
@@ -339,7 +360,7 @@
 	}
 	c.mu.Unlock()
 	for _, k := range all {
-		k.pipe.Finish()
+		k.writer.Finish()
 	}
 	c.loop.Shutdown(ctx)
 }
--- a/internal/platform/node/clients_test.go
+++ b/internal/platform/node/clients_test.go
@@ -10,34 +10,36 @@
 	"tealledge/internal/standin/platformsim"
 )
 
-// Servers and descriptors: viewers keep their third, servers get the rest as the list grows, and no list is cut short.
-func TestSharesOfDescriptors(t *testing.T) {
+// Viewers keep a third of the descriptors, servers get the rest as the list grows, and no server of the list is
+// dropped.
+func TestDescriptorLimitsLeaveViewersAThirdAndServersTheRest(t *testing.T) {
 	for _, n := range []int{10, 200, 1200} {
-		x := listedNode(t, n)
+		x := newListedNode(t, n)
 		conns, links := x.viewers.Limits(), x.servers.Limits()
-		if conns < 608/3 || conns+links > 608-reserve || links < min(2*n, 608-reserve-608/3) || x.hosts.len() != n || x.core.Ready() != n {
-			t.Errorf("%d servers: %d connections of viewers, %d to servers, %d listed, %d ready", n, conns, links, x.hosts.len(), x.core.Ready())
+		if conns < 608/3 || conns+links > 608-reservedDescriptors || links < min(2*n, 608-reservedDescriptors-608/3) || x.serverIDs.len() != n || x.core.Ready() != n {
+			t.Errorf("%d servers: %d connections of viewers, %d to servers, %d listed, %d ready", n, conns, links, x.serverIDs.len(), x.core.Ready())
 		}
 		x.clients.close(context.Background())
 	}
 }
 
-// Of 64 descriptors the reserve left servers one connection in all.
-func TestASmallLimitLeavesServersTheirs(t *testing.T) {
-	x := listedNodeOf(t, 8, 64)
+// With 64 descriptors, the full reserve would leave one connection for all servers together.
+func TestSmallDescriptorLimitLeavesServersConnections(t *testing.T) {
+	x := newListedNodeWithLimit(t, 8, 64)
 	if conns, links := x.viewers.Limits(), x.servers.Limits(); conns < 64/3 || links < 2*8 || conns+links > 64-12 {
 		t.Errorf("%d connections of viewers, %d to servers", conns, links)
 	}
 	x.clients.close(context.Background())
 }
 
-func TestBadClientsAreAnsweredOrClosedAndUsualOnesServed(t *testing.T) {
-	x := newSite(t, 256)
+// A client that sends garbage or nothing gets an answer or is closed, and regular viewers are still served.
+func TestBadClientsDoNotBlockOthers(t *testing.T) {
+	x := newTestFront(t, 256)
 	bad := map[string]string{
 		"noise":          "\x00\x01\x02 hello\n",
-		"endless":        strings.Repeat("x", 8<<20),
+		"endless line":   strings.Repeat("x", 8<<20),
 		"no id":          `{"msg":"open","attrs":{}}` + "\n",
-		"unknown class":  platformsim.Form(x.id(), "gold", time.Second, ""),
+		"unknown class":  platformsim.Form(x.newID(), "gold", time.Second, ""),
 		"half a request": `{"msg":"open","sid":"0000`,
 		"silent":         "",
 	}
@@ -51,49 +53,50 @@
 			}
 		case <-v.Ended:
 		case <-time.After(6 * time.Second):
-			t.Errorf("%s: neither answer nor close", name)
+			t.Errorf("%s: neither answered nor closed", name)
 		}
 		v.Close()
 	}
-	taken := x.look().Taken
+	taken := x.snapshot().Taken
 	flood := x.viewer()
-	for range 300 { // taken back at once, in one breath
-		sid := x.id()
+	for range 300 { // each request and its withdrawal are written together
+		sid := x.newID()
 		text := platformsim.Form(sid, "safe", time.Second, "")
 		flood.Write(text + fmt.Sprintf(`{"msg":"close","sid":"%016x","attrs":{},"code":16}`+"\n", sid))
 	}
-	x.until("read", func() bool { return x.look().Viewers.TakenBack+x.look().Taken-taken >= 300 })
+	x.waitFor("all requests read", func() bool { return x.snapshot().Viewers.TakenBack+x.snapshot().Taken-taken >= 300 })
 	flood.Close()
 	usual := x.viewer()
-	if _, a := x.opens(usual, "safe"); a.Msg != "ready" {
+	if _, a := x.open(usual, "safe"); a.Msg != "ready" {
 		t.Errorf("a usual viewer: %+v", a)
 	}
 	usual.Close()
-	x.until("connections closed", func() bool { return x.look().Conns == 0 })
-	x.close()
+	x.waitFor("connections closed", func() bool { return x.snapshot().Conns == 0 })
+	x.closeAndAudit()
 }
 
-func TestDescriptorsRunShort(t *testing.T) {
-	x := newSite(t, 128)
+// Idle connections past the limit are closed, and regular viewers are still served.
+func TestServesViewersWhenDescriptorsRunShort(t *testing.T) {
+	x := newTestFront(t, 128)
 	usual := x.viewer()
-	sid, _ := x.opens(usual, "safe")
+	sid, _ := x.open(usual, "safe")
 	var silent []*platformsim.Viewer
 	for range 150 {
 		silent = append(silent, x.viewer())
 	}
-	if n := x.look().Conns; n > 110 {
-		t.Errorf("%d connections of 128 descriptors", n)
+	if n := x.snapshot().Conns; n > 110 {
+		t.Errorf("%d connections with 128 descriptors", n)
 	}
-	if _, a := x.opens(usual, "paid"); a.Msg != "ready" {
+	if _, a := x.open(usual, "paid"); a.Msg != "ready" {
 		t.Errorf("a usual viewer: %+v", a)
 	}
-	x.at(sid).End(sid, 16)
-	if l := x.line(usual, sid); l.Msg != "close" {
+	x.serverOf(sid).End(sid, 16)
+	if l := x.lineFor(usual, sid); l.Msg != "close" {
 		t.Errorf("%+v", l)
 	}
 	for _, v := range silent {
 		v.Close()
 	}
 	usual.Close()
-	x.close()
+	x.closeAndAudit()
 }
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -19,124 +19,129 @@
 	"tealledge/policy"
 )
 
-// Spans and sizes of the shell.
+// Limits and durations of a front.
 const (
-	batchMost    = 256
-	tickEvery    = 25 * time.Millisecond
-	queueMost    = 8192
-	openMost     = 256                     // requests without their answer on one viewer's connection
-	silentMost   = 2 * policy.Second       // a connection that never said anything
-	halfMost     = 2 * policy.Second       // a line that stays half
-	idleMost     = 6 * policy.Second       // a connection without sessions: viewers close theirs after 4 s
-	answerMargin = 10 * policy.Millisecond // the module is told deadlines this much earlier
-	lastLine     = 2 * policy.Millisecond
-	movedFor     = 10 * policy.Second
-	reserve      = 48   // descriptors that are neither viewers' nor servers'
-	connsMost    = 4096 // connections of each kind where no limit is stated
-	hostsLeast   = 8    // servers that room is kept for
-	statsEvery   = 10 * policy.Second
-	leaveAfter   = 1500 * policy.Millisecond // requests come for so long after SIGTERM, with room
-	leaveQuiet   = 300 * policy.Millisecond  // and viewers said nothing for so long
-	leaveMost    = 60 * policy.Second
-	linkBytes    = 256 << 10 // that may wait on one connection to a server
-	// A server that takes nothing for so long, behind what the system holds for it, loses its connection. The owner writes to
-	// servers itself: all others wait meanwhile, and their answers have 50 ms of slack.
-	linkWrite = 20 * time.Millisecond
+	maxBatch            = 256
+	tickInterval        = 25 * time.Millisecond
+	maxQueue            = 8192
+	maxOpenPerConn      = 256                     // unanswered requests on one viewer's connection
+	silentTimeout       = 2 * policy.Second       // for a connection that has sent nothing
+	partialLineTimeout  = 2 * policy.Second       // for an incomplete line
+	idleTimeout         = 6 * policy.Second       // for a connection without sessions: viewers close theirs after 4 s
+	answerMargin        = 10 * policy.Millisecond // the module gets deadlines this much earlier
+	unansweredMargin    = 2 * policy.Millisecond  // the core fails an unanswered request this much before its deadline
+	movedTTL            = 10 * policy.Second      // how long a moved viewer is recognized
+	reservedDescriptors = 48                      // descriptors used neither for viewers nor for servers
+	defaultMaxConns     = 4096                    // connections of each kind if no limit is configured
+	minServers          = 8                       // connections are reserved for at least this many servers
+	statsInterval       = 10 * policy.Second
+	shutdownDelay       = 1500 * policy.Millisecond // requests arrive for this long after SIGTERM, with a margin
+	shutdownQuietWindow = 300 * policy.Millisecond  // viewers must have sent nothing for this long
+	shutdownTimeout     = 60 * policy.Second        // then sessions are no longer waited for, only open requests
+	maxServerQueueBytes = 256 << 10                 // unwritten bytes on one connection to a server
+	// If the kernel's buffer is full and a server reads nothing for this long, its connection is closed. The owner
+	// goroutine writes to servers itself: all others wait meanwhile, and their answers have 50 ms of slack.
+	serverWriteTimeout = 20 * time.Millisecond
 )
 
-// Node is one front.
+// Node is one front of the platform.
 type Node struct {
-	cfg     *Config
-	path    string
-	log     zerolog.Logger
-	start   time.Time
-	core    *front.Core
-	servers *servers.Desk
-	viewers *viewers.Desk
-	watch   *watch.Watch
-	links   *pipe.Links // to servers
-	feed    *pipe.Links // to the journal service
-	clients *clients
-	queue   *inbox.Queue
-	hosts   hosts
-	owners  map[uint64]uint32 // of connections to servers, by connection
-	leaving front.Time        // SIGTERM came then; 0: it did not
-	saidAt  front.Time        // viewers were last heard, or came
-	done    chan struct{}
+	cfg            *Config
+	configPath     string
+	log            zerolog.Logger
+	startedAt      time.Time
+	core           *front.Core
+	servers        *servers.Desk
+	viewers        *viewers.Desk
+	follower       *watch.Watch
+	serverConns    *pipe.Links
+	journalConns   *pipe.Links
+	clients        *clients
+	queue          *inbox.Queue
+	serverIDs      serverIDs
+	serverByConn   map[uint64]uint32 // server of each connection to servers
+	shutdownAt     front.Time        // when SIGTERM was received; 0: not received
+	clientActiveAt front.Time        // when a viewer last connected or sent something
+	done           chan struct{}
 
-	reading, readAgain bool // a configuration is being read; it is to be read once more
+	reloading, reloadAgain bool // a configuration is being read; it must be read once more
 }
 
-// New makes a front from its configuration and listens; viewers are served once Run is called.
+// New creates a front from its configuration and listens. Viewers are served once Run is called.
 func New(cfg *Config, path string, log zerolog.Logger) (*Node, error) {
-	n := &Node{cfg: cfg, path: path, log: log, start: time.Now(), queue: inbox.New(queueMost), done: make(chan struct{}),
-		owners: map[uint64]uint32{}}
-	n.hosts = newHosts(cfg.Names.Zones, cfg.Names.Kinds)
-	for _, text := range cfg.Bad {
+	n := &Node{cfg: cfg, configPath: path, log: log, startedAt: time.Now(), queue: inbox.New(maxQueue),
+		done: make(chan struct{}), serverByConn: map[uint64]uint32{}}
+	n.serverIDs = newServerIDs(cfg.Names.Zones, cfg.Names.Kinds)
+	for _, text := range cfg.Invalid {
 		log.Warn().Str("from", "configuration").Msg(text)
 	}
 	n.core = front.New(front.Config{Settings: cfg.Settings, Module: policy.New(cfg.Settings, cfg.Seed), KnownViewers: true,
-		AnswerMargin: answerMargin, LastLine: lastLine, MovedFor: movedFor, MovedMost: 10_000})
-	wait := max(cfg.Settings.ConnectWait, 50*policy.Millisecond)
-	n.servers = servers.New(servers.Config{Classes: cfg.Names.Classes, Fields: cfg.Names.Fields, Connect: wait, ProbeWait: wait,
-		Waits: n.waits, Ended: func(conn uint64) bool { return n.links.Ended(conn) }})
-	n.viewers = viewers.New(viewers.Config{Settings: cfg.Settings, Classes: cfg.Names.Classes, Host: n.hosts.number, OpenMost: openMost,
-		Silent: silentMost, Half: halfMost, Idle: idleMost, Quiet: func(conn uint64) bool { return n.clients.quiet(conn) }})
-	n.watch = watch.New(cfg.Journal, cfg.Pos, rand.Float64)
-	n.links, n.feed = pipe.NewLinks(linkBytes, linkWrite), pipe.NewLinks(linkBytes, linkWrite)
+		AnswerMargin: answerMargin, LastLine: unansweredMargin, MovedFor: movedTTL, MovedMost: 10_000})
+	connectTimeout := max(cfg.Settings.ConnectWait, 50*policy.Millisecond)
+	n.servers = servers.New(servers.Config{Classes: cfg.Names.Classes, Fields: cfg.Names.Fields, Connect: connectTimeout,
+		ProbeWait: connectTimeout, Waits: n.clientWaits, Ended: func(conn uint64) bool { return n.serverConns.IsClosed(conn) }})
+	n.viewers = viewers.New(viewers.Config{Settings: cfg.Settings, Classes: cfg.Names.Classes, Host: n.serverIDs.lookup,
+		OpenMost: maxOpenPerConn, Silent: silentTimeout, Half: partialLineTimeout, Idle: idleTimeout,
+		Quiet: func(conn uint64) bool { return n.clients.inputDrained(conn) }})
+	n.follower = watch.New(cfg.Journal, cfg.JournalPos, rand.Float64)
+	n.serverConns, n.journalConns = pipe.NewLinks(maxServerQueueBytes, serverWriteTimeout),
+		pipe.NewLinks(maxServerQueueBytes, serverWriteTimeout)
 	var err error
-	n.clients, err = listen(cfg.Listen, clientSink{n})
+	n.clients, err = listen(cfg.Listen, eventQueue{n})
 	if err != nil {
-		return nil, fmt.Errorf("viewers: %w", err)
+		return nil, fmt.Errorf("listen for viewers: %w", err)
 	}
-	n.share()
-	for _, e := range cfg.Known {
-		n.listed(e)
+	n.divideDescriptors()
+	for _, e := range cfg.KnownEvents {
+		n.applyListEvent(e)
 	}
 	return n, nil
 }
 
-// share divides the descriptors: servers get two each, one and another that replaces it, as far as viewers keep the third that
-// the protocol gives them. It is done again as the list grows.
-func (n *Node) share() {
-	conns, links := connsMost, connsMost
-	kept := min(reserve, n.cfg.Sockets/4) // of a small limit the whole reserve would leave servers nothing
-	if free := n.cfg.Sockets - kept; n.cfg.Sockets > 0 {
-		conns = max(free-2*max(n.hosts.len(), hostsLeast), n.cfg.Sockets/3, 1)
-		links = max(free-conns, 1)
+// divideDescriptors divides the descriptors between viewers and servers. Each server gets two, for a connection and
+// its replacement, as long as viewers keep the third of all descriptors that the protocol gives them. It is called
+// again when the list changes.
+func (n *Node) divideDescriptors() {
+	viewerConns, serverConns := defaultMaxConns, defaultMaxConns
+	// With a small limit the whole reserve would leave none for servers.
+	reserved := min(reservedDescriptors, n.cfg.Sockets/4)
+	if available := n.cfg.Sockets - reserved; n.cfg.Sockets > 0 {
+		viewerConns = max(available-2*max(n.serverIDs.len(), minServers), n.cfg.Sockets/3, 1)
+		serverConns = max(available-viewerConns, 1)
 	}
-	n.viewers.Limit(conns)
-	n.servers.Limit(links)
-	if n.cfg.Sockets > 0 { // a burst may pass the owner's limit, and only this one, as far as the reserve allows
-		n.clients.most.Store(int64(conns + kept/2))
+	n.viewers.Limit(viewerConns)
+	n.servers.Limit(serverConns)
+	if n.cfg.Sockets > 0 { // a burst may exceed the owner's limit by part of the reserve, but not this limit
+		n.clients.maxConns.Store(int64(viewerConns + reserved/2))
 	}
 }
 
-// waits tells whether a request's client is there: asked where a set-up's bytes go out.
-func (n *Node) waits(session uint64) bool {
+// clientWaits reports whether the client of a request is still waiting. It is called just before a set-up is sent.
+func (n *Node) clientWaits(session uint64) bool {
 	conn, ok := n.viewers.Conn(session)
-	return ok && n.clients.waits(conn, session)
+	return ok && n.clients.clientWaits(conn, session)
 }
 
-// now is the module's clock: Unix time at the start, monotonic from there.
-func (n *Node) now() front.Time { return n.start.UnixNano() + int64(time.Since(n.start)) }
+// now returns the module's time: Unix time at the start, monotonic from there.
+func (n *Node) now() front.Time { return n.startedAt.UnixNano() + int64(time.Since(n.startedAt)) }
 
-// Run serves until ctx ends or, after Leave, until nothing can be owed any more.
+// Run serves until ctx ends or, after Shutdown, until no request can be pending any more.
 func (n *Node) Run(ctx context.Context) error {
 	served := make(chan error, 1)
-	go func() { served <- n.clients.loop.Serve(n.clients.ln) }()
-	go n.own(ctx)
+	go func() { served <- n.clients.loop.Serve(n.clients.listener) }()
+	go n.runOwner(ctx)
 	<-n.done
 	end, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	n.queue.Close()
 	n.clients.close(end)
-	n.links.Close()
-	n.feed.Close()
+	n.serverConns.Close()
+	n.journalConns.Close()
 	return <-served
 }
 
-// Leave has the front run on until nothing can be owed.
-func (n *Node) Leave() { n.queue.Force(leave{}) }
+// Shutdown starts a graceful shutdown: the front serves on until no request can be pending any more.
+func (n *Node) Leave() { n.queue.Force(shutdownRequested{}) }
 
+// sortedNames returns the keys in order.
 func sortedNames(m map[string]uint32) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -15,20 +15,21 @@
 	"tealledge/internal/standin/platformsim"
 )
 
-// site is one front among stand-ins.
-type site struct {
-	t       *testing.T
-	w       *platformsim.World
-	servers []*platformsim.Server
-	journal *platformsim.Journal
-	node    *Node
-	path    string
-	stop    context.CancelFunc
-	done    chan error
-	ids     uint64
-	base    int // items that waited for the owner when it was held
+// testFront is a front with simulated servers, journal and viewers.
+type testFront struct {
+	t                 *testing.T
+	world             *platformsim.World
+	servers           []*platformsim.Server
+	journal           *platformsim.Journal
+	node              *Node
+	configPath        string
+	stop              context.CancelFunc
+	done              chan error
+	lastID            uint64
+	queuedWhenBlocked int // items in the queue when the owner was blocked
 }
 
+// settingsJSON is the settings of a platform with a safe and a paid class.
 const settingsJSON = `{"fleet-size":1,"me":0,"discovery":"automatic","zones":["z"],"shapes":["k"],"realms":[],
 "family-info":{"level-kb":[100,200,400],"level-worth":[0.4,0.7,1],"lowest-rung":[0,0],"class-top":[2,2],"class-live":[false,false],
  "scale-by-class":[1,1],"seats":[0,0],"positions":3,"shelves":1,"rack-link-kb":100000,"fleet-kb":100000,"weight-kb":3000,"kind-slots":[400],
@@ -39,46 +40,47 @@
 "request-classes":[{"name":"safe","effect":"safe","importance":1,"slo-ns":1500000000,"deadline-ns":3000000000},
  {"name":"paid","effect":"unsafe","importance":2,"slo-ns":1500000000,"deadline-ns":2000000000}]}`
 
-func (x *site) write(journal string, sockets int, settings string) {
+// writeConfig writes the front's configuration file.
+func (x *testFront) writeConfig(journal string, sockets int, settings string) {
 	last, events := x.journal.Last()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:%d","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":%d},
 		"journal":"%s","known":{"pos":%d,"entries":%s},"settings":%s}`, 1, sockets, journal, last, events, settings)
-	if err := os.WriteFile(x.path, []byte(text), 0o600); err != nil {
+	if err := os.WriteFile(x.configPath, []byte(text), 0o600); err != nil {
 		x.t.Fatal(err)
 	}
 }
 
-// newSite starts a front and three servers that hold every title.
-func newSite(t *testing.T, sockets int) *site {
+// newTestFront starts a front and three servers that hold every title.
+func newTestFront(t *testing.T, sockets int) *testFront {
 	t.Helper()
-	return newSiteWith(t, sockets, settingsJSON)
+	return newTestFrontWith(t, sockets, settingsJSON)
 }
 
-// newSiteWith is newSite on other settings.
-func newSiteWith(t *testing.T, sockets int, settings string) *site {
+// newTestFrontWith is newTestFront with other settings.
+func newTestFrontWith(t *testing.T, sockets int, settings string) *testFront {
 	t.Helper()
-	x := &site{t: t, w: platformsim.NewWorld("safe", "paid"), path: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1), ids: 100}
-	x.w.Rec.Add(audit.Rules{Classes: []audit.Class{{Name: "safe", Deadline: 3 * time.Second}, {Name: "paid", Paid: true, Deadline: 2 * time.Second}},
+	x := &testFront{t: t, world: platformsim.NewWorld("safe", "paid"), configPath: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1), lastID: 100}
+	x.world.Rec.Add(audit.Rules{Classes: []audit.Class{{Name: "safe", Deadline: 3 * time.Second}, {Name: "paid", Paid: true, Deadline: 2 * time.Second}},
 		AnswerGrace: 500 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Skew: 100 * time.Millisecond, RungWorth: []float64{0.4, 0.7, 1}}.Event())
 	var err error
-	if x.journal, err = platformsim.NewJournal(x.w, nil); err != nil {
+	if x.journal, err = platformsim.NewJournal(x.world, nil); err != nil {
 		t.Fatal(err)
 	}
 	for id := range uint32(3) {
-		s, err := platformsim.NewServer(x.w, id+1)
+		s, err := platformsim.NewServer(x.world, id+1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		x.servers = append(x.servers, s)
 	}
 	x.journal.Tell(true, wire.HostReady, x.servers...)
-	x.write(x.journal.Addr(), sockets, settings)
-	cfg, err := Load(x.path)
+	x.writeConfig(x.journal.Addr(), sockets, settings)
+	cfg, err := Load(x.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.Listen = "127.0.0.1:0"
-	if x.node, err = New(cfg, x.path, zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.ErrorLevel)); err != nil {
+	if x.node, err = New(cfg, x.configPath, zerolog.New(zerolog.NewTestWriter(t)).Level(zerolog.ErrorLevel)); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -87,21 +89,23 @@
 	return x
 }
 
-func (x *site) viewer() *platformsim.Viewer {
+// viewer connects a viewer to the front.
+func (x *testFront) viewer() *platformsim.Viewer {
 	x.t.Helper()
-	v, err := platformsim.Dial(x.w, x.node.clients.ln.Addr().String())
+	v, err := platformsim.Dial(x.world, x.node.clients.listener.Addr().String())
 	if err != nil {
 		x.t.Fatal(err)
 	}
 	return v
 }
 
-func (x *site) id() uint64 { x.ids++; return x.ids }
+// newID returns an unused session id.
+func (x *testFront) newID() uint64 { x.lastID++; return x.lastID }
 
-// line waits for a line about a session.
-func (x *site) line(v *platformsim.Viewer, sid uint64) wire.Line {
+// lineFor waits for a line about a session.
+func (x *testFront) lineFor(v *platformsim.Viewer, sid uint64) wire.Line {
 	x.t.Helper()
-	for end := time.After(8 * time.Second); ; {
+	for timeout := time.After(8 * time.Second); ; {
 		select {
 		case l := <-v.Lines:
 			if l.Sid == sid {
@@ -109,55 +113,56 @@
 			}
 		case <-v.Ended:
 			return wire.Line{Msg: "ended"}
-		case <-end:
-			x.t.Fatalf("no word on session %d", sid)
+		case <-timeout:
+			x.t.Fatalf("no line about session %d", sid)
 		}
 	}
 }
 
-// asks asks for sessions of the two classes in turn, some time apart, and gives the first line on each.
-func (x *site) asks(v *platformsim.Viewer, n int, apart time.Duration) map[uint64]wire.Line {
+// openMany requests n sessions of the two classes in turn, at an interval, and returns the first line about each.
+func (x *testFront) openMany(v *platformsim.Viewer, n int, interval time.Duration) map[uint64]wire.Line {
 	x.t.Helper()
 	ids := map[uint64]bool{}
 	for i := range n {
-		sid := x.id()
+		sid := x.newID()
 		ids[sid] = true
 		if err := v.Open(sid, []string{"safe", "paid"}[i%2], 1500*time.Millisecond); err != nil {
 			x.t.Fatal(err)
 		}
-		time.Sleep(apart)
+		time.Sleep(interval)
 	}
-	return x.words(v, ids)
+	return x.firstLines(v, ids)
 }
 
-// words waits for a line about each of some sessions.
-func (x *site) words(v *platformsim.Viewer, ids map[uint64]bool) map[uint64]wire.Line {
+// firstLines waits for a line about each session.
+func (x *testFront) firstLines(v *platformsim.Viewer, ids map[uint64]bool) map[uint64]wire.Line {
 	x.t.Helper()
 	got := map[uint64]wire.Line{}
-	for end := time.After(8 * time.Second); len(got) < len(ids); {
+	for timeout := time.After(8 * time.Second); len(got) < len(ids); {
 		select {
 		case l := <-v.Lines:
-			if _, again := got[l.Sid]; ids[l.Sid] && !again {
+			if _, seen := got[l.Sid]; ids[l.Sid] && !seen {
 				got[l.Sid] = l
 			}
-		case <-end:
-			x.t.Fatalf("word on %d of %d; %+v", len(got), len(ids), x.look())
+		case <-timeout:
+			x.t.Fatalf("lines about %d of %d sessions; %+v", len(got), len(ids), x.snapshot())
 		}
 	}
 	return got
 }
 
-// opens asks for a session and gives its answer.
-func (x *site) opens(v *platformsim.Viewer, class string) (uint64, wire.Line) {
+// open requests a session and returns its answer.
+func (x *testFront) open(v *platformsim.Viewer, class string) (uint64, wire.Line) {
 	x.t.Helper()
-	sid := x.id()
+	sid := x.newID()
 	if err := v.Open(sid, class, 1500*time.Millisecond); err != nil {
 		x.t.Fatal(err)
 	}
-	return sid, x.line(v, sid)
+	return sid, x.lineFor(v, sid)
 }
 
-func (x *site) look() Snapshot {
+// snapshot returns the front's state.
+func (x *testFront) snapshot() Snapshot {
 	x.t.Helper()
 	s, err := x.node.Inspect(context.Background())
 	if err != nil {
@@ -166,17 +171,18 @@
 	return s
 }
 
-func (x *site) until(what string, ok func() bool) {
+// waitFor waits for a condition.
+func (x *testFront) waitFor(what string, condition func() bool) {
 	x.t.Helper()
-	for end := time.Now().Add(8 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			x.t.Fatalf("never: %s; %+v", what, x.look())
+	for deadline := time.Now().Add(8 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			x.t.Fatalf("never: %s; %+v", what, x.snapshot())
 		}
 	}
 }
 
-// at gives the server that plays a session.
-func (x *site) at(sid uint64) *platformsim.Server {
+// serverOf returns the server that plays a session.
+func (x *testFront) serverOf(sid uint64) *platformsim.Server {
 	x.t.Helper()
 	for _, s := range x.servers {
 		for _, id := range s.Plays() {
@@ -185,24 +191,24 @@
 			}
 		}
 	}
-	x.t.Fatalf("session %d plays nowhere", sid)
+	x.t.Fatalf("no server plays session %d", sid)
 	return nil
 }
 
-// close ends all and judges what crossed the sockets.
-func (x *site) close() *audit.Report {
+// closeAndAudit stops everything, checks for faults and audits the recorded messages.
+func (x *testFront) closeAndAudit() *audit.Report {
 	x.t.Helper()
-	if s := x.look(); s.Faults != 0 {
+	if s := x.snapshot(); s.Faults != 0 {
 		x.t.Errorf("%d faults", s.Faults)
 	}
-	return x.end()
+	return x.stopAndAudit()
 }
 
-// end is close for a front that may have ended already.
-func (x *site) end() *audit.Report {
+// stopAndAudit is closeAndAudit for a front that may have ended already.
+func (x *testFront) stopAndAudit() *audit.Report {
 	x.t.Helper()
-	x.quit()
-	report, err := audit.Judge(x.w.Rec.Events())
+	x.stopAll()
+	report, err := audit.Judge(x.world.Rec.Events())
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -212,15 +218,15 @@
 	return report
 }
 
-// quit ends the front, and what it talks to, without judging what crossed the sockets: a script leaves no records.
-func (x *site) quit(more ...*platformsim.Server) {
+// stopAll stops the front and its peers without an audit: a scripted server records nothing.
+func (x *testFront) stopAll(extra ...*platformsim.Server) {
 	x.t.Helper()
 	x.stop()
 	if err := <-x.done; err != nil {
 		x.t.Error(err)
 	}
 	x.journal.Close()
-	for _, s := range append(more, x.servers...) {
+	for _, s := range append(extra, x.servers...) {
 		s.Die()
 	}
 }
--- a/internal/platform/node/owner.go
+++ b/internal/platform/node/owner.go
@@ -14,24 +14,23 @@
 	"tealledge/policy"
 )
 
-// The owner: one goroutine that takes what came, lets the core decide, and carries the effects out.
-
-func (n *Node) own(ctx context.Context) {
+// runOwner is the owner goroutine: it takes events from the queue, lets the core decide, and executes the effects.
+func (n *Node) runOwner(ctx context.Context) {
 	defer close(n.done)
-	timer := time.NewTimer(tickEvery)
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	var batch []any
 	var readUntil, tickAt, statsAt front.Time
 	last := n.now()
-	statsAt = last + statsEvery
+	statsAt = last + statsInterval
 	for {
 		now := n.now()
 		if wait := admit.Standstill(now - last); wait > 0 {
 			readUntil = now + wait
-			n.log.Warn().Int64("ms", (now-last)/policy.Millisecond).Msg("stood still")
+			n.log.Warn().Int64("ms", (now-last)/policy.Millisecond).Msg("owner goroutine stalled")
 		}
 		last = now
-		batch, _ = n.queue.Take(batchMost, batch)
+		batch, _ = n.queue.Take(maxBatch, batch)
 		for _, item := range batch {
 			n.handle(item)
 		}
@@ -39,25 +38,25 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		n.carry(n.core.Advance(now))
-		n.settle()
+		n.execute(n.core.Advance(now))
+		n.processEffects()
 		if now >= tickAt {
-			tickAt = now + front.Time(tickEvery)
+			tickAt = now + front.Time(tickInterval)
 			n.servers.Tick(now)
 			n.viewers.Tick(now)
-			n.watch.Tick(now)
-			n.settle()
+			n.follower.Tick(now)
+			n.processEffects()
 		}
 		if now >= statsAt {
-			statsAt = now + statsEvery
-			n.tell()
+			statsAt = now + statsInterval
+			n.logSnapshot()
 		}
-		if n.over(now) || ctx.Err() != nil {
-			n.tell()
+		if n.finished(now) || ctx.Err() != nil {
+			n.logSnapshot()
 			return
 		}
-		if len(batch) == batchMost {
-			runtime.Gosched() // the sockets' readers may have the words that make the rest of the queue idle
+		if len(batch) == maxBatch {
+			runtime.Gosched() // readers may hold lines that withdraw requests further back in the queue
 			continue
 		}
 		wait := time.Duration(tickAt - now)
@@ -75,128 +74,134 @@
 	}
 }
 
-// over tells whether a front that is to leave has nothing left to do: nothing is open or held, no request is half here, no
-// answer waits to be written, and viewers have been quiet for a while, so that none lies unread in a socket or in the queue.
-// Danger: the close of a connection loses what is unread on it, and with it destroys what was just written. Standing
-// sessions would end with the front.
-func (n *Node) over(now front.Time) bool {
-	if n.leaving == 0 || now < n.leaving+leaveAfter {
+// finished reports whether a front that is shutting down can stop: no request is open, no session is held, no request
+// is half received, no answer is unwritten, and viewers have sent nothing for a while, so that no request is unread
+// in a socket or in the queue. Closing a connection with unread input discards that input and the bytes just written.
+// Sessions that are playing would end with the front.
+func (n *Node) finished(now front.Time) bool {
+	if n.shutdownAt == 0 || now < n.shutdownAt+shutdownDelay {
 		return false
 	}
-	if now >= n.leaving+leaveMost && n.core.Open() == 0 { // sessions that stand may last for ever; requests have a deadline
+	// Sessions may play forever; requests have a deadline.
+	if now >= n.shutdownAt+shutdownTimeout && n.core.Open() == 0 {
 		return true
 	}
 	waiting, _, _ := n.queue.Stats()
-	return n.core.Open() == 0 && n.core.Held() == 0 && waiting == 0 && now >= n.saidAt+leaveQuiet && !n.viewers.Halves() &&
-		n.clients.drained()
+	return n.core.Open() == 0 && n.core.Held() == 0 && waiting == 0 && now >= n.clientActiveAt+shutdownQuietWindow &&
+		!n.viewers.Halves() && n.clients.drained()
 }
 
+// handle processes one item of the queue.
 func (n *Node) handle(item any) {
 	now := n.now()
 	n.trace(item)
 	switch e := item.(type) {
-	case accepted:
-		n.saidAt = now
+	case clientAccepted:
+		n.clientActiveAt = now
 		n.viewers.Accepted(now, e.conn)
-	case said:
-		n.saidAt = now
-		e.from.heard(e.list)
-		n.viewers.Received(now, e.read, e.from.id, e.list, e.broken, e.partial, n.core.Known)
-	case left:
+	case clientReceived:
+		n.clientActiveAt = now
+		e.from.processed(e.list)
+		n.viewers.Received(now, e.readAt, e.from.id, e.list, e.readErr, e.partial, n.core.Known)
+	case clientClosed:
 		n.viewers.Lost(now, e.conn)
-	case connected:
-		n.servers.Connected(now, n.owners[e.conn], e.conn)
-	case dialFailed:
-		n.servers.DialFailed(now, n.owners[e.conn], e.conn, e.why)
-		delete(n.owners, e.conn)
-	case received:
-		n.servers.Received(now, n.owners[e.conn], e.conn, e.b)
-	case lost:
-		n.servers.Lost(now, n.owners[e.conn], e.conn, e.begun)
-		delete(n.owners, e.conn)
-	case feedUp:
-		n.watch.Connected(now, e.conn)
-	case feedLost:
-		n.watch.Lost(now, e.conn)
-	case feedSaid:
-		n.watch.Received(now, e.conn, e.lines, e.broken)
-	case reload:
-		n.reload()
-	case reloaded:
-		n.reloaded(now, e)
-	case leave:
-		if n.leaving == 0 {
-			n.leaving = now
+	case serverConnected:
+		n.servers.Connected(now, n.serverByConn[e.conn], e.conn)
+	case serverDialFailed:
+		n.servers.DialFailed(now, n.serverByConn[e.conn], e.conn, e.failure)
+		delete(n.serverByConn, e.conn)
+	case serverReceived:
+		n.servers.Received(now, n.serverByConn[e.conn], e.conn, e.bytes)
+	case serverClosed:
+		n.servers.Lost(now, n.serverByConn[e.conn], e.conn, e.submitted)
+		delete(n.serverByConn, e.conn)
+	case journalConnected:
+		n.follower.Connected(now, e.conn)
+	case journalClosed:
+		n.follower.Lost(now, e.conn)
+	case journalReceived:
+		n.follower.Received(now, e.conn, e.lines, e.readErr)
+	case reloadRequested:
+		n.loadConfig()
+	case configLoaded:
+		n.applyConfig(now, e)
+	case shutdownRequested:
+		if n.shutdownAt == 0 {
+			n.shutdownAt = now
 			n.log.Info().Int("open", n.core.Open()).Int("held", n.core.Held()).Msg("leaving")
 		}
-	case inspect:
-		e.reply <- n.snapshot()
+	case snapshotRequested:
+		e.reply <- n.takeSnapshot()
 	}
-	n.settle()
+	n.processEffects()
 }
 
-// settle carries out what the dialogues have come up with, until all is quiet.
-func (n *Node) settle() {
+// processEffects executes the effects of the protocols and passes their events on until there are none left.
+func (n *Node) processEffects() {
 	for {
-		feed, events := n.watch.Take()
-		for _, a := range feed {
+		journalEffects, listEvents := n.follower.Take()
+		for _, a := range journalEffects {
 			switch {
 			case a.Dial != "":
-				n.tail(a.Conn, a.Dial, time.Duration(a.Within))
+				n.dialJournal(a.Conn, a.Dial, time.Duration(a.Within))
 			case a.Close:
-				n.feed.Shut(a.Conn)
+				n.journalConns.Shut(a.Conn)
 			default:
-				n.feed.SendHere(a.Conn, a.Bytes)
+				n.journalConns.SendInline(a.Conn, a.Bytes)
 			}
 		}
-		for _, e := range events {
-			n.listed(e)
+		for _, e := range listEvents {
+			n.applyListEvent(e)
 		}
-		acts, news := n.servers.Take()
-		for _, a := range acts {
+		serverEffects, serverEvents := n.servers.Take()
+		for _, a := range serverEffects {
 			switch {
 			case a.Dial != "":
-				n.owners[a.Conn] = a.Server
-				n.dial(a.Conn, a.Dial, time.Duration(a.Within))
+				n.serverByConn[a.Conn] = a.Server
+				n.dialServer(a.Conn, a.Dial, time.Duration(a.Within))
 			case a.Finish:
-				n.links.EndWrites(a.Conn)
+				n.serverConns.CloseWriteAfterFlush(a.Conn)
 			case a.Close:
-				n.links.Shut(a.Conn)
+				n.serverConns.Shut(a.Conn)
 			default:
-				n.links.SendHere(a.Conn, a.Bytes)
+				n.serverConns.SendInline(a.Conn, a.Bytes)
 			}
 		}
-		says, asks := n.viewers.Take()
-		for _, a := range says {
+		viewerEffects, viewerEvents := n.viewers.Take()
+		for _, a := range viewerEffects {
 			if a.Close {
-				n.clients.shut(a.Conn, a.Bytes)
+				n.clients.closeAfter(a.Conn, a.Bytes)
 			} else {
 				n.clients.send(a.Conn, a.Bytes)
 			}
 		}
-		if len(feed)+len(events)+len(acts)+len(news)+len(says)+len(asks) == 0 {
+		if len(journalEffects)+len(listEvents)+len(serverEffects)+len(serverEvents)+
+			len(viewerEffects)+len(viewerEvents) == 0 {
 			return
 		}
-		for _, e := range append(news, asks...) {
+		for _, e := range append(serverEvents, viewerEvents...) {
 			n.step(e)
 		}
 	}
 }
 
+// step passes an event to the core and executes its effects. A session restored at an unknown server is ended.
 func (n *Node) step(e front.Event) {
 	now := n.now()
 	n.trace(e)
 	if a, ok := e.(front.Adopt); ok {
-		if !n.servers.Adopt(now, front.Setup{Session: a.ID, Server: a.Server, Title: a.Title, Class: a.Class, Viewer: a.Viewer, Name: a.Name}) {
-			n.log.Warn().Str("session", wire.Sid(a.ID)).Msg("handed over at a server that is not known")
-			n.viewers.Do(now, front.Over{Session: a.ID, Why: front.WhyLost}) // its client would hold it for ever
+		if !n.servers.Adopt(now, front.Setup{Session: a.ID, Server: a.Server, Title: a.Title, Class: a.Class,
+			Viewer: a.Viewer, Name: a.Name}) {
+			n.log.Warn().Str("session", wire.Sid(a.ID)).Msg("restored session names an unknown server; ending it")
+			n.viewers.Do(now, front.Over{Session: a.ID, Why: front.WhyLost}) // otherwise its client would hold it forever
 			return
 		}
 	}
-	n.carry(n.core.Step(now, e))
+	n.execute(n.core.Step(now, e))
 }
 
-func (n *Node) carry(effects []front.Effect) {
+// execute carries out effects of the core. A session that plays but whose viewer has gone is ended at once.
+func (n *Node) execute(effects []front.Effect) {
 	if len(effects) == 0 {
 		return
 	}
@@ -209,7 +214,7 @@
 			n.log.Info().Str("from", "module").Msg(e.Text)
 		case front.Fault:
 			n.log.Error().Msg("fault: " + e.Text)
-		case front.Follow: // the journal is followed all the time
+		case front.Follow: // the journal is always followed
 		case front.Plays:
 			if !n.viewers.Do(now, e) {
 				ended = append(ended, e.Session)
@@ -221,29 +226,30 @@
 		}
 	}
 	for _, id := range ended {
-		n.carry(append([]front.Effect(nil), n.core.Step(now, front.Leave{Session: id})...))
+		n.execute(append([]front.Effect(nil), n.core.Step(now, front.Leave{Session: id})...))
 	}
 }
 
-// listed passes an event of the journal on: to the servers' desk first, for the core may send to a new server at once.
-// What waits for a server that drains is taken back by the core's Withdraw, in the same turn.
-func (n *Node) listed(e wire.Event) {
+// applyListEvent passes an event of the journal on, to the servers' protocol first: the core may send to a new server
+// at once. Set-ups that wait for a draining server are withdrawn by the core's Withdraw effect in the same call.
+func (n *Node) applyListEvent(e wire.Event) {
 	now := n.now()
 	kind := policy.ListDelta
 	if e.Hosts.Whole {
 		kind = policy.ListFull
 	}
-	entries, list, bad := n.hosts.take(e.Hosts)
-	for _, text := range bad {
+	entries, serverList, invalid := n.serverIDs.apply(e.Hosts)
+	for _, text := range invalid {
 		n.log.Warn().Uint64("event", e.Pos).Msg(text)
 	}
 	n.log.Info().Uint64("event", e.Pos).Bool("whole", e.Hosts.Whole).Int("entries", len(entries)).Msg("server list")
 	if n.log.GetLevel() <= zerolog.DebugLevel {
-		for _, x := range list {
-			n.log.Debug().Str("server", fmt.Sprintf("%08x", x.ID)).Str("addr", x.Addr).Bool("drains", x.Drains).Bool("gone", x.Gone).Msg("listed")
+		for _, server := range serverList {
+			n.log.Debug().Str("server", fmt.Sprintf("%08x", server.ID)).Str("addr", server.Addr).
+				Bool("drains", server.Drains).Bool("gone", server.Gone).Msg("listed")
 		}
 	}
-	n.servers.Listed(now, list)
-	n.share()
-	n.carry(n.core.Step(now, front.Listed{List: policy.List{Kind: kind, Entries: entries}}))
+	n.servers.Listed(now, serverList)
+	n.divideDescriptors()
+	n.execute(n.core.Step(now, front.Listed{List: policy.List{Kind: kind, Entries: entries}}))
 }
--- a/internal/platform/node/reload.go
+++ b/internal/platform/node/reload.go
@@ -6,56 +6,57 @@
 	"tealledge/internal/front"
 )
 
-// A new configuration: SIGHUP has the file read again, beside the owner; of it only the journal's address is taken.
-
-// A file that can't be used is read again for so long: it may be half written when the signal comes.
+// An invalid file is read again for maxReloadAttempts * reloadRetryInterval: it may be half written when the signal
+// arrives.
 const (
-	reloadTries = 20
-	reloadPause = 100 * time.Millisecond
+	maxReloadAttempts   = 20
+	reloadRetryInterval = 100 * time.Millisecond
 )
 
+// Queue items of a reload.
 type (
-	reload   struct{}
-	reloaded struct {
+	reloadRequested struct{}
+	configLoaded    struct {
 		cfg *Config
 		err error
 	}
 )
 
-// Reload has the configuration read again.
-func (n *Node) Reload() { n.queue.Force(reload{}) }
+// Reload reads the configuration file again, as requested by SIGHUP. Only the journal's address is taken from it.
+func (n *Node) Reload() { n.queue.Force(reloadRequested{}) }
 
-// reload reads the file off the owner's way. Danger: parsed by the owner, a list of hundreds of servers holds all answers up.
-func (n *Node) reload() {
-	if n.reading { // what is read now may be the file of before
-		n.readAgain = true
+// loadConfig reads the file in another goroutine: parsing a list of hundreds of servers on the owner goroutine would
+// delay all answers.
+func (n *Node) loadConfig() {
+	if n.reloading { // the current read may have seen the previous file
+		n.reloadAgain = true
 		return
 	}
-	n.reading, n.readAgain = true, false
+	n.reloading, n.reloadAgain = true, false
 	go func() {
-		cfg, err := Load(n.path)
-		for try := 1; err != nil && try < reloadTries; try++ {
+		cfg, err := Load(n.configPath)
+		for attempt := 1; err != nil && attempt < maxReloadAttempts; attempt++ {
 			select {
 			case <-n.done:
 				return
-			case <-time.After(reloadPause):
+			case <-time.After(reloadRetryInterval):
 			}
-			cfg, err = Load(n.path)
+			cfg, err = Load(n.configPath)
 		}
-		n.queue.Force(reloaded{cfg, err})
+		n.queue.Force(configLoaded{cfg, err})
 	}()
 }
 
-// reloaded takes a file that was read. One that can't be used changes nothing.
-func (n *Node) reloaded(now front.Time, e reloaded) {
-	n.reading = false
-	if n.readAgain {
-		n.reload()
+// applyConfig applies a configuration that was read. An invalid one changes nothing.
+func (n *Node) applyConfig(now front.Time, e configLoaded) {
+	n.reloading = false
+	if n.reloadAgain {
+		n.loadConfig()
 	}
 	if e.err != nil {
 		n.log.Error().Err(e.err).Msg("configuration not taken; the old one stands")
 		return
 	}
 	n.log.Info().Str("journal", e.cfg.Journal).Msg("configuration read again")
-	n.watch.Moved(now, e.cfg.Journal)
+	n.follower.Moved(now, e.cfg.Journal)
 }
--- /dev/null
+++ b/internal/platform/node/server_faults_test.go
@@ -0,0 +1,120 @@
+package node
+
+import (
+	"os"
+	"testing"
+	"time"
+
+	"tealledge/internal/platform/wire"
+	"tealledge/internal/standin/platformsim"
+)
+
+// With a fault on two of three servers, enough requests still play and no rule is broken.
+func TestEachServerFault(t *testing.T) {
+	for name, f := range map[string]platformsim.Faults{
+		"full": {Full: true}, "error": {Error: true}, "hang": {Hang: true}, "noise": {Noise: true}, "half": {Half: true},
+		"break": {Break: true}, "doubled": {Doubled: true}, "answer exceeds a line": {Huge: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			x := newTestFront(t, 1024)
+			for _, s := range x.servers[:2] { // the third server has no fault
+				s.Fault(f)
+			}
+			v := x.viewer()
+			plays, n := 0, 12
+			for _, l := range x.openMany(v, n, 0) {
+				plays += map[string]int{"ready": 1}[l.Msg]
+			}
+			minPlays := map[string]int{"doubled": n, "full": n, "answer exceeds a line": n / 2}[name] // safe requests are tried elsewhere
+			if plays < max(minPlays, 2) {
+				t.Errorf("%d of %d play", plays, n)
+			}
+			v.Close()
+			x.closeAndAudit()
+		})
+	}
+}
+
+// The sessions of a server process that dies are ended in time, and the process may restart.
+func TestServerProcessDiesAndRestarts(t *testing.T) {
+	x := newTestFront(t, 1024)
+	v := x.viewer()
+	x.openMany(v, 9, 0)
+	s := x.servers[0]
+	for _, o := range x.servers { // the module chooses the servers
+		if len(o.Plays()) > len(s.Plays()) {
+			s = o
+		}
+	}
+	cutOff := map[uint64]bool{}
+	for _, sid := range s.Plays() {
+		cutOff[sid] = true
+	}
+	diedAt := time.Now()
+	s.Die()
+	for _, l := range x.firstLines(v, cutOff) {
+		if l.Msg != "close" || l.Code != 41 {
+			t.Errorf("%+v", l)
+		}
+	}
+	if d, n := time.Since(diedAt), x.snapshot().Servers.Refused; len(cutOff) == 0 || d > 5*time.Second || n == 0 { // the limit is 8 s
+		t.Error("ends reported after", d, "and refused connects:", n)
+	}
+	if err := s.Start(); err != nil {
+		t.Fatal(err)
+	}
+	v.Close()
+	x.closeAndAudit()
+}
+
+// A draining server gets no new sessions, and a removed one is forgotten.
+func TestNoNewSessionOnDrainingServer(t *testing.T) {
+	x := newTestFront(t, 1024)
+	v := x.viewer()
+	x.open(v, "safe")
+	x.journal.Tell(false, wire.HostDraining, x.servers[0], x.servers[1])
+	x.waitFor("drain applied", func() bool { return x.snapshot().Ready == 1 })
+	for range 5 {
+		if sid, a := x.open(v, "paid"); a.Msg == "ready" && x.serverOf(sid) != x.servers[2] {
+			t.Error("set up on a draining server")
+		}
+	}
+	x.journal.Tell(false, wire.HostGone, x.servers[0])
+	x.waitFor("removed server forgotten", func() bool { return x.snapshot().Hosts == 2 })
+	v.Close()
+	x.closeAndAudit()
+}
+
+// List events are applied after a break, a silence and a change of address of the journal.
+func TestJournalFaults(t *testing.T) {
+	x := newTestFront(t, 1024)
+	x.waitFor("journal followed", func() bool { return x.snapshot().Watch.Dials == 1 })
+	x.journal.Break()
+	x.journal.Tell(false, wire.HostDraining, x.servers[0])
+	x.waitFor("event after a break", func() bool { return x.snapshot().Ready == 2 })
+	x.journal.Twice()
+	x.journal.Silence(true)
+	x.journal.Tell(false, wire.HostDraining, x.servers[1])
+	x.waitFor("silence detected", func() bool { return x.snapshot().Watch.Silences > 0 })
+	x.journal.Silence(false)
+	x.waitFor("event after silence", func() bool { return x.snapshot().Ready == 1 })
+
+	next, err := platformsim.NewJournal(x.world, x.journal)
+	if err != nil {
+		t.Fatal(err)
+	}
+	os.WriteFile(x.configPath, []byte("{"), 0o600)
+	x.node.Reload() // an invalid file changes nothing
+	x.snapshot()
+	old := x.journal
+	x.journal = next
+	x.writeConfig(next.Addr(), 1024, settingsJSON)
+	x.node.Reload()
+	next.Tell(false, wire.HostReady, x.servers[1])
+	x.waitFor("event at the new address", func() bool { return x.snapshot().Ready == 2 })
+	if s := x.snapshot(); s.Pos != 4 {
+		t.Errorf("%+v", s.Watch)
+	}
+	old.Close()
+	x.closeAndAudit()
+}
--- a/internal/platform/node/sessions_test.go
+++ b/internal/platform/node/sessions_test.go
@@ -13,50 +13,51 @@
 	"tealledge/internal/standin/platformsim"
 )
 
-func TestSessionsFromTheirSetUpToTheirEnd(t *testing.T) {
-	x := newSite(t, 1024)
+// Sessions are set up, outlive a connection, and end by their server or their viewer.
+func TestSessionLifecycle(t *testing.T) {
+	x := newTestFront(t, 1024)
 	v := x.viewer()
 	for i, class := range []string{"safe", "paid", "safe", "paid"} {
-		sid, a := x.opens(v, class)
+		sid, a := x.open(v, class)
 		if a.Msg != "ready" || !strings.HasPrefix(a.Text, "by s-") || !strings.HasSuffix(a.Text, "\r\n") {
 			t.Fatalf("%+v", a)
 		}
-		s := x.at(sid)
+		s := x.serverOf(sid)
 		switch i {
-		case 0: // it outlives its connection
+		case 0: // the session outlives its connection
 			s.Drop()
-			x.until("connected again", func() bool { l := x.look(); return l.Servers.Lost > 0 && l.Links > 0 })
+			x.waitFor("reconnected", func() bool { l := x.snapshot(); return l.Servers.Lost > 0 && l.Links > 0 })
 			s.End(sid, 16)
-			if l := x.line(v, sid); l.Msg != "close" || l.Code != 16 {
+			if l := x.lineFor(v, sid); l.Msg != "close" || l.Code != 16 {
 				t.Errorf("%+v", l)
 			}
 		case 1:
 			s.End(sid, 41)
-			if l := x.line(v, sid); l.Msg != "close" || l.Code != 41 {
+			if l := x.lineFor(v, sid); l.Msg != "close" || l.Code != 41 {
 				t.Errorf("%+v", l)
 			}
 		case 2:
-			other := x.viewer() // on any connection
+			other := x.viewer() // a session may be ended on any connection
 			other.GiveUp(sid)
-			x.until("ended at its server", func() bool { return len(s.Plays()) == 0 })
+			x.waitFor("ended on its server", func() bool { return len(s.Plays()) == 0 })
 			other.Close()
 		case 3:
 			s.End(sid, 31)
 		}
 	}
-	x.until("nothing is held", func() bool { s := x.look(); return s.Held+s.Sessions+s.Attempts == 0 })
+	x.waitFor("no sessions left", func() bool { s := x.snapshot(); return s.Held+s.Sessions+s.Attempts == 0 })
 	v.Close()
-	if r := x.close(); r.Asks != 4 || r.Replies["plays"] != 4 {
+	if r := x.closeAndAudit(); r.Asks != 4 || r.Replies["plays"] != 4 {
 		t.Errorf("%+v", r.Replies)
 	}
 }
 
-// What a server says on a connection that another has replaced reaches its viewer.
-func TestEndsSaidWhereAConnectionIsReplaced(t *testing.T) {
-	x := newSite(t, 1024)
+// A message of a server on a connection that another has replaced still reaches its viewer.
+func TestReportsEndsSentOnReplacedConnection(t *testing.T) {
+	x := newTestFront(t, 1024)
 	v := x.viewer()
 	for range 6 {
-		if _, a := x.opens(v, "paid"); a.Msg != "ready" {
+		if _, a := x.open(v, "paid"); a.Msg != "ready" {
 			t.Fatalf("%+v", a)
 		}
 	}
@@ -65,33 +66,34 @@
 		played[s] = s.Plays()
 		s.Fault(platformsim.Faults{Hang: true, Parting: true})
 	}
-	hung := x.id()
-	v.Open(hung, "safe", 1500*time.Millisecond) // its answer never comes: the server tried gets another connection
-	said := map[uint64]bool{}
-	x.until("a connection is replaced", func() bool {
+	hung := x.newID()
+	v.Open(hung, "safe", 1500*time.Millisecond) // never answered: the front replaces the connection to the server
+	ended := map[uint64]bool{}
+	x.waitFor("a connection is replaced", func() bool {
 		for s, list := range played {
 			if len(list) > 0 && len(s.Plays()) == 0 {
 				for _, sid := range list {
-					said[sid] = true
+					ended[sid] = true
 				}
 			}
 		}
-		return len(said) > 0
+		return len(ended) > 0
 	})
-	for sid, l := range x.words(v, said) {
+	for sid, l := range x.firstLines(v, ended) {
 		if l.Msg != "close" || l.Code != 16 {
 			t.Errorf("session %d: %+v", sid, l)
 		}
 	}
 	v.GiveUp(hung)
-	x.line(v, hung)
+	x.lineFor(v, hung)
 	v.Close()
-	x.close()
+	x.closeAndAudit()
 }
 
-func TestNothingIsLeftOver(t *testing.T) {
+// Over rounds of sessions, at most 4 more descriptors are open than after the first round, and no goroutine is left.
+func TestLeaksNoDescriptorsOrGoroutines(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	x := newSite(t, 1024)
+	x := newTestFront(t, 1024)
 	var files int
 	count := func() int {
 		list, err := os.ReadDir("/proc/self/fd")
@@ -103,38 +105,40 @@
 	for round := range 4 {
 		v := x.viewer()
 		for i := range 40 {
-			sid, a := x.opens(v, []string{"safe", "paid"}[i%2])
+			sid, a := x.open(v, []string{"safe", "paid"}[i%2])
 			if a.Msg != "ready" {
 				continue
 			}
 			if i%3 == 0 {
 				v.GiveUp(sid)
 			} else {
-				x.at(sid).End(sid, 16)
-				x.line(v, sid)
+				x.serverOf(sid).End(sid, 16)
+				x.lineFor(v, sid)
 			}
 		}
 		v.Close()
-		x.until("closed", func() bool { s := x.look(); return s.Conns+s.Sessions+s.Attempts+s.Held == 0 })
+		x.waitFor("all sessions closed", func() bool { s := x.snapshot(); return s.Conns+s.Sessions+s.Attempts+s.Held == 0 })
 		if round == 0 {
 			files = count()
 		}
 	}
 	if n := count(); n > files+4 {
-		t.Errorf("%d descriptors, %d after the first round", n, files)
+		t.Errorf("%d descriptors are open, %d after the first round", n, files)
 	}
-	x.close()
+	x.closeAndAudit()
 	goleak.VerifyNone(t, before, goleak.IgnoreTopFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"),
 		goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"), goleak.IgnoreAnyFunction("github.com/bytedance/gopkg/util/gopool.(*worker).run.func1"))
 }
 
-func TestTheJudgeSeesWhatThisPlatformBreaks(t *testing.T) {
-	x := newSite(t, 1024)
+// The audit finds a second answer, a second set-up of an attempt and a set-up on a draining server in a front's
+// records.
+func TestAuditDetectsBrokenRules(t *testing.T) {
+	x := newTestFront(t, 1024)
 	v := x.viewer()
-	x.opens(v, "paid")
-	good := x.w.Rec.Events()
+	x.open(v, "paid")
+	good := x.world.Rec.Events()
 	v.Close()
-	x.close()
+	x.closeAndAudit()
 	var setup, answer record.Event
 	for _, e := range good {
 		switch e.What {
@@ -144,10 +148,10 @@
 			answer = e
 		}
 	}
-	again, drains := setup, record.Event{T: setup.T - int64(time.Second), What: record.Told, Front: platformsim.Front, Server: setup.Server, Health: "draining"}
-	again.Attempt, again.T = 1, setup.T+int64(time.Second)
+	repeated, drains := setup, record.Event{T: setup.T - int64(time.Second), What: record.Told, Front: platformsim.Front, Server: setup.Server, Health: "draining"}
+	repeated.Attempt, repeated.T = 1, setup.T+int64(time.Second)
 	for rule, bad := range map[string][]record.Event{audit.RuleAnswer: append(good[:len(good):len(good)], answer),
-		audit.RuleOnce: append(good[:len(good):len(good)], again), audit.RuleDrain: {good[0], drains, setup}} {
+		audit.RuleOnce: append(good[:len(good):len(good)], repeated), audit.RuleDrain: {good[0], drains, setup}} {
 		if report, err := audit.Judge(bad); err != nil || report.Count(rule) == 0 {
 			t.Errorf("rule %s: %v %v", rule, err, report.Violations)
 		}
--- /dev/null
+++ b/internal/platform/node/shutdown_test.go
@@ -0,0 +1,91 @@
+package node
+
+import (
+	"context"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"tealledge/internal/front"
+	"tealledge/internal/platform/viewers"
+	"tealledge/internal/platform/wire"
+	"tealledge/internal/standin/platformsim"
+	"tealledge/policy"
+)
+
+// waitForExit waits until a front that is shutting down has ended.
+func (x *testFront) waitForExit() {
+	x.t.Helper()
+	select {
+	case err := <-x.done:
+		x.done <- err
+	case <-time.After(8 * time.Second):
+		x.t.Error("the front does not end")
+	}
+}
+
+// Requests that arrive during a shutdown are answered, and then the front ends.
+func TestShutdownUnderLoad(t *testing.T) {
+	x := newTestFront(t, 1024)
+	for _, s := range x.servers {
+		s.Fault(platformsim.Faults{Delay: 100 * time.Millisecond})
+	}
+	v := x.viewer()
+	time.AfterFunc(200*time.Millisecond, x.node.Leave)
+	for sid := range x.openMany(v, 30, 20*time.Millisecond) {
+		v.GiveUp(sid)
+	}
+	x.waitForExit()
+	v.Close()
+	x.stopAndAudit()
+}
+
+// A request whose last byte arrives when the front is about to end gets its whole answer.
+func TestAnswersRequestCompletedLateInShutdown(t *testing.T) {
+	x := newTestFront(t, 1024)
+	v := x.viewer()
+	sid := x.newID()
+	text := platformsim.Form(sid, "safe", 1500*time.Millisecond, "")
+	x.node.Leave()
+	time.Sleep(time.Duration(shutdownDelay) - 300*time.Millisecond)
+	for part := range slices.Chunk([]byte(text), len(text)/5+1) { // parts arrive until after shutdownDelay
+		if err := v.Write(string(part)); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+	if l := x.lineFor(v, sid); l.Msg != "ready" {
+		t.Fatalf("%+v", l)
+	}
+	v.GiveUp(sid)
+	x.waitForExit()
+	v.Close()
+	x.stopAndAudit()
+}
+
+// After shutdownTimeout, a front that shuts down no longer waits for playing sessions, but it still waits for an open
+// request, whose deadline may be later.
+func TestShutdownWaitsForOpenRequestPastItsTimeout(t *testing.T) {
+	n := newListedNode(t, 3)
+	defer n.clients.close(context.Background())
+	now := n.now()
+	in := viewers.In{}
+	in.Line, in.Err = wire.ParseLine([]byte(strings.TrimSuffix(platformsim.Form(7, "safe", 10*time.Minute, ""), "\n")))
+	n.viewers.Accepted(now, 1)
+	n.viewers.Received(now, now, 1, []viewers.In{in}, nil, false, n.core.Known)
+	n.processEffects()
+	if n.core.Open() != 1 {
+		t.Fatalf("%d open", n.core.Open())
+	}
+	n.shutdownAt = now
+	late := now + shutdownTimeout + policy.Second
+	if n.finished(late) {
+		t.Error("the front ends with a request open")
+	}
+	n.step(front.Leave{Session: 7})
+	n.processEffects()
+	if n.core.Open() != 0 || !n.finished(late) {
+		t.Errorf("%d requests open, or the front does not end without any", n.core.Open())
+	}
+}
--- a/internal/platform/node/sockets.go
+++ b/internal/platform/node/sockets.go
@@ -15,61 +15,61 @@
 	"tealledge/internal/platform/wire"
 )
 
-// What the sockets bring the owner, and the connections that this side opens.
-
+// Queue items: events of the sockets and calls of other goroutines for the owner goroutine.
 type (
-	accepted struct{ conn uint64 }
-	said     struct {
+	clientAccepted struct{ conn uint64 }
+	clientReceived struct {
 		from    *client
-		read    front.Time
+		readAt  front.Time
 		list    []viewers.In
-		broken  error
+		readErr error
 		partial bool
 	}
-	left       struct{ conn uint64 }
-	connected  struct{ conn uint64 }
-	dialFailed struct {
-		conn uint64
-		why  servers.Failure
+	clientClosed     struct{ conn uint64 }
+	serverConnected  struct{ conn uint64 }
+	serverDialFailed struct {
+		conn    uint64
+		failure servers.Failure
 	}
-	received struct {
-		conn uint64
-		b    []byte
+	serverReceived struct {
+		conn  uint64
+		bytes []byte
 	}
-	lost     struct{ conn, begun uint64 }
-	feedUp   struct{ conn uint64 }
-	feedLost struct{ conn uint64 }
-	feedSaid struct {
-		conn   uint64
-		lines  [][]byte
-		broken error
+	serverClosed     struct{ conn, submitted uint64 }
+	journalConnected struct{ conn uint64 }
+	journalClosed    struct{ conn uint64 }
+	journalReceived  struct {
+		conn    uint64
+		lines   [][]byte
+		readErr error
 	}
-	leave   struct{}
-	inspect struct{ reply chan Snapshot }
+	shutdownRequested struct{}
+	snapshotRequested struct{ reply chan Snapshot }
 )
 
-type clientSink struct{ n *Node }
+// eventQueue puts the events of viewers' connections into the queue of the owner goroutine.
+type eventQueue struct{ node *Node }
 
-func (k clientSink) accepted(conn uint64) { k.n.queue.Force(accepted{conn}) }
+func (s eventQueue) accepted(conn uint64) { s.node.queue.Force(clientAccepted{conn}) }
 
-func (k clientSink) left(conn uint64) { k.n.queue.Force(left{conn}) }
+func (s eventQueue) closed(conn uint64) { s.node.queue.Force(clientClosed{conn}) }
 
-func (k clientSink) said(from *client, list []viewers.In, broken error, partial bool) {
-	// Lines of one connection keep their order: a request and the word that it is given up must not change places.
-	k.n.queue.Put(admit.News, said{from, k.n.now(), list, broken, partial})
+func (s eventQueue) received(from *client, list []viewers.In, readErr error, partial bool) {
+	// Lines of one connection must keep their order: a request must not be overtaken by its withdrawal.
+	s.node.queue.Put(admit.News, clientReceived{from, s.node.now(), list, readErr, partial})
 }
 
-// dial opens a connection to a server.
-func (n *Node) dial(conn uint64, addr string, within time.Duration) {
-	n.links.Dial(conn, connect(addr, within), pipe.Handler{
-		Connected: func() { n.queue.Force(connected{conn}) },
-		Failed:    func(err error) { n.queue.Force(dialFailed{conn, failure(err)}) },
-		Read:      func(b []byte) { n.queue.Put(admit.News, received{conn, bytes.Clone(b)}) },
-		Lost:      func(begun uint64) { n.queue.Force(lost{conn, begun}) }})
+// dialServer opens a connection to a server.
+func (n *Node) dialServer(conn uint64, addr string, timeout time.Duration) {
+	n.serverConns.Dial(conn, dialer(addr, timeout), pipe.Handler{
+		Connected: func() { n.queue.Force(serverConnected{conn}) },
+		Failed:    func(err error) { n.queue.Force(serverDialFailed{conn, classifyDialError(err)}) },
+		Read:      func(b []byte) { n.queue.Put(admit.News, serverReceived{conn, bytes.Clone(b)}) },
+		Lost:      func(submitted uint64) { n.queue.Force(serverClosed{conn, submitted}) }})
 }
 
-// failure tells what a connect's error proves.
-func failure(err error) servers.Failure {
+// classifyDialError returns the kind of failure that a connect error proves.
+func classifyDialError(err error) servers.Failure {
 	var timeout net.Error
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
@@ -80,28 +80,29 @@
 	return servers.Broke
 }
 
-// tail opens a connection to the journal service.
-func (n *Node) tail(conn uint64, addr string, within time.Duration) {
-	cut := wire.NewSplitter(wire.MaxEvent)
-	n.feed.Dial(conn, connect(addr, within), pipe.Handler{
-		Connected: func() { n.queue.Force(feedUp{conn}) },
-		Failed:    func(error) { n.queue.Force(feedLost{conn}) },
-		Lost:      func(uint64) { n.queue.Force(feedLost{conn}) },
+// dialJournal opens a connection to the journal service.
+func (n *Node) dialJournal(conn uint64, addr string, timeout time.Duration) {
+	splitter := wire.NewSplitter(wire.MaxEvent)
+	n.journalConns.Dial(conn, dialer(addr, timeout), pipe.Handler{
+		Connected: func() { n.queue.Force(journalConnected{conn}) },
+		Failed:    func(error) { n.queue.Force(journalClosed{conn}) },
+		Lost:      func(uint64) { n.queue.Force(journalClosed{conn}) },
 		Read: func(b []byte) {
-			said := feedSaid{conn: conn}
-			cut.Feed(b)
+			message := journalReceived{conn: conn}
+			splitter.Feed(b)
 			for {
-				line, err := cut.Next()
+				line, err := splitter.Next()
 				if line == nil {
-					said.broken = err
+					message.readErr = err
 					break
 				}
-				said.lines = append(said.lines, bytes.Clone(line))
+				message.lines = append(message.lines, bytes.Clone(line))
 			}
-			n.queue.Put(admit.News, said)
+			n.queue.Put(admit.News, message)
 		}})
 }
 
-func connect(addr string, within time.Duration) func() (net.Conn, error) {
-	return func() (net.Conn, error) { return pipe.DialTCP(addr, within) }
+// dialer returns a function that opens a TCP connection.
+func dialer(addr string, timeout time.Duration) func() (net.Conn, error) {
+	return func() (net.Conn, error) { return pipe.DialTCP(addr, timeout) }
 }
