--- a/internal/platform/wire/line.go
+++ b/internal/platform/wire/line.go
@@ -11,7 +11,7 @@
 	"unicode/utf8"
 )
 
-// Names of the viewers' messages.
+// Names of the messages from and to viewers.
 const (
 	LineOpen     = "open"
 	LineTrying   = "trying"
@@ -25,16 +25,16 @@
 	LineRelocate = "relocate"
 )
 
-// Line is a viewer's message, or one to a viewer.
+// Line is a message from or to a viewer.
 type Line struct {
 	Msg   string
-	Sid   uint64 // 0: it named none that could be read
+	Sid   uint64 // session id; 0: missing or invalid
 	Attrs map[string]string
 	Code  int
 	Text  string
 }
 
-// lineForm is a line's JSON.
+// lineJSON is the JSON form of a line.
 type lineJSON struct {
 	Msg   string            `json:"msg"`
 	Sid   string            `json:"sid"`
@@ -43,10 +43,10 @@
 	Text  *string           `json:"text,omitempty"`
 }
 
-// maxAttrs bounds the fields of a line.
+// maxAttrs is the maximum number of attributes of a line.
 const maxAttrs = 32
 
-// ParseSid reads 16 hex digits in lower case; 0 names nothing.
+// ParseSid parses a session id of 16 lower-case hex digits; 0 is invalid.
 func ParseSid(text string) (uint64, bool) {
 	if len(text) != 16 || strings.ToLower(text) != text {
 		return 0, false
@@ -55,13 +55,13 @@
 	return v, err == nil && v != 0
 }
 
-// ParseLine reads a line without its line feed. The error tells why it can't be used; the line then holds what could
-// be read, so that the answer may name its session.
+// ParseLine parses a line without its line feed. With an error the line holds what could be parsed, so that the reply
+// can name its session. The error texts are sent to viewers.
 func ParseLine(b []byte) (l Line, err error) {
 	if len(b) >= MaxMessage {
 		return l, fmt.Errorf("a line of %d bytes, %d at most", len(b)+1, MaxMessage)
 	}
-	// Danger: the JSON reader replaces what is no UTF-8, and a description must pass on unchanged.
+	// The JSON decoder replaces invalid UTF-8, but a description must be passed on unchanged.
 	if !utf8.Valid(b) {
 		return l, errors.New("a line is no UTF-8")
 	}
@@ -77,7 +77,7 @@
 	}
 	sid, sidOK := ParseSid(raw.Sid)
 	l = Line{Msg: raw.Msg, Sid: sid, Text: raw.Text, Attrs: make(map[string]string, len(raw.Attrs))}
-	if strings.ContainsRune(l.Text, utf8.RuneError) { // half a surrogate pair was replaced
+	if strings.ContainsRune(l.Text, utf8.RuneError) { // half of a surrogate pair was replaced
 		return l, errors.New("a description that can't be passed on unchanged")
 	}
 	if len(raw.Attrs) > maxAttrs {
@@ -105,7 +105,7 @@
 	return l, nil
 }
 
-// attr reads a string or a number.
+// parseAttr parses a string or a number.
 func parseAttr(v json.RawMessage) (string, error) {
 	v = bytes.TrimSpace(v)
 	if len(v) == 0 {
@@ -122,7 +122,8 @@
 	return "", errors.New("neither string nor number")
 }
 
-// Append writes the line behind b, line feed included. A line over MaxMessage, or a text that is no UTF-8, is an error.
+// Append appends the encoded line, with its line feed, to b. A line longer than MaxMessage, or a text that is not
+// UTF-8, is an error.
 func (l *Line) Append(b []byte) ([]byte, error) {
 	if !utf8.ValidString(l.Text) {
 		return b, errors.New("a description that is no UTF-8")
@@ -138,7 +139,7 @@
 		form.Text = &l.Text
 	}
 	var out bytes.Buffer
-	enc := json.NewEncoder(&out) // it ends the line itself
+	enc := json.NewEncoder(&out) // it adds the line feed
 	enc.SetEscapeHTML(false)
 	if err := enc.Encode(form); err != nil {
 		return b, err
@@ -149,25 +150,25 @@
 	return append(b, out.Bytes()...), nil
 }
 
-// Sid writes a session id.
+// Sid formats a session id.
 func Sid(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// Splitter cuts a stream into lines, each of a bounded length.
+// Splitter splits a stream into lines of bounded length.
 type Splitter struct {
 	maxLine int
 	buf     []byte
 	err     error
 }
 
-// NewSplitter makes one for lines of at most so many bytes, line feed included.
+// NewSplitter returns a Splitter for lines of at most maxLine bytes, line feed included.
 func NewSplitter(maxLine int) *Splitter { return &Splitter{maxLine: maxLine} }
 
-// Feed adds bytes that were read; they are copied. After a line that is too long nothing is kept any more.
+// Feed adds bytes that were read; it copies them. After a line that is too long all input is dropped.
 func (s *Splitter) Feed(b []byte) {
 	if s.err != nil {
 		return
 	}
-	// Danger: a line without end would be held whole. What is past the bound is not even copied.
+	// Otherwise an endless line would be held in full. Input past the limit is not even copied.
 	if nl := bytes.IndexByte(b, '\n'); nl < 0 && len(s.buf)+len(b) > s.maxLine {
 		s.err, s.buf = fmt.Errorf("a line of more than %d bytes", s.maxLine), nil
 		return
@@ -175,10 +176,10 @@
 	s.buf = append(s.buf, b...)
 }
 
-// Partial tells whether a line has begun and not ended.
+// Partial reports whether a line is incomplete.
 func (s *Splitter) Partial() bool { return s.err == nil && len(s.buf) > 0 }
 
-// Next gives the next line without its line feed, good until the next Feed; nil if none is whole.
+// Next returns the next line without its line feed, valid until the next Feed, or nil if none is complete.
 func (s *Splitter) Next() ([]byte, error) {
 	if s.err != nil {
 		return nil, s.err
@@ -199,8 +200,8 @@
 	return bytes.TrimSuffix(line, []byte("\r")), nil
 }
 
-// TakesBack tells whether what was fed and is no whole line yet, with bytes that follow it, holds a line that closes a session. It
-// changes nothing: the bytes are fed when they are read.
+// ContainsClose reports whether the buffered input, followed by next, contains a line that closes the session. It
+// changes nothing: the bytes of next are fed when they are read.
 func (s *Splitter) TakesBack(next []byte, session uint64) bool {
 	if s.err != nil {
 		return false
--- a/internal/platform/wire/splitter_test.go
+++ b/internal/platform/wire/splitter_test.go
@@ -15,14 +15,14 @@
 		fed, next string
 		want      bool
 	}{
-		"whole":                   {"", closeLine(7), true},
-		"half of it was fed":      {closeLine(7)[:20], closeLine(7)[20:], true},
-		"behind others":           {"", closeLine(8) + "noise\n" + closeLine(7), true},
-		"another's":               {"", closeLine(8), false},
-		"not whole yet":           {"", closeLine(7)[:40], false},
-		"a release heard":         {"", `{"msg":"closed","sid":"0000000000000007"}` + "\n", false},
-		"its id in another field": {"", `{"msg":"close","sid":"0000000000000008","attrs":{"key":"0000000000000007"}}` + "\n", false},
-		"behind an endless line":  {string(bytes.Repeat([]byte{'x'}, 300)), closeLine(7), false},
+		"complete":                  {"", closeLine(7), true},
+		"half of it was fed before": {closeLine(7)[:20], closeLine(7)[20:], true},
+		"after other lines":         {"", closeLine(8) + "noise\n" + closeLine(7), true},
+		"close of another session":  {"", closeLine(8), false},
+		"incomplete":                {"", closeLine(7)[:40], false},
+		"acknowledged close":        {"", `{"msg":"closed","sid":"0000000000000007"}` + "\n", false},
+		"its id in another field":   {"", `{"msg":"close","sid":"0000000000000008","attrs":{"key":"0000000000000007"}}` + "\n", false},
+		"after an endless line":     {string(bytes.Repeat([]byte{'x'}, 300)), closeLine(7), false},
 	} {
 		s := NewSplitter(256)
 		s.Feed([]byte(c.fed))
@@ -32,7 +32,7 @@
 	}
 }
 
-// What is told of bytes that lie unread is what reading them brings.
+// ContainsClose must agree with reading the same bytes.
 func FuzzTakesBack(f *testing.F) {
 	f.Add([]byte(closeLine(7)[:11]), []byte(closeLine(7)[11:]))
 	f.Add([]byte("x\n"), []byte(closeLine(8)+closeLine(7)))
@@ -57,10 +57,10 @@
 			read = err == nil && l.Msg == LineClose && l.Sid == 7
 		}
 		if found && !read {
-			t.Fatalf("%q then %q: taken back, and reading them brings no such word", fed, next)
+			t.Fatalf("%q then %q: close found, but none is read", fed, next)
 		}
 		if read && !found && len(next) < 200 {
-			t.Fatalf("%q then %q: reading them takes it back, and that was not told", fed, next)
+			t.Fatalf("%q then %q: close read, but not found before", fed, next)
 		}
 	})
 }
--- a/internal/platform/wire/wire_test.go
+++ b/internal/platform/wire/wire_test.go
@@ -70,11 +70,11 @@
 			t.Errorf("%s: %+v", name, m)
 		}
 		if m, err := d.Next(); err == nil || d.Partial() {
-			t.Errorf("%s: goes on with %+v", name, m)
+			t.Errorf("%s: reading continues with %+v", name, m)
 		}
 	}
 	if _, err := sampleSetUp().Add(ParamText, strings.Repeat("x", MaxMessage)).Append(nil); err == nil {
-		t.Error("a message past the limit was written")
+		t.Error("a message longer than the limit was encoded")
 	}
 }
 
@@ -83,7 +83,8 @@
 	if got := ParseReport("queue:3;x1:0.40;x0:1.2", names); !reflect.DeepEqual(got, []float64{1.2, 0.4}) {
 		t.Error(got)
 	}
-	for _, text := range []string{"", "x0:1", "x0:1;x1:NaN", "x0:1;x1:inf", "x0;x1", "x0:1;x1:", "x0:1;x1:1e300", strings.Repeat("x0:1;", 20) + "x1:1"} {
+	for _, text := range []string{"", "x0:1", "x0:1;x1:NaN", "x0:1;x1:inf", "x0;x1", "x0:1;x1:", "x0:1;x1:1e300",
+		strings.Repeat("x0:1;", 20) + "x1:1"} {
 		if got := ParseReport(text, names); got != nil {
 			t.Errorf("%q: %v", text, got)
 		}
@@ -94,7 +95,8 @@
 
 func TestLineRoundTrip(t *testing.T) {
 	l, err := ParseLine([]byte(sampleOpenLine))
-	want := Line{Msg: "open", Sid: 0x9b1f03aa5c7e2d41, Attrs: map[string]string{"class": "paid", "left": "1500"}, Text: "a\r\nb"}
+	want := Line{Msg: "open", Sid: 0x9b1f03aa5c7e2d41, Attrs: map[string]string{"class": "paid", "left": "1500"},
+		Text: "a\r\nb"}
 	if err != nil || !reflect.DeepEqual(l, want) {
 		t.Fatalf("%+v %v", l, err)
 	}
@@ -111,13 +113,13 @@
 	}
 	tested := Line{Msg: LineProbed, Sid: 3}
 	if b, _ := tested.Append(nil); !bytes.Contains(b, []byte(`"code":0`)) {
-		t.Errorf("a failed test without its cause: %s", b)
+		t.Errorf("probed line with cause 0 lacks its code: %s", b)
 	}
 	if _, err := (&Line{Msg: LineReady, Sid: 1, Text: "\xff"}).Append(nil); err == nil {
-		t.Error("a description that is no UTF-8 was written")
+		t.Error("a description that is not UTF-8 was encoded")
 	}
 	if _, err := (&Line{Msg: LineReady, Sid: 1, Text: strings.Repeat("x", MaxMessage)}).Append(nil); err == nil {
-		t.Error("a line past the limit was written")
+		t.Error("a line longer than the limit was encoded")
 	}
 }
 
@@ -169,17 +171,17 @@
 		t.Fatalf("%q", line)
 	}
 	if _, err := s.Next(); err == nil {
-		t.Fatal("a line past the bound")
+		t.Fatal("a line longer than the limit was returned")
 	}
 	s = NewSplitter(16)
 	for range 1000 {
 		s.Feed(make([]byte, 1<<10))
 		if len(s.buf) > 1<<11 {
-			t.Fatal("an endless line is held:", len(s.buf))
+			t.Fatal("an endless line is buffered:", len(s.buf))
 		}
 	}
 	if _, err := s.Next(); err == nil {
-		t.Fatal("an endless line")
+		t.Fatal("no error for an endless line")
 	}
 }
 
@@ -194,7 +196,8 @@
 			t.Errorf("%q: %+v %v", text, e, err)
 		}
 	}
-	for _, text := range []string{"", "x", `{"pos":`, `{"pos":-1}`, `{"hosts":{"hosts":[]}}`, `{"pos":1,"hosts":{"hosts":[{"host":""}]}}`,
+	for _, text := range []string{"", "x", `{"pos":`, `{"pos":-1}`, `{"hosts":{"hosts":[]}}`,
+		`{"pos":1,"hosts":{"hosts":[{"host":""}]}}`,
 		`{"pos":1,"hosts":{"hosts":[{"host":"a","health":"well"}]}}`, `{"pos":1,"hosts":{"hosts":[{"host":"a","health":"left","block":-1}]}}`,
 		`{"pos":1,"hosts":{"hosts":[{"host":"a","health":"left","share":-1}]}}`, `{"pos":1,"hosts":{"hosts":[{"host":"a","health":"left","born_ms":-1}]}}`} {
 		if e, err := ParseEvent([]byte(text)); err == nil {
@@ -236,7 +239,7 @@
 		if err != nil {
 			return
 		}
-		if out, err := l.Append(nil); err == nil { // escapes may make it longer than it came
+		if out, err := l.Append(nil); err == nil { // escapes may make it longer than the input
 			back, err := ParseLine(bytes.TrimSuffix(out, []byte("\n")))
 			if err != nil || back.Text != l.Text || back.Sid != l.Sid {
 				t.Fatalf("%q gave %q: %v", b, out, err)
