--- a/internal/platform/watch/backoff_test.go
+++ b/internal/platform/watch/backoff_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The service ends all its connections in one moment, and refuses for a while: the fronts came back together, all in one tick.
+// The service ends all its connections at the same moment: the fronts reconnected together, all in one tick.
 func TestReconnectsAreSpreadOut(t *testing.T) {
 	const fronts, tick = 300, 5 * ms
 	rng := rand.New(rand.NewSource(1))
@@ -20,7 +20,7 @@
 	most, last := 0, Time(0)
 	for _, r := range rigs {
 		r.now = brokenAt
-		r.f.Received(r.now-ms, r.conn, [][]byte{[]byte("3")}, nil) // it stood long
+		r.f.Received(r.now-ms, r.conn, [][]byte{[]byte("3")}, nil) // the connection was stable
 		r.f.Lost(r.now, r.conn)
 	}
 	for now := brokenAt; now <= brokenAt+200*ms; now += tick {
@@ -36,6 +36,6 @@
 		most = max(most, dials)
 	}
 	if most > fronts/2 || last > minBackoff || last == 0 {
-		t.Errorf("%d of %d connects in one tick, the last after %d ms", most, fronts, last/ms)
+		t.Errorf("up to %d of %d connects in one tick, the last after %d ms", most, fronts, last/ms)
 	}
 }
--- a/internal/platform/watch/watch.go
+++ b/internal/platform/watch/watch.go
@@ -1,8 +1,8 @@
-// Package watch holds the watch on the server list, at the operators' journal service: numbered events that change the list. It is a pure
-// state machine; the shell dials, writes and reads as it is told.
+// Package watch follows the server list at the operators' journal service, which sends numbered events that change the
+// list. It is a pure state machine; the shell carries out its effects and passes on what is read.
 //
-// A line that breaks off, a number that skips one, or silence where each second brings a number, ends the connection;
-// the next one asks for what follows the last whole event.
+// An incomplete line, a gap in the numbers, or silence (the service sends a number each second) ends the connection;
+// the next one requests the events after the last complete one.
 package watch
 
 import (
@@ -12,20 +12,21 @@
 	"tealledge/policy"
 )
 
-// Time is a clock reading or span in nanoseconds.
+// Time is a point of time or a duration in nanoseconds.
 type Time = policy.Time
 
-// Spans: the service writes its number each second; a break is answered within pauseMin, further ones with a growing pause.
+// Timeouts and limits. The service sends its number each second. After a first failure the connect follows within
+// minBackoff, after further ones with a growing delay.
 const (
 	silenceTimeout = 1700 * policy.Millisecond
 	connectTimeout = 500 * policy.Millisecond
 	minBackoff     = 40 * policy.Millisecond
 	maxBackoff     = 800 * policy.Millisecond
-	stableDuration = 5 * policy.Second // a connection that held so long was a good one
-	maxGapRetries  = 3                 // the same gap, asked for again in vain
+	stableDuration = 5 * policy.Second // a connection that lasted this long resets the backoff
+	maxGapRetries  = 3                 // requests for the same missing events before they are skipped
 )
 
-// Act is what the shell is to do: dial, write or close.
+// Effect is an operation that the shell carries out: dial, write or close.
 type Effect struct {
 	Conn   uint64
 	Dial   string
@@ -34,14 +35,14 @@
 	Bytes  []byte
 }
 
-// Watch holds the one connection to the service.
+// Follower holds the state of the one connection to the service.
 type Watch struct {
 	addr           string
 	pos            uint64
 	conn           uint64
 	connected      bool
 	dialing        bool
-	nextDialAt     Time // a connect is tried then
+	nextDialAt     Time // no connect before this time
 	backoff        Time
 	lastReceivedAt Time
 	connectedAt    Time
@@ -53,25 +54,25 @@
 	Stats          Stats
 }
 
-// Stats counts what happened to the connection.
+// Stats counts events of the connection.
 type Stats struct{ Dials, Breaks, Silences, Unreadable, Twice, Gaps uint64 }
 
-// New makes a follower of the service at an address that has events up to pos; draw gives 0 to 1.
+// New returns a Follower of the service at addr that has the events up to pos; random returns numbers from 0 to 1.
 func New(addr string, pos uint64, random func() float64) *Watch {
 	return &Watch{addr: addr, pos: pos, random: random}
 }
 
-// Take gives what has come up since the last call: acts, and events in their order.
+// Take returns the effects and the events, in order, since the last call.
 func (f *Watch) Take() ([]Effect, []wire.Event) {
 	effects, events := f.effects, f.events
 	f.effects, f.events = nil, nil
 	return effects, events
 }
 
-// Pos is the number of the last event.
+// Pos returns the number of the last event.
 func (f *Watch) Pos() uint64 { return f.pos }
 
-// Moved tells that the service is at another address now: what is left at the old one is nothing new.
+// AddressChanged handles a new address of the service: the connection to the old one is closed.
 func (f *Watch) Moved(now Time, addr string) {
 	if addr == f.addr || addr == "" {
 		return
@@ -82,16 +83,18 @@
 	f.Tick(now)
 }
 
+// closeConn closes the connection, if there is one, and ignores its further input.
 func (f *Watch) closeConn() {
 	if f.conn != 0 {
 		f.effects = append(f.effects, Effect{Conn: f.conn, Close: true})
 	}
 	f.connected, f.dialing = false, false
-	f.conn++ // what the old one still brings is nobody's
+	f.conn++ // later input of the old connection is ignored
 }
 
-// again has a connect tried after a pause, the first one too. Danger: when the service ends all its connections, all fronts would
-// come back in one moment. Harm: the list is heard of up to pauseMin later.
+// reconnect closes the connection and schedules a connect after a random delay, also for the first retry. Otherwise
+// all fronts would reconnect at the same moment when the service ends all its connections. The cost: events arrive up
+// to minBackoff later.
 func (f *Watch) reconnect(now Time) {
 	if f.connected && now-f.connectedAt >= stableDuration {
 		f.backoff = 0
@@ -102,7 +105,7 @@
 	f.backoff = min(2*f.backoff, maxBackoff)
 }
 
-// Connected tells that the connection stands.
+// Connected handles the opening of the connection and requests the events after the last one.
 func (f *Watch) Connected(now Time, conn uint64) {
 	if conn != f.conn || !f.dialing {
 		f.effects = append(f.effects, Effect{Conn: conn, Close: true})
@@ -112,7 +115,7 @@
 	f.effects = append(f.effects, Effect{Conn: conn, Bytes: fmt.Appendf(nil, "tail %d\n", f.pos)})
 }
 
-// Lost tells that a connection ended or could not be had.
+// Lost handles the end of a connection or a failed connect.
 func (f *Watch) Lost(now Time, conn uint64) {
 	if conn == f.conn && (f.connected || f.dialing) {
 		f.Stats.Breaks++
@@ -120,14 +123,14 @@
 	}
 }
 
-// Received takes whole lines; broken tells why the stream can't be read any further.
+// Received handles complete lines; broken is the error after which the stream can't be read any further.
 func (f *Watch) Received(now Time, conn uint64, lines [][]byte, broken error) {
 	for _, line := range lines {
 		if conn != f.conn || !f.connected {
 			return
 		}
 		f.lastReceivedAt = now
-		f.handleLine(now, line)
+		f.line(now, line)
 	}
 	if broken != nil && conn == f.conn && f.connected {
 		f.Stats.Unreadable++
@@ -135,7 +138,8 @@
 	}
 }
 
-func (f *Watch) handleLine(now Time, line []byte) {
+// line handles one line: an event, or only the number of the last one.
+func (f *Watch) line(now Time, line []byte) {
 	if len(line) == 0 {
 		return
 	}
@@ -145,7 +149,7 @@
 		f.Stats.Unreadable++
 		f.reconnect(now)
 	case e.Hosts == nil:
-		if e.Pos > f.pos { // an event was left out
+		if e.Pos > f.pos { // an event is missing
 			f.requestMissing(now, e.Pos)
 		}
 	case e.Pos <= f.pos:
@@ -157,7 +161,8 @@
 	}
 }
 
-// gap asks again for what was left out. It gives true if that was done in vain: then there is nothing to be had.
+// requestMissing reconnects to request missing events again. It returns true after maxGapRetries for the same gap:
+// then the service no longer has the events, and the gap is accepted.
 func (f *Watch) requestMissing(now Time, pos uint64) bool {
 	f.Stats.Gaps++
 	if f.gapPos != f.pos {
@@ -170,7 +175,7 @@
 	return false
 }
 
-// Tick lets time pass; it is to be called several times a second.
+// Tick advances the clock; it is called several times a second.
 func (f *Watch) Tick(now Time) {
 	switch {
 	case f.connected && now-f.lastReceivedAt >= silenceTimeout:
--- a/internal/platform/watch/watch_test.go
+++ b/internal/platform/watch/watch_test.go
@@ -100,15 +100,15 @@
 	r := newRig(t)
 	r.connect()
 	r.serviceSends(eventLine(4))
-	r.f.Lost(r.now, r.conn) // half of event 5 never became a line
+	r.f.Lost(r.now, r.conn) // event 5 was cut before its line feed
 	first := r.conn
 	r.advance(100 * ms)
 	if r.conn == first {
-		t.Fatal("not connected again")
+		t.Fatal("no new connect")
 	}
 	r.connect()
 	r.checkRequest(4)
-	r.f.Received(r.now, first, [][]byte{[]byte(eventLine(9))}, nil) // what the old one still brings
+	r.f.Received(r.now, first, [][]byte{[]byte(eventLine(9))}, nil) // late input of the old connection
 	r.serviceSends(eventLine(5))
 	r.checkEvents(4, 5)
 }
@@ -116,25 +116,25 @@
 func TestReconnectsOnSilenceAndUnreadableLines(t *testing.T) {
 	r := newRig(t)
 	r.connect()
-	for range 5 { // numbers keep it alive
+	for range 5 { // numbers prevent the silence timeout
 		r.advance(1000 * ms)
 		r.serviceSends("3")
 	}
 	first := r.conn
 	r.advance(silenceTimeout - 100*ms)
 	if r.conn != first {
-		t.Fatal("given up on too early")
+		t.Fatal("connection closed before the silence timeout")
 	}
 	r.advance(300 * ms)
 	if r.conn == first {
-		t.Fatal("silence was not noticed")
+		t.Fatal("silence was not detected")
 	}
 	r.connect()
 	second := r.conn
 	r.serviceSends(`{"pos":4,"ho`)
 	r.advance(200 * ms)
 	if r.conn == second {
-		t.Fatal("what can't be read was passed over")
+		t.Fatal("an unreadable line was skipped")
 	}
 	r.connect()
 	r.checkRequest(3)
@@ -149,14 +149,14 @@
 		r.checkEvents()
 		r.advance(200 * ms)
 		if r.conn == first {
-			t.Fatalf("%s: not asked again", text)
+			t.Fatalf("%s: missing events not requested again", text)
 		}
 		r.connect()
 		r.checkRequest(3)
 		r.serviceSends(eventLine(4), eventLine(5), eventLine(6))
 		r.checkEvents(4, 5, 6)
 	}
-	r := newRig(t) // the service has lost them for good: better what there is than nothing
+	r := newRig(t) // the service no longer has the missing events: the later ones are accepted
 	for range maxGapRetries + 1 {
 		r.connect()
 		r.serviceSends(eventLine(6))
@@ -175,12 +175,12 @@
 	if r.addr != "b:2" || r.conn == old {
 		t.Fatal(r.addr)
 	}
-	r.f.Lost(r.now, old) // its end is nobody's matter
+	r.f.Lost(r.now, old) // the end of the old connection is ignored
 	r.connect()
 	r.checkRequest(4)
 	r.f.Moved(r.now, "b:2")
 	if acts, _ := r.f.Take(); len(acts) != 0 {
-		t.Error("moved to where it is:", acts)
+		t.Error("effects of a change to the same address:", acts)
 	}
 }
 
