--- a/internal/platform/viewers/connections.go
+++ b/internal/platform/viewers/connections.go
@@ -8,22 +8,22 @@
 	"tealledge/internal/front"
 )
 
-// Connections of viewers: taken, and closed when they are of no use or too many.
+// Connections of viewers: accepted, and closed when they are unused or too many.
 
-// Limit sets how many connections are held; those past it are closed, a few at each tick and as others come.
+// SetMaxConns sets the limit on connections; excess ones are closed, a few at each tick and as others are accepted.
 func (p *Desk) Limit(conns int) { p.maxConns = conns }
 
-// Limits gives what Limit has set.
+// MaxConns returns the limit set by SetMaxConns.
 func (p *Desk) Limits() int { return p.maxConns }
 
-// evictAtOnce bounds how many connections past a limit that has come down are closed in one tick: those closed still count until
-// the shell tells that they ended.
+// maxEvictionsPerTick bounds how many excess connections are closed in one tick after the limit was lowered: closed
+// ones still count until the shell reports their end.
 const maxEvictionsPerTick = 4
 
-// evictTries bounds how many connections are looked at for unheard words when one is to be closed.
+// maxEvictionCandidates bounds how many connections are checked for pending input when one is to be closed.
 const maxEvictionCandidates = 4
 
-// Halves tells whether a line has begun on any connection and not ended.
+// HasPartialLine reports whether a line is incomplete on any connection.
 func (p *Desk) Halves() bool {
 	for _, c := range p.conns {
 		if c.partialSince != 0 && !c.closed {
@@ -33,7 +33,7 @@
 	return false
 }
 
-// Accepted tells of a new connection. If there are too many, one that is least missed makes room.
+// Accepted handles a new connection. Past the limit, the least useful connection is closed.
 func (p *Desk) Accepted(now Time, conn uint64) {
 	p.now = now
 	p.Stats.Accepted++
@@ -43,9 +43,10 @@
 	}
 }
 
-// evict closes the connection that is least missed: one that never said anything, then one without sessions, then one
-// without an open request, each the longest quiet; in the end the newcomer. Danger: hundreds that connect and say
-// nothing would take all descriptors. Harm: a viewer that is slow to speak is closed on.
+// evict closes the least useful connection: one without a valid line so far, then one without sessions, then one
+// without an open request, among equals the one silent for longest; as a last resort the newcomer. Otherwise hundreds
+// of clients that connect and send nothing would use up all descriptors. The cost: a viewer that is slow to send its
+// first line is disconnected.
 func (p *Desk) evict(newcomer uint64) {
 	var victim *client
 	rank := func(c *client) int {
@@ -54,21 +55,23 @@
 			return 0
 		case c.id == newcomer:
 			return 1
-		case c.sessionCount > 0:
+		case c.established > 0:
 			return 2
 		case c.sentValidLine:
 			return 3
 		}
 		return 4
 	}
-	excluded := map[*client]bool{} // found with words that were not heard yet
+	excluded := map[*client]bool{} // connections with pending input
 	for range maxEvictionCandidates {
 		victim = nil
 		for _, c := range p.conns {
 			if c.closed || excluded[c] {
 				continue
 			}
-			if victim == nil || rank(c) > rank(victim) || rank(c) == rank(victim) && (c.lastReceivedAt < victim.lastReceivedAt || c.lastReceivedAt == victim.lastReceivedAt && c.id < victim.id) {
+			if victim == nil || rank(c) > rank(victim) ||
+				rank(c) == rank(victim) && (c.lastReceivedAt < victim.lastReceivedAt ||
+					c.lastReceivedAt == victim.lastReceivedAt && c.id < victim.id) {
 				victim = c
 			}
 		}
@@ -87,11 +90,11 @@
 	p.closeConn(victim, nil)
 }
 
-// quiet tells whether a connection may be closed for want of use. Danger: a request that was read, or lies in the socket, while the
-// owner was busy with others would be closed on, and its client never answered.
+// noPendingInput reports whether a connection may be closed as unused. A request that was read, or lies in the socket,
+// while the owner was busy would be lost with its connection, and its client never answered.
 func (p *Desk) noPendingInput(c *client) bool { return p.cfg.Quiet == nil || p.cfg.Quiet(c.id) }
 
-// shut closes a connection after some last bytes. What it had open can't be answered any more and is given up.
+// closeConn closes a connection after a last reply. Its open requests can't be answered any more and are abandoned.
 func (p *Desk) closeConn(c *client, reply []byte) {
 	if !c.closed {
 		c.closed = true
@@ -100,6 +103,7 @@
 	}
 }
 
+// abandonRequests abandons the open requests of a connection.
 func (p *Desk) abandonRequests(c *client) {
 	for _, sid := range slices.Sorted(maps.Keys(c.openRequests)) {
 		p.forget(sid)
@@ -107,7 +111,7 @@
 	}
 }
 
-// Lost tells that a connection ended: its open requests are given up; sessions that stand don't belong to it.
+// Lost handles the end of a connection: its open requests are abandoned; established sessions are not bound to it.
 func (p *Desk) Lost(now Time, conn uint64) {
 	p.now = now
 	c := p.conns[conn]
@@ -118,7 +122,7 @@
 	delete(p.conns, conn)
 }
 
-// Tick lets time pass; it is to be called several times a second.
+// Tick advances the clock; it is called several times a second.
 func (p *Desk) Tick(now Time) {
 	p.now = now
 	var carrier *client
@@ -135,22 +139,23 @@
 			p.closeConn(c, nil)
 		case c.partialSince != 0 && now-c.partialSince >= p.cfg.Half:
 			p.reject(c, 0, errors.New("a line that does not end"))
-		case c.sentValidLine && len(c.openRequests) == 0 && c.sessionCount == 0 && now-c.lastReceivedAt >= p.cfg.Idle && p.noPendingInput(c):
+		case c.sentValidLine && len(c.openRequests) == 0 && c.established == 0 &&
+			now-c.lastReceivedAt >= p.cfg.Idle && p.noPendingInput(c):
 			p.Stats.Idle++
 			p.closeConn(c, nil)
-		case c.sessionCount > 0 && carrier == nil:
+		case c.established > 0 && carrier == nil:
 			carrier = c
 		}
 	}
-	for _, sid := range slices.Sorted(maps.Keys(p.pendingRestores)) {
+	for _, sid := range slices.Sorted(maps.Keys(p.pendingRestore)) {
 		p.tryRestore(sid)
 	}
-	for _, sid := range slices.Sorted(maps.Keys(p.pendingReleases)) {
+	for _, sid := range slices.Sorted(maps.Keys(p.pendingRelease)) {
 		if carrier != nil {
-			p.send(carrier, p.pendingReleases[sid].bytes)
+			p.send(carrier, p.pendingRelease[sid].bytes)
 		}
-		if carrier != nil || now >= p.pendingReleases[sid].expiresAt {
-			delete(p.pendingReleases, sid)
+		if carrier != nil || now >= p.pendingRelease[sid].expiresAt {
+			delete(p.pendingRelease, sid)
 		}
 	}
 	for len(p.recentOrder) > 0 && p.recent[p.recentOrder[0]] <= now {
--- a/internal/platform/viewers/connections_test.go
+++ b/internal/platform/viewers/connections_test.go
@@ -15,13 +15,14 @@
 	for sid := uint64(5); sid < 9; sid++ {
 		r.clientSends(1, openLine(sid, usualAttrs))
 	}
-	if l := r.lastLine(1); len(r.events) != 3 || l.Sid != 8 || l.Code != wire.CauseRefused || l.Attrs["wait"] != "1000" {
-		t.Errorf("%d begun, %+v", len(r.events), l)
+	if l := r.lastLine(1); len(r.events) != 3 || l.Sid != 8 || l.Code != wire.CauseRefused ||
+		l.Attrs["wait"] != "1000" {
+		t.Errorf("%d requests started, want 3; reply %+v", len(r.events), l)
 	}
 	r.do(front.Refused{Session: 5})
 	r.clientSends(1, openLine(10, usualAttrs))
 	if len(r.events) != 4 {
-		t.Error("its room is not free again")
+		t.Error("an answered request still counts towards the limit")
 	}
 }
 
@@ -29,21 +30,21 @@
 	r := newRig(t)
 	r.clientSends(1, openLine(5, usualAttrs)) // an open request
 	r.accept(2)
-	r.establish(2, 6) // a standing session
+	r.establish(2, 6) // an established session
 	r.accept(3)
-	r.clientSends(3, `{"msg":"probe","sid":"0000000000000001","code":0}`) // spoke
-	r.accept(4)                                                           // never said anything
+	r.clientSends(3, `{"msg":"probe","sid":"0000000000000001","code":0}`) // a valid line
+	r.accept(4)                                                           // no line at all
 	for i, evicted := range []uint64{4, 10, 11} {
 		conn := uint64(10 + i)
 		r.now += ms
 		r.accept(conn)
 		if !r.closed[evicted] {
-			t.Errorf("connection %d came: %v went, want %d", conn, slices.Sorted(maps.Keys(r.closed)), evicted)
+			t.Errorf("connection %d accepted: closed %v, want %d", conn, slices.Sorted(maps.Keys(r.closed)), evicted)
 		}
 		r.p.Lost(r.now, evicted)
 	}
 	if r.closed[1] || r.closed[2] || r.closed[3] {
-		t.Error("one in use went:", r.closed)
+		t.Error("a connection in use was closed:", r.closed)
 	}
 }
 
@@ -54,7 +55,7 @@
 	r.accept(3)
 	r.establish(3, 6)
 	r.accept(4)
-	r.p.Received(r.now, r.now, 4, nil, nil, true, nil) // half a line
+	r.p.Received(r.now, r.now, 4, nil, nil, true, nil) // an incomplete line
 	r.advance(2100 * ms)
 	if !r.closed[1] || !r.closed[4] || r.closed[2] || r.closed[3] {
 		t.Fatal(r.closed)
@@ -70,23 +71,23 @@
 	r := newRig(t)
 	r.establish(1, 5)
 	r.do(front.Over{Session: 5, Why: front.WhyEnd})
-	r.advance(6100 * ms) // idle: closed
+	r.advance(6100 * ms) // past the idle timeout
 	if !r.closed[1] {
-		t.Fatal("not closed")
+		t.Fatal("idle connection not closed")
 	}
-	r.clientSends(1, openLine(6, usualAttrs)) // it was under way
+	r.clientSends(1, openLine(6, usualAttrs)) // it was in flight
 	if len(r.events) != 0 {
-		t.Fatal("begun on a connection that is closed:", r.events)
+		t.Fatal("request started on a closed connection:", r.events)
 	}
 	r.p.Lost(r.now, 1)
 	r.accept(2)
-	r.clientSends(2, openLine(6, usualAttrs)) // sent again, once, on a new one
+	r.clientSends(2, openLine(6, usualAttrs)) // the client repeats it on a new connection
 	if len(r.events) != 1 || len(r.written[2]) != 0 {
-		t.Errorf("%+v %+v", r.events, r.written[2])
+		t.Errorf("events %+v, want one; written %+v, want nothing", r.events, r.written[2])
 	}
 }
 
-// A release that is owed is not given to a connection that is closed in the same tick.
+// A pending release must not be lost on a connection that is closed in the same tick.
 func TestSendsPendingReleaseBeforeClosingConnection(t *testing.T) {
 	r := newRig(t)
 	r.establish(1, 5)
@@ -97,6 +98,6 @@
 	r.p.Limit(0)
 	r.advance(50 * ms)
 	if l := r.lastLine(3); l.Msg != "close" || l.Sid != 5 || !r.closed[3] {
-		t.Errorf("%+v, closed %v", l, r.closed[3])
+		t.Errorf("last line %+v, closed %v", l, r.closed[3])
 	}
 }
--- a/internal/platform/viewers/invariants_test.go
+++ b/internal/platform/viewers/invariants_test.go
@@ -11,7 +11,7 @@
 	"tealledge/policy"
 )
 
-// orders plays shell, core, servers' list and clients in any order of events, and judges what the desk says.
+// simulation plays shell, core, server list and clients in any order of events, and checks what the Protocol sends.
 type simulation struct {
 	*rapid.T
 	p        *Desk
@@ -23,27 +23,28 @@
 	listed   bool
 }
 
-// link is a viewer's connection.
+// simulatedConn is a viewer's connection.
 type simulatedConn struct {
-	closed bool // the desk has closed it
-	lost   bool // the desk was told that it ended
+	closedByFront bool // the Protocol has closed it
+	lost          bool // the Protocol was notified of its end
 }
 
-// request is what its client, and what the core, know of a session.
+// request is the state of a session at its client and in the core.
 type request struct {
-	conn        uint64 // that the client asked on
-	held        bool   // the core holds it
-	established bool   // as the core has it
-	answers     int    // that reached the client
-	ended       bool   // its client was told that it is over
-	cancelled   bool   // its client took it back or ended it
-	restored    bool
-	ambiguous   bool // asked for twice: what it is told is nobody's matter
+	conn      uint64 // connection of the client's request
+	held      bool   // the core holds it
+	playing   bool   // established, as the core knows it
+	answers   int    // answers that reached the client
+	ended     bool   // its client was notified of its end
+	cancelled bool   // its client cancelled or ended it
+	restored  bool
+	ambiguous bool // its id was used twice: replies are not checked
 }
 
 func newSimulation(t *rapid.T) *simulation {
 	o := &simulation{T: t, now: start, conns: map[uint64]*simulatedConn{}, requests: map[uint64]*request{}}
-	o.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetry: policy.Second}, Classes: []string{"live", "paid"},
+	o.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetry: policy.Second},
+		Classes:  []string{"live", "paid"},
 		Host:     func(string) (uint32, bool) { return 7, o.listed },
 		OpenMost: 3, Silent: 2 * policy.Second, Half: 2 * policy.Second, Idle: 6 * policy.Second,
 		Quiet: func(conn uint64) bool { return conn%5 != 0 }})
@@ -55,8 +56,8 @@
 	effects, events := o.p.Take()
 	for _, a := range effects {
 		c := o.conns[a.Conn]
-		if c == nil || c.closed || c.lost {
-			o.Fatalf("%q to connection %d: %+v", a.Bytes, a.Conn, c)
+		if c == nil || c.closedByFront || c.lost {
+			o.Fatalf("%q written to closed connection %d: %+v", a.Bytes, a.Conn, c)
 		}
 		for text := range strings.Lines(string(a.Bytes)) {
 			l, err := wire.ParseLine([]byte(strings.TrimSuffix(text, "\n")))
@@ -64,25 +65,25 @@
 				o.checkLine(a.Conn, l, r)
 			}
 		}
-		c.closed = c.closed || a.Close
+		c.closedByFront = c.closedByFront || a.Close
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case front.Ask:
 			r := o.requests[e.ID]
 			if r.held || r.answers > 0 && !r.ambiguous {
-				o.Fatalf("asked for twice: %+v", r)
+				o.Fatalf("request passed on twice: %+v", r)
 			}
 			r.held = true
 		case front.Adopt:
 			r := o.requests[e.ID]
 			if !r.restored || r.held || r.ended && !r.ambiguous {
-				o.Fatalf("handed over: %+v", r)
+				o.Fatalf("session restored twice or after its end: %+v", r)
 			}
-			r.held, r.established = true, true
+			r.held, r.playing = true, true
 		case front.Leave:
 			if r := o.requests[e.Session]; r.held {
-				r.held, r.established = false, false
+				r.held, r.playing = false, false
 			}
 		}
 	}
@@ -129,7 +130,7 @@
 		}
 	}
 	conn, haveConn := pick(o, connIDs)
-	open := haveConn && !o.conns[conn].closed
+	open := haveConn && !o.conns[conn].closedByFront
 	sid, haveSession := pick(o, o.ids)
 	r := o.requests[sid]
 	switch n := rapid.IntRange(0, 15).Draw(o.T, "what"); {
@@ -147,7 +148,7 @@
 		o.ids = append(o.ids, id)
 		o.requests[id] = &request{conn: conn, restored: true}
 		o.clientSends(conn, restoreLine(id, "s-7"))
-	case n == 6 && haveConn && haveSession && open: // the same id again
+	case n == 6 && haveConn && haveSession && open: // the same id is used again
 		if r.ambiguous = r.ambiguous || !r.restored || r.ended || r.cancelled; r.restored {
 			o.clientSends(conn, restoreLine(sid, "s-7"))
 		} else {
@@ -161,7 +162,7 @@
 	case n == 8 && haveConn:
 		o.conns[conn].lost = true
 		o.p.Lost(o.now, conn)
-	case n <= 11 && haveSession && r.held && !r.established: // the core answers
+	case n <= 11 && haveSession && r.held && !r.playing: // the core answers
 		var e front.Effect = front.Plays{Session: sid, Text: "here"}
 		switch rapid.IntRange(0, 3).Draw(o.T, "answer") {
 		case 0:
@@ -169,13 +170,13 @@
 		case 1:
 			e = front.Failed{Session: sid}
 		}
-		_, r.established = e.(front.Plays)
-		r.held = r.established
-		if !o.p.Do(o.now, e) && r.established {
-			r.held, r.established = false, false
+		_, r.playing = e.(front.Plays)
+		r.held = r.playing
+		if !o.p.Do(o.now, e) && r.playing {
+			r.held, r.playing = false, false
 		}
-	case n == 12 && haveSession && r.held && r.established: // the core ends it
-		r.held, r.established = false, false
+	case n == 12 && haveSession && r.held && r.playing: // the core ends it
+		r.held, r.playing = false, false
 		var e front.Effect = front.Over{Session: sid, Why: front.WhyEnd}
 		switch rapid.IntRange(0, 2).Draw(o.T, "end") {
 		case 0:
@@ -195,20 +196,20 @@
 	o.take()
 }
 
-// check holds the desk's counts against each other and what the core holds.
+// check compares the Protocol's state with itself and with what the core holds.
 func (o *simulation) check() {
 	for conn, c := range o.p.conns {
-		if sim := o.conns[conn]; sim == nil || sim.lost || sim.closed != c.closed {
-			o.Fatalf("connection %d: %+v, the desk has %+v", conn, sim, c)
+		if sim := o.conns[conn]; sim == nil || sim.lost || sim.closedByFront != c.closed {
+			o.Fatalf("connection %d: %+v, the Protocol has %+v", conn, sim, c)
 		}
-		standing := 0
+		established := 0
 		for _, s := range o.p.sessions {
 			if s.established && s.conn == conn {
-				standing++
+				established++
 			}
 		}
-		if c.sessionCount != standing {
-			o.Fatalf("connection %d: %d sessions counted, %d stand", conn, c.sessionCount, standing)
+		if c.established != established {
+			o.Fatalf("connection %d: %d sessions counted, %d established", conn, c.established, established)
 		}
 		for sid := range c.openRequests {
 			if s := o.p.sessions[sid]; s == nil || s.established || s.conn != conn {
@@ -218,9 +219,9 @@
 	}
 	for sid, s := range o.p.sessions {
 		r := o.requests[sid]
-		_, early := o.p.pendingRestores[sid]
-		if r.held == early || !early && r.established != s.established || r.ended && !r.ambiguous {
-			o.Fatalf("session %d: the core has %+v, the desk %+v, early: %v", sid, r, s, early)
+		_, pendingRestore := o.p.pendingRestore[sid]
+		if r.held == pendingRestore || !pendingRestore && r.playing != s.established || r.ended && !r.ambiguous {
+			o.Fatalf("session %d: the core has %+v, the Protocol %+v, restore pending: %v", sid, r, s, pendingRestore)
 		}
 		if c := o.p.conns[s.conn]; !s.established && (c == nil || c.closed || !c.openRequests[sid]) {
 			o.Fatalf("session %d is open on no connection", sid)
@@ -228,13 +229,13 @@
 	}
 	for sid, r := range o.requests {
 		if r.held && o.p.sessions[sid] == nil {
-			o.Fatalf("session %d is held by the core alone: %+v", sid, r)
+			o.Fatalf("session %d is held only by the core: %+v", sid, r)
 		}
 	}
 }
 
-// Whatever comes in whatever order: a request gets one answer, on its connection; a session ends once; nothing is said to whom has
-// gone; the core holds what the desk holds.
+// Whatever the order of events: a request gets one answer, on its connection; a session ends once; nothing is written
+// to a closed connection; the core and the Protocol hold the same sessions.
 func TestInvariantsUnderAnyEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newSimulation(t)
--- a/internal/platform/viewers/receive.go
+++ b/internal/platform/viewers/receive.go
@@ -8,16 +8,16 @@
 	"tealledge/internal/platform/wire"
 )
 
-// What viewers say: every line is checked before anything of it goes further.
+// Input from viewers: every line is validated before any of it is passed on.
 
-// In is one line that was read, or why it could not be.
+// Input is a line that was read, or the error in reading it.
 type In struct {
 	Line wire.Line
 	Err  error
 }
 
-// Received takes the lines that came together. broken tells why the stream can't be read any further, and partial
-// whether a line has begun behind them. busy tells of a session's id whether the core still has a use for it.
+// Received handles lines that were read together. broken is the error after which the stream can't be read any further,
+// partial reports whether an incomplete line follows them, and inUse whether the core still uses a session's id.
 func (p *Desk) Received(now, read Time, conn uint64, inputs []In, broken error, partial bool, inUse func(uint64) bool) {
 	p.now = now
 	c := p.conns[conn]
@@ -46,8 +46,8 @@
 	}
 }
 
-// takenBack finds the requests that were taken back in the same breath. Danger: hundreds of them would each be set up
-// at a server and cut again.
+// cancelledRequests finds the requests that are cancelled in the same batch of lines. Otherwise hundreds of them would
+// each be set up at a server and ended again.
 func cancelledRequests(list []In) map[uint64]bool {
 	var requested, cancelled map[uint64]bool
 	for _, in := range list {
@@ -68,11 +68,12 @@
 	return cancelled
 }
 
-// bad answers what can't be used. Without an id nobody could tell which request the answer is to: the connection goes.
+// reject answers invalid input. Without an id the client can't match the answer to a request: the connection is closed.
 func (p *Desk) reject(c *client, sid uint64, err error) {
 	p.Stats.BadLines++
 	p.Stats.LastBad = truncated(err)
-	reply := p.format(&wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseMalformed, Attrs: map[string]string{"error": truncated(err)}})
+	reply := p.format(&wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseMalformed,
+		Attrs: map[string]string{"error": truncated(err)}})
 	if sid == 0 {
 		p.closeConn(c, reply)
 		return
@@ -80,11 +81,13 @@
 	p.send(c, reply)
 }
 
+// truncated returns the first 100 bytes of the error's text.
 func truncated(err error) string {
 	text := err.Error()
 	return text[:min(len(text), 100)]
 }
 
+// handleLine handles a line that could be parsed.
 func (p *Desk) handleLine(c *client, read Time, line wire.Line, cancelled map[uint64]bool, inUse func(uint64) bool) {
 	switch line.Msg {
 	case wire.LineOpen:
@@ -97,8 +100,8 @@
 	case wire.LineClose:
 		s := p.sessions[line.Sid]
 		_, recently := p.recent[line.Sid]
-		// A session that stands is ended on any connection; a request is given up where it came. Danger: somebody else's
-		// word would take a request from a viewer that still waits for its answer.
+		// An established session may be ended on any connection; a request may be cancelled only on its own.
+		// Otherwise one client could cancel the request of another that still waits for its answer.
 		if s == nil && !recently || s != nil && !s.established && s.conn != c.id {
 			p.reject(c, line.Sid, errors.New("no such session"))
 			return
--- a/internal/platform/viewers/replies.go
+++ b/internal/platform/viewers/replies.go
@@ -8,27 +8,29 @@
 	"tealledge/policy"
 )
 
-// What viewers are told: answers, and the ends of sessions.
+// Messages to viewers: answers to requests, and the ends of sessions.
 
-// releaseBy is how long a session that is over waits for a connection on which that can be told.
+// releaseTimeout is how long the end of a session waits for a connection on which it can be sent.
 const releaseTimeout = 8 * policy.Second
 
+// format encodes a line; it returns nil for one that can't be encoded.
 func (p *Desk) format(line *wire.Line) []byte {
 	b, err := line.Append(nil)
-	if err != nil { // none of the front's own lines has no form, but for a description
+	if err != nil { // only a line with an invalid description can't be encoded
 		return nil
 	}
 	return b
 }
 
+// send writes bytes to a connection, unless it is closed.
 func (p *Desk) send(c *client, b []byte) {
 	if len(b) > 0 && !c.closed {
 		p.effects = append(p.effects, Effect{Conn: c.id, Bytes: b})
 	}
 }
 
-// Do carries out an effect of the core. Others than those about viewers are ignored. It gives false if the answer
-// could not be passed on, for a description that no line can carry: the session is to be ended.
+// Apply carries out an effect of the core. Effects that do not concern viewers are ignored. It returns false if an
+// answer could not be sent, as for a description that does not fit a line: the session must be ended.
 func (p *Desk) Do(now Time, effect front.Effect) bool {
 	p.now = now
 	switch e := effect.(type) {
@@ -48,7 +50,7 @@
 		}
 		delete(c.openRequests, e.Session)
 		s.established = true
-		c.sessionCount++
+		c.established++
 		p.send(c, b)
 	case front.Refused:
 		if c := p.closeRequest(e.Session); c != nil {
@@ -62,7 +64,7 @@
 		p.sendEnd(e.Session, wire.Line{Msg: wire.LineRelocate, Sid: e.Session})
 	case front.Over:
 		switch e.Why {
-		case front.WhyLeft: // at its server, by its viewer, who is owed no word
+		case front.WhyLeft: // its viewer ended it at the server and needs no message
 			p.forget(e.Session)
 		case front.WhyEnd:
 			p.sendEnd(e.Session, wire.Line{Msg: wire.LineClose, Sid: e.Session, Code: wire.CauseGivenUp})
@@ -73,7 +75,7 @@
 	return true
 }
 
-// closing forgets a request that is answered with no, and gives its connection.
+// closeRequest forgets a request that is refused or has failed, and returns its connection.
 func (p *Desk) closeRequest(sid uint64) *client {
 	s := p.sessions[sid]
 	if s == nil {
@@ -83,6 +85,7 @@
 	return p.conns[s.conn]
 }
 
+// refuse sends a refusal, with the time after which the client may retry if that is configured.
 func (p *Desk) refuse(c *client, sid uint64, after Time) {
 	line := wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseRefused}
 	if after > 0 && p.cfg.Settings.RetryAfter {
@@ -91,8 +94,8 @@
 	p.send(c, p.format(&line))
 }
 
-// tell ends a session that stood towards its viewer: on the connection of its set-up, or else on another on which
-// sessions stand, or else on the next that shows itself a viewer's.
+// sendEnd sends the end of an established session to its viewer: on the connection of its request, else on another one
+// with established sessions, else on the next connection that gets one.
 func (p *Desk) sendEnd(sid uint64, line wire.Line) {
 	s := p.sessions[sid]
 	if s == nil {
@@ -104,14 +107,16 @@
 	if c == nil || c.closed {
 		c = nil
 		for _, other := range p.conns {
-			if !other.closed && other.sessionCount > 0 && (c == nil || other.lastReceivedAt > c.lastReceivedAt || other.lastReceivedAt == c.lastReceivedAt && other.id < c.id) {
+			if !other.closed && other.established > 0 &&
+				(c == nil || other.lastReceivedAt > c.lastReceivedAt ||
+					other.lastReceivedAt == c.lastReceivedAt && other.id < c.id) {
 				c = other
 			}
 		}
 	}
 	if c == nil {
-		if len(p.pendingReleases) < maxRecent {
-			p.pendingReleases[sid] = pendingRelease{b, p.now + releaseTimeout}
+		if len(p.pendingRelease) < maxRecent {
+			p.pendingRelease[sid] = pendingRelease{b, p.now + releaseTimeout}
 		}
 		return
 	}
--- a/internal/platform/viewers/requests.go
+++ b/internal/platform/viewers/requests.go
@@ -11,9 +11,9 @@
 	"tealledge/policy"
 )
 
-// Set-ups: read whole, or answered with why not.
+// Requests: parsed completely, or answered with an error.
 
-// open takes a set-up.
+// handleOpen handles a request for a session.
 func (p *Desk) handleOpen(c *client, read Time, line wire.Line, inUse func(uint64) bool) {
 	ask, server, err := p.parseRequest(line)
 	s := p.sessions[line.Sid]
@@ -23,8 +23,8 @@
 		return
 	}
 	if s != nil || used || inUse(line.Sid) {
-		// Two requests under one id: neither can be told from the other on this connection. Elsewhere the first stays.
-		// An id that was in use a moment ago may still be at a server.
+		// Two requests with the same id can't be distinguished on this connection, so both end. A request on another
+		// connection continues. An id that was in use a moment ago may still be in use at a server.
 		p.Stats.BadAsks++
 		if s != nil && s.conn == c.id && c.openRequests[line.Sid] {
 			p.forget(line.Sid)
@@ -41,13 +41,14 @@
 	c.sentValidLine = true
 	if server != "" {
 		p.sessions[line.Sid] = &session{conn: c.id, established: true}
-		c.sessionCount++
-		p.pendingRestores[line.Sid] = pendingRestore{ask, server, p.now + restoreTimeout}
+		c.established++
+		p.pendingRestore[line.Sid] = pendingRestore{ask, server, p.now + restoreTimeout}
 		p.tryRestore(line.Sid)
 		return
 	}
 	if len(c.openRequests) >= p.cfg.OpenMost {
-		// Danger: one connection takes all that the front can hold. It was never begun: trying again is harmless.
+		// Otherwise one connection could use up the whole capacity of the front. The request was never started: a
+		// retry is harmless.
 		p.Stats.Crowded++
 		p.refuse(c, line.Sid, p.cfg.Settings.MaxRetry)
 		p.remember(line.Sid)
@@ -59,59 +60,60 @@
 	p.events = append(p.events, ask)
 }
 
-// listedBy is how long a session that is handed over waits for its server to be on the list: at a start the list that a front was
-// given may be older than the session.
+// restoreTimeout is how long a session to restore waits for its server to be listed: the list that a front gets at
+// its start may be older than the session.
 const restoreTimeout = 1500 * policy.Millisecond
 
-// early is a session handed over at a server that is not listed yet.
+// pendingRestore is a session to restore whose server is not listed yet.
 type pendingRestore struct {
 	ask      front.Ask
 	server   string
 	deadline Time
 }
 
-// adopt takes a session over once its server is listed. Danger: one whose server is not listed yet would be told over, or nobody
-// would ever hear of its end.
+// tryRestore restores a session once its server is listed. If it were not kept until then, its client would be told
+// that the session has ended, or nobody would ever be notified of its end.
 func (p *Desk) tryRestore(sid uint64) {
-	e := p.pendingRestores[sid]
+	e := p.pendingRestore[sid]
 	server, ok := p.cfg.Host(e.server)
 	switch {
 	case ok:
-		delete(p.pendingRestores, sid)
+		delete(p.pendingRestore, sid)
 		p.events = append(p.events, front.Adopt{Ask: e.ask, ID: sid, Server: server, Held: true})
-	case p.now >= e.deadline || len(p.pendingRestores) > maxRecent:
+	case p.now >= e.deadline || len(p.pendingRestore) > maxRecent:
 		p.sendEnd(sid, wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseReset})
 	}
 }
 
-// handedAgain takes a session that is held here already, which moves to the connection that it was named on; of one that is over
-// its client hears just that. Danger: taken for a second request under one id, a session that stands would be told over.
+// restoreAgain handles a request to restore a session that is already held: it moves to the connection of the
+// request. If the session has ended, the reply says so. Treated as a second request with the same id, an established
+// session would be reported as ended.
 func (p *Desk) restoreAgain(c *client, sid uint64, s *session) {
 	c.sentValidLine = true
 	if s == nil {
 		reply := p.format(&wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseReset})
-		if pending, found := p.pendingReleases[sid]; found { // this is the connection that its end waited for
+		if pending, found := p.pendingRelease[sid]; found { // its end was waiting for a connection
 			reply = pending.bytes
-			delete(p.pendingReleases, sid)
+			delete(p.pendingRelease, sid)
 		}
 		p.send(c, reply)
 		return
 	}
 	if old := p.conns[s.conn]; old != nil {
-		old.sessionCount--
+		old.established--
 	}
 	s.conn = c.id
-	c.sessionCount++
+	c.established++
 }
 
-// limits on the figures of a set-up; past them they are no figures of this platform.
+// Limits on the numbers in a request; larger ones are invalid on this platform.
 const (
 	maxWaitMs = 3_600_000 // ms
 	maxHintMs = 1e10      // ms
 	maxNumber = 10_000
 )
 
-// read checks a set-up whole.
+// parseRequest parses and validates a request. server is the name of the server of a session to restore, or empty.
 func (p *Desk) parseRequest(line wire.Line) (ask front.Ask, server string, err error) {
 	class, ok := p.classes[line.Attrs["class"]]
 	if !ok {
@@ -163,7 +165,7 @@
 			return ask, "", fmt.Errorf("extras %.32q", item)
 		}
 	}
-	if server == "" && (!waitOK || waitMs <= 0 || waitMs > maxWaitMs) { // what plays already waits for nothing
+	if server == "" && (!waitOK || waitMs <= 0 || waitMs > maxWaitMs) { // a playing session has no waiting time
 		return ask, "", fmt.Errorf("left %.32q", line.Attrs["left"])
 	}
 	ask.Wait = Time(max(waitMs, 0) * float64(policy.Millisecond))
--- a/internal/platform/viewers/restore_test.go
+++ b/internal/platform/viewers/restore_test.go
@@ -10,33 +10,34 @@
 	"tealledge/policy"
 )
 
-// handed is a set-up of a session that plays at a server already.
+// restoreLine is a request to restore a session that already plays at a server.
 func restoreLine(sid uint64, server string) string {
 	return openLine(sid, strings.Replace(usualAttrs, "again:1", "at:"+server, 1))
 }
 
-// One at a server that is on no list is answered in time, and begins nothing: before, at once; now as soon as the list had its
-// time to come.
+// A request to restore a session at a server that is never listed is refused, not at once but after restoreTimeout, and
+// starts nothing.
 func TestRestoreAtUnknownServerTimesOut(t *testing.T) {
 	r := newRig(t)
 	r.clientSends(1, restoreLine(5, "s-9"))
 	r.advance(restoreTimeout + 50*ms)
 	if l := r.lastLine(1); l.Msg != "close" || l.Sid != 5 || l.Code != wire.CauseReset || len(r.events) != 0 {
-		t.Errorf("answered %+v, begun %+v", l, r.events)
+		t.Errorf("reply %+v, events %+v", l, r.events)
 	}
-	if _, n, _, _ := r.p.Counts(); n != 0 || len(r.p.pendingRestores) != 0 {
-		t.Error("it is kept")
+	if _, n, _, _ := r.p.Counts(); n != 0 || len(r.p.pendingRestore) != 0 {
+		t.Error("the session is still held")
 	}
 }
 
-// The list that a front was given at its start is older than the session: its client was told that it is over.
+// The list that a front gets at its start may be older than the session: the client was notified of an end of its
+// session.
 func TestRestoreWaitsForServerToBeListed(t *testing.T) {
 	r := newRig(t)
 	listed := false
 	r.p.cfg.Host = func(string) (uint32, bool) { return 9, listed }
 	r.clientSends(1, restoreLine(5, "s-9"), restoreLine(6, "s-9"))
 	r.advance(500 * ms)
-	r.clientSends(1, closeLine(6)) // it ends meanwhile
+	r.clientSends(1, closeLine(6)) // its client ends it meanwhile
 	r.events = nil
 	listed = true
 	r.advance(50 * ms)
@@ -46,60 +47,62 @@
 	r.events = nil
 	r.advance(3 * policy.Second)
 	if len(r.written[1]) != 1 || len(r.events) != 0 {
-		t.Errorf("said %+v, begun %+v", r.written[1], r.events)
+		t.Errorf("written %+v, want only the reply to the close; events %+v, want none", r.written[1], r.events)
 	}
 }
 
-// A set-up may name what the front already holds: its client was told that the session is over while it played on.
+// A request may name a session that the front already holds: its client was notified of the end of a session that
+// still played.
 func TestRepeatedRestoreOfHeldSession(t *testing.T) {
 	r := newRig(t)
 	r.accept(2)
 	r.establish(1, 5)
 	r.clientSends(2, restoreLine(5, "s-7"))
 	if len(r.events) != 0 || len(r.written[2]) != 0 {
-		t.Fatalf("said %+v, begun %+v", r.written[2], r.events)
+		t.Fatalf("written %+v, events %+v; want none of both", r.written[2], r.events)
 	}
 	r.p.Lost(r.now, 1)
 	r.do(front.Over{Session: 5, Why: front.WhyEnd})
 	if l := r.lastLine(2); l.Msg != "close" || l.Sid != 5 || l.Code != wire.CauseGivenUp {
-		t.Errorf("its end: %+v", l)
+		t.Errorf("end of the session: %+v", l)
 	}
-	r.clientSends(2, restoreLine(5, "s-7")) // it crossed that word
+	r.clientSends(2, restoreLine(5, "s-7")) // it crossed the end
 	if l := r.lastLine(2); l.Msg != "close" || l.Sid != 5 || l.Code != wire.CauseReset || len(r.events) != 0 {
-		t.Errorf("%+v, begun %+v", l, r.events)
+		t.Errorf("reply %+v, events %+v", l, r.events)
 	}
 }
 
-// A connection with words that the owner has not heard is not closed for want of use, nor to make room: its request was closed on.
+// A connection with input that the owner has not handled yet must not be closed as unused, nor evicted: its request
+// would be lost.
 func TestKeepsConnectionWithPendingInput(t *testing.T) {
 	r := newRig(t)
 	pending := map[uint64]bool{1: true}
 	r.p.cfg.Quiet = func(conn uint64) bool { return !pending[conn] }
 	r.advance(10 * policy.Second)
 	if r.closed[1] {
-		t.Fatal("closed as silent")
+		t.Fatal("a connection with pending input was closed as silent")
 	}
-	for conn := uint64(2); conn <= 5; conn++ { // one more than are held
+	for conn := uint64(2); conn <= 5; conn++ { // one more than the limit
 		r.accept(conn)
 	}
 	if r.closed[1] || !reflect.DeepEqual(r.closed, map[uint64]bool{2: true}) {
-		t.Fatalf("closed to make room: %v", r.closed)
+		t.Fatalf("evicted %v, want only connection 2", r.closed)
 	}
 	pending[1] = false
 	r.advance(50 * ms)
 	if !r.closed[1] {
-		t.Error("it is kept for ever")
+		t.Error("the connection is not closed after its input was handled")
 	}
 	r.accept(6)
 	r.establish(6, 5)
 	pending[6] = true
 	r.do(front.Over{Session: 5, Why: front.WhyEnd})
 	if r.advance(10 * policy.Second); r.closed[6] {
-		t.Error("closed as idle")
+		t.Error("a connection with pending input was closed as idle")
 	}
 }
 
-// A limit that comes down, as servers join, is kept without a newcomer.
+// A limit that is lowered, as when servers join, is enforced without a new connection.
 func TestEvictsWhenLimitIsLowered(t *testing.T) {
 	r := newRig(t)
 	for conn := uint64(2); conn <= 4; conn++ {
@@ -108,6 +111,6 @@
 	r.p.Limit(2)
 	r.advance(50 * ms)
 	if !reflect.DeepEqual(r.closed, map[uint64]bool{1: true, 2: true}) {
-		t.Errorf("closed %v", r.closed)
+		t.Errorf("closed %v, want 1 and 2", r.closed)
 	}
 }
--- a/internal/platform/viewers/viewers.go
+++ b/internal/platform/viewers/viewers.go
@@ -1,9 +1,9 @@
-// Package viewers is the dialogue of one front with the operators' viewers: JSON lines over connections that each carry
-// many sessions. It is a pure state machine: lines that were read go in, and effects of the core; lines to write and
-// events for the core come out.
+// Package viewers implements the protocol of one front with the operators' viewers: JSON lines over connections that
+// each carry many sessions. It is a pure state machine: it takes the lines read and the effects of the core, and gives
+// lines to write and events for the core.
 //
-// Every line is checked here before anything of it reaches the core: whatever can't be used is answered with an error
-// or a close, at once, and costs no server anything.
+// Every line is validated here before any of it reaches the core: an invalid line is answered with an error, or its
+// connection is closed, at once and without work for any server.
 package viewers
 
 import (
@@ -13,112 +13,117 @@
 	"tealledge/policy"
 )
 
-// Time is a clock reading or span in nanoseconds.
+// Time is a point of time or a duration in nanoseconds.
 type Time = policy.Time
 
-// Config is what a desk is started with. Sizes bound what clients may cost.
+// Config holds the parameters of a Protocol. Its limits bound what clients may use up.
 type Config struct {
 	Settings policy.Settings
-	Classes  []string                    // names, by the module's numbers
-	Host     func(string) (uint32, bool) // a server's number
-	OpenMost int                         // requests without their answer on one connection
-	Silent   Time                        // a connection that never said anything is closed after
-	Half     Time                        // a line that stays half so long is an error
-	Idle     Time                        // a connection without sessions is closed after so long without a word
-	Quiet    func(conn uint64) bool      // whether nothing that came on a connection waits to be read or handed on; nil: nothing does
+	Classes  []string                    // class names, by the module's class numbers
+	Host     func(string) (uint32, bool) // returns a server's number by its name; false: not listed
+	OpenMost int                         // limit on unanswered requests on one connection
+	Silent   Time                        // a connection without a valid line is closed after this time
+	Half     Time                        // a line incomplete for this long is an error
+	Idle     Time                        // a connection without sessions and requests is closed after this silence
+	Quiet    func(conn uint64) bool      // whether no input of a connection waits to be handled; nil: none does
 }
 
-// recentFor is how long the ids of sessions that are over are known, so that words that cross are not taken for bad ones.
+// The ids of ended sessions are kept for recentTTL, so that messages that cross the end are not rejected as invalid.
 const (
 	recentTTL = 5 * policy.Second
 	maxRecent = 8192
 )
 
-// Act is what the shell is to do with a connection: write, then close if Close is set.
+// Effect is an operation that the shell carries out on a connection: write Bytes, then close it if Close is set.
 type Effect struct {
 	Conn  uint64
 	Bytes []byte
 	Close bool
 }
 
-// Desk holds the dialogues with all viewers.
+// Protocol holds the protocol state of all viewers.
 type Desk struct {
-	cfg             Config
-	now             Time
-	classes         map[string]int
-	conns           map[uint64]*client
-	sessions        map[uint64]*session
-	pendingReleases map[uint64]pendingRelease // releases that no connection could carry
-	pendingRestores map[uint64]pendingRestore
-	recent          map[uint64]Time
-	recentOrder     []uint64 // of recent
-	maxConns        int      // connections held
-	effects         []Effect
-	events          []front.Event
-	Stats           Stats
+	cfg            Config
+	now            Time
+	classes        map[string]int
+	conns          map[uint64]*client
+	sessions       map[uint64]*session
+	pendingRelease map[uint64]pendingRelease // ends of sessions that no connection could carry yet
+	pendingRestore map[uint64]pendingRestore
+	recent         map[uint64]Time
+	recentOrder    []uint64 // keys of recent, oldest first
+	maxConns       int      // limit on connections
+	effects        []Effect
+	events         []front.Event
+	Stats          Stats
 }
 
-// Stats counts what viewers did.
+// Stats counts events of viewers and their connections.
 type Stats struct {
 	Accepted, Evicted, Silent, Idle, BadLines, BadAsks, Crowded, TakenBack uint64
-	LastBad                                                                string // why the last one was bad
+	LastBad                                                                string // error of the last invalid line
 }
 
+// client is a connection of a viewer.
 type client struct {
 	id             uint64
 	connectedAt    Time // when it connected
 	lastReceivedAt Time
-	sentValidLine  bool // a line that could be used
+	sentValidLine  bool // at least one valid line was received
 	openRequests   map[uint64]bool
-	sessionCount   int
+	established    int
 	partialSince   Time
 	closed         bool
 }
 
+// session is a request or, once established, a session.
 type session struct {
 	conn        uint64
 	established bool
 }
 
+// pendingRelease is the encoded end of a session, waiting for a connection until it expires.
 type pendingRelease struct {
 	bytes     []byte
 	expiresAt Time
 }
 
-// New makes a desk without connections.
+// New returns a Protocol without connections.
 func New(cfg Config) *Desk {
 	p := &Desk{cfg: cfg, classes: map[string]int{}, conns: map[uint64]*client{}, sessions: map[uint64]*session{},
-		pendingReleases: map[uint64]pendingRelease{}, pendingRestores: map[uint64]pendingRestore{}, recent: map[uint64]Time{}, maxConns: math.MaxInt}
+		pendingRelease: map[uint64]pendingRelease{}, pendingRestore: map[uint64]pendingRestore{},
+		recent: map[uint64]Time{}, maxConns: math.MaxInt}
 	for i, name := range cfg.Classes {
 		p.classes[name] = i
 	}
 	return p
 }
 
-// Take gives what has come up since the last call.
+// Take returns the effects and events since the last call.
 func (p *Desk) Take() ([]Effect, []front.Event) {
 	effects, events := p.effects, p.events
 	p.effects, p.events = nil, nil
 	return effects, events
 }
 
-// over forgets a session; its id is known a little longer.
+// forget removes a session; its id is kept in recent.
 func (p *Desk) forget(sid uint64) {
 	s := p.sessions[sid]
 	if s == nil {
 		return
 	}
 	delete(p.sessions, sid)
-	delete(p.pendingRestores, sid)
+	delete(p.pendingRestore, sid)
 	if c := p.conns[s.conn]; c != nil {
 		delete(c.openRequests, sid)
 		if s.established {
-			c.sessionCount--
+			c.established--
 		}
 	}
 	p.remember(sid)
 }
 
+// remember keeps the id of an ended session for recentTTL, and at most maxRecent ids.
 func (p *Desk) remember(sid uint64) {
 	if _, known := p.recent[sid]; !known {
 		p.recentOrder = append(p.recentOrder, sid)
@@ -130,7 +135,7 @@
 	}
 }
 
-// Conn gives the connection on which a request waits for its answer.
+// RequestConn returns the connection on which a request waits for its answer.
 func (p *Desk) Conn(session uint64) (conn uint64, ok bool) {
 	s := p.sessions[session]
 	if s == nil || s.established {
@@ -139,7 +144,7 @@
 	return s.conn, true
 }
 
-// Counts tells how many connections, sessions, ids of ended sessions and releases owed the desk holds.
-func (p *Desk) Counts() (conns, sessions, recent, owed int) {
-	return len(p.conns), len(p.sessions), len(p.recent), len(p.pendingReleases)
+// Counts returns the numbers of connections, sessions, ids of ended sessions and pending releases held.
+func (p *Desk) Counts() (conns, sessions, recent, pendingRelease int) {
+	return len(p.conns), len(p.sessions), len(p.recent), len(p.pendingRelease)
 }
--- a/internal/platform/viewers/viewers_test.go
+++ b/internal/platform/viewers/viewers_test.go
@@ -24,12 +24,13 @@
 	written map[uint64][]wire.Line
 	closed  map[uint64]bool
 	events  []front.Event
-	inUse   map[uint64]bool // ids that the core still has a use for
+	inUse   map[uint64]bool // ids that the core still uses
 }
 
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, now: start, written: map[uint64][]wire.Line{}, closed: map[uint64]bool{}, inUse: map[uint64]bool{}}
-	r.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetry: policy.Second}, Classes: []string{"live", "paid"},
+	r.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetry: policy.Second},
+		Classes:  []string{"live", "paid"},
 		Host:     func(name string) (uint32, bool) { return 7, name == "s-7" },
 		OpenMost: 3, Silent: 2 * policy.Second, Half: 2 * policy.Second, Idle: 6 * policy.Second})
 	r.p.Limit(4)
@@ -44,7 +45,7 @@
 			if b == "" {
 				continue
 			}
-			l, _ := wire.ParseLine([]byte(strings.TrimSuffix(b, "\n"))) // an error to nobody has no id
+			l, _ := wire.ParseLine([]byte(strings.TrimSuffix(b, "\n"))) // an error reply without a session has no id
 			r.written[a.Conn] = append(r.written[a.Conn], l)
 		}
 		if a.Close {
@@ -91,14 +92,14 @@
 	return fmt.Sprintf(`{"msg":"close","sid":"%016x","attrs":{},"code":16}`, sid)
 }
 
-// stands has a session stand.
+// establish establishes a session.
 func (r *rig) establish(conn, sid uint64) {
 	r.clientSends(conn, openLine(sid, usualAttrs))
 	r.do(front.Plays{Session: sid, Text: "mine"})
 	r.events = nil
 }
 
-// last gives the last line on a connection.
+// lastLine returns the last line written on a connection.
 func (r *rig) lastLine(conn uint64) wire.Line {
 	if list := r.written[conn]; len(list) > 0 {
 		return list[len(list)-1]
@@ -109,7 +110,8 @@
 func TestParsesRequest(t *testing.T) {
 	r := newRig(t)
 	r.clientSends(1, openLine(5, usualAttrs))
-	want := front.Ask{Player: 1, Read: start, Wait: 1500 * ms, Title: 0x7f3a9c21e0b4d655, Home: 4, Copies: 3, Name: "7f3a9c21e0b4d655",
+	want := front.Ask{Player: 1, Read: start, Wait: 1500 * ms, Title: 0x7f3a9c21e0b4d655, Home: 4, Copies: 3,
+		Name:  "7f3a9c21e0b4d655",
 		Class: 1, Viewer: 0xb4d65521, Top: 4, Length: 8200 * ms, Hinted: true, Again: true, ID: 5, Text: "who\r\n"}
 	if !reflect.DeepEqual(r.events, []front.Event{want}) {
 		t.Fatalf("%+v", r.events)
@@ -118,12 +120,13 @@
 	if a := r.events[1].(front.Ask); a.Hinted || a.Again || a.Wait != 300*ms {
 		t.Errorf("%+v", a)
 	}
-	r.clientSends(1, openLine(7, strings.Replace(strings.Replace(usualAttrs, "again:1", "at:s-7", 1), `"1500"`, `"0"`, 1)))
+	r.clientSends(1, openLine(7, strings.Replace(strings.Replace(usualAttrs, "again:1", "at:s-7", 1),
+		`"1500"`, `"0"`, 1)))
 	if a, ok := r.events[2].(front.Adopt); !ok || a.ID != 7 || a.Server != 7 || !a.Held {
 		t.Errorf("%+v", r.events[2])
 	}
 	if len(r.written[1]) != 0 {
-		t.Error("answered:", r.written[1])
+		t.Error("unexpected reply:", r.written[1])
 	}
 }
 
@@ -133,19 +136,20 @@
 		r.clientSends(1, openLine(sid, usualAttrs))
 	}
 	if !r.do(front.Plays{Session: 5, Text: "mine"}) {
-		t.Fatal("not passed on")
+		t.Fatal("answer not sent")
 	}
 	r.do(front.Refused{Session: 6, After: 850*ms - 1})
 	r.do(front.Failed{Session: 7})
-	r.do(front.Failed{Session: 7}) // no second answer leaves
+	r.do(front.Failed{Session: 7}) // no second answer is sent
 	want := []wire.Line{{Msg: "ready", Sid: 5, Attrs: map[string]string{}, Text: "mine"},
-		{Msg: "close", Sid: 6, Code: 42, Attrs: map[string]string{"wait": "850"}}, {Msg: "close", Sid: 7, Code: 47, Attrs: map[string]string{}}}
+		{Msg: "close", Sid: 6, Code: 42, Attrs: map[string]string{"wait": "850"}},
+		{Msg: "close", Sid: 7, Code: 47, Attrs: map[string]string{}}}
 	if !reflect.DeepEqual(r.written[1], want) {
 		t.Fatalf("%+v", r.written[1])
 	}
 	r.clientSends(1, openLine(8, usualAttrs))
 	if r.do(front.Plays{Session: 8, Text: "\xff"}) || r.lastLine(1).Msg != "close" {
-		t.Error("a description that no line can carry:", r.lastLine(1))
+		t.Error("want a close for a description that is not UTF-8, got", r.lastLine(1))
 	}
 }
 
@@ -166,7 +170,7 @@
 			t.Errorf("%+v: %s, want %s", c.effect, got, c.want)
 		}
 		if _, n, _, _ := r.p.Counts(); n != 0 {
-			t.Error("it is kept")
+			t.Error("the session is still held")
 		}
 	}
 }
@@ -184,11 +188,11 @@
 	r.p.Lost(r.now, 1)
 	r.take()
 	if len(r.events) != 0 {
-		t.Error("its connection took it along:", r.events)
+		t.Error("the session ended with its connection:", r.events)
 	}
 	r.do(front.Over{Session: 6, Why: front.WhyLost})
 	if l := r.lastLine(2); l.Msg != "close" || l.Sid != 6 {
-		t.Errorf("its viewer was not told: %+v", l)
+		t.Errorf("its end was not sent on the other connection: %+v", l)
 	}
 	r.p.Lost(r.now, 2)
 	r.do(front.Over{Session: 7, Why: front.WhyEnd})
@@ -196,7 +200,7 @@
 	r.establish(3, 8)
 	r.advance(50 * ms)
 	if l := r.lastLine(3); l.Msg != "close" || l.Sid != 7 {
-		t.Errorf("nor on the next connection: %+v", l)
+		t.Errorf("its end was not sent on the next connection: %+v", l)
 	}
 }
 
@@ -208,16 +212,16 @@
 		t.Fatalf("%+v", r.events)
 	}
 	r.events = nil
-	r.clientSends(1, closeLine(5)) // it crossed an answer: no second one
+	r.clientSends(1, closeLine(5)) // it crossed the reply: no second event
 	if len(r.events) != 0 || r.lastLine(1).Msg != "closed" {
 		t.Errorf("%+v %+v", r.events, r.lastLine(1))
 	}
-	r.clientSends(1, openLine(6, usualAttrs), openLine(7, usualAttrs), closeLine(6)) // taken back in the same breath: never begun
+	r.clientSends(1, openLine(6, usualAttrs), openLine(7, usualAttrs), closeLine(6)) // cancelled in the same batch
 	if len(r.events) != 1 || r.events[0].(front.Ask).ID != 7 || r.p.Stats.TakenBack != 1 {
 		t.Errorf("%+v", r.events)
 	}
 	r.events = nil
-	r.p.Lost(r.now, 1) // 7 is given up with its connection
+	r.p.Lost(r.now, 1) // request 7 is abandoned with its connection
 	r.take()
 	if !reflect.DeepEqual(r.events, []front.Event{front.Leave{Session: 7}}) {
 		t.Errorf("%+v", r.events)
@@ -229,38 +233,38 @@
 		"unknown class":        openLine(5, strings.Replace(usualAttrs, "paid", "gold", 1)),
 		"no title":             openLine(5, `"class":"paid","left":"1500"`),
 		"no time":              openLine(5, strings.Replace(usualAttrs, `"1500"`, `"0"`, 1)),
-		"time below nothing":   openLine(5, strings.Replace(usualAttrs, `"1500"`, `"-5"`, 1)),
-		"time is no number":    openLine(5, strings.Replace(usualAttrs, `"1500"`, `"NaN"`, 1)),
-		"time past all bounds": openLine(5, strings.Replace(usualAttrs, `"1500"`, `"1e11"`, 1)),
-		"hint is no number":    openLine(5, strings.Replace(usualAttrs, `8200.0`, `inf`, 1)),
+		"negative time":        openLine(5, strings.Replace(usualAttrs, `"1500"`, `"-5"`, 1)),
+		"time is not a number": openLine(5, strings.Replace(usualAttrs, `"1500"`, `"NaN"`, 1)),
+		"time too large":       openLine(5, strings.Replace(usualAttrs, `"1500"`, `"1e11"`, 1)),
+		"hint is not finite":   openLine(5, strings.Replace(usualAttrs, `8200.0`, `inf`, 1)),
 		"home out of range":    openLine(5, strings.Replace(usualAttrs, `home:4`, `home:12`, 1)),
-		"home below nothing":   openLine(5, strings.Replace(usualAttrs, `home:4`, `home:-1`, 1)),
+		"negative home":        openLine(5, strings.Replace(usualAttrs, `home:4`, `home:-1`, 1)),
 		"no copies":            openLine(5, strings.Replace(usualAttrs, `copies:3`, `copies:0`, 1)),
-		"top past all bounds":  openLine(5, strings.Replace(usualAttrs, `top:4`, `top:99999999999`, 1)),
-		"viewer no hex":        openLine(5, strings.Replace(usualAttrs, `viewer:0`, `viewer:z`, 1)),
+		"top too large":        openLine(5, strings.Replace(usualAttrs, `top:4`, `top:99999999999`, 1)),
+		"viewer is not hex":    openLine(5, strings.Replace(usualAttrs, `viewer:0`, `viewer:z`, 1)),
 		"no extras":            openLine(5, `"class":"paid","left":"1500","key":"7f3a9c21e0b4d655"`),
 		"no description":       fmt.Sprintf(`{"msg":"open","sid":"%016x","attrs":{%s}}`, 5, usualAttrs),
 		"unknown session":      closeLine(5),
 		"a front's message":    `{"msg":"ready","sid":"0000000000000005"}`,
-		"no message":           `{"msg":"dance","sid":"0000000000000005"}`,
+		"unknown message":      `{"msg":"dance","sid":"0000000000000005"}`,
 	} {
 		r := newRig(t)
 		r.clientSends(1, line)
 		if l := r.lastLine(1); l.Msg != "close" || l.Sid != 5 || l.Code != wire.CauseMalformed || len(r.events) != 0 {
-			t.Errorf("%s: answered %+v, begun %+v", name, l, r.events)
+			t.Errorf("%s: reply %+v, events %+v", name, l, r.events)
 		}
 	}
 	for name, line := range map[string]string{"no id": `{"msg":"open","attrs":{}}`, "no JSON": "hello"} {
 		r := newRig(t)
 		r.clientSends(1, line, openLine(5, usualAttrs))
 		if !r.closed[1] || len(r.events) != 0 || len(r.written[1]) != 1 {
-			t.Errorf("%s: closed %v, begun %+v, wrote %+v", name, r.closed[1], r.events, r.written[1])
+			t.Errorf("%s: closed %v, events %+v, written %+v", name, r.closed[1], r.events, r.written[1])
 		}
 	}
 	r := newRig(t)
 	r.p.Received(r.now, r.now, 1, nil, fmt.Errorf("too long"), false, nil)
 	if r.take(); !r.closed[1] {
-		t.Error("a stream that can't be read is left open")
+		t.Error("a connection with an unreadable stream is left open")
 	}
 }
 
@@ -274,21 +278,21 @@
 		}
 	}
 	if requests != 1 || !reflect.DeepEqual(r.events[len(r.events)-1], front.Leave{Session: 5}) {
-		t.Errorf("%d begun: %+v", requests, r.events)
+		t.Errorf("%d requests started: %+v", requests, r.events)
 	}
 	r = newRig(t)
 	r.accept(2)
 	r.clientSends(1, openLine(5, usualAttrs))
-	r.clientSends(2, openLine(5, usualAttrs)) // somebody else's: the first stays
+	r.clientSends(2, openLine(5, usualAttrs)) // another client uses the id: the first request continues
 	if len(r.events) != 1 || r.lastLine(2).Code != wire.CauseMalformed || len(r.written[1]) != 0 {
 		t.Errorf("%+v %+v", r.events, r.lastLine(2))
 	}
 	r.events = nil
-	r.clientSends(2, openLine(5, usualAttrs), closeLine(5)) // nor is it taken back by others
+	r.clientSends(2, openLine(5, usualAttrs), closeLine(5)) // nor can another client cancel it
 	if len(r.events) != 0 {
 		t.Errorf("%+v", r.events)
 	}
-	r.inUse[9] = true // a set-up of it is still being taken back
+	r.inUse[9] = true // a set-up with this id is still being abandoned
 	r.clientSends(1, openLine(9, usualAttrs))
 	if len(r.events) != 0 {
 		t.Errorf("%+v", r.events)
@@ -317,7 +321,7 @@
 	}
 	r.p.Lost(r.now, 1)
 	r.advance(10 * policy.Second)
-	if conns, sessions, recent, owed := r.p.Counts(); conns+sessions+recent+owed+len(r.p.recentOrder) != 0 {
-		t.Error(conns, sessions, recent, owed, len(r.p.recentOrder))
+	if conns, sessions, recent, pendingReleases := r.p.Counts(); conns+sessions+recent+pendingReleases+len(r.p.recentOrder) != 0 {
+		t.Error(conns, sessions, recent, pendingReleases, len(r.p.recentOrder))
 	}
 }
