--- a/internal/platform/servers/connections.go
+++ b/internal/platform/servers/connections.go
@@ -10,47 +10,48 @@
 // Connections: opened on demand, replaced, and evicted when descriptors run out.
 
 // retire marks a connection so that it takes nothing new.
-func (p *Desk) retire(peer *peer, c *conn) {
+func (p *Desk) retire(remote *peer, c *conn) {
 	c.retired = true
-	if peer.current == c {
-		peer.current = nil
+	if remote.current == c {
+		remote.current = nil
 	}
-	p.ensureConn(peer)
+	p.ensureConn(remote)
 }
 
 // ensureConn opens a connection if there is anything to send or receive.
-func (p *Desk) ensureConn(peer *peer) {
-	if peer.current == nil && (len(peer.unsent) > 0 || len(peer.sessions) > 0 || len(peer.pendingReleases) > 0 ||
-		peer.probePending) {
-		p.dial(peer, len(peer.unsent) > 0 || peer.probePending)
+func (p *Desk) ensureConn(remote *peer) {
+	if remote.current == nil && (len(remote.unsent) > 0 || len(remote.sessions) > 0 ||
+		len(remote.pendingReleases) > 0 ||
+		remote.probePending) {
+		p.dial(remote, len(remote.unsent) > 0 || remote.probePending)
 	}
 }
 
 // dial opens a connection, unless one is being opened. With immediate set it skips the delay after a failure.
-func (p *Desk) dial(peer *peer, immediate bool) {
-	if peer.dialing != 0 || !immediate && p.now < peer.redialAt {
+func (p *Desk) dial(remote *peer, immediate bool) {
+	if remote.dialing != 0 || !immediate && p.now < remote.redialAt {
 		return
 	}
 	for p.openConns >= p.maxConns {
-		if p.evictConn(peer, immediate) {
+		if p.evictConn(remote, immediate) {
 			continue
 		}
 		// A connect without a descriptor would look like an unreachable server. Unsent set-ups are reported as never
 		// sent.
 		p.Stats.Crowded++
-		p.giveTurn(peer)
-		peer.redialAt = p.now + minRedialDelay
-		p.failUnsent(peer, fate.Withdrawn)
-		if peer.probePending {
-			peer.probePending = false
-			p.events = append(p.events, front.Probed{Server: peer.server, Status: policy.Moot})
+		p.giveTurn(remote)
+		remote.redialAt = p.now + minRedialDelay
+		p.failUnsent(remote, fate.Withdrawn)
+		if remote.probePending {
+			remote.probePending = false
+			p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.Moot})
 		}
 		return
 	}
 	p.openConns++
 	p.Stats.Dialed++
-	peer.dialing = p.Stats.Dialed
-	p.effects = append(p.effects, Effect{Server: peer.server, Conn: peer.dialing, Dial: peer.addr,
+	remote.dialing = p.Stats.Dialed
+	p.effects = append(p.effects, Effect{Server: remote.server, Conn: remote.dialing, Dial: remote.addr,
 		Within: p.cfg.Connect})
 }
 
@@ -60,12 +61,12 @@
 func (p *Desk) evictConn(except *peer, urgent bool) bool {
 	var victim *conn
 	var owner *peer
-	for _, peer := range p.peers { // half-closed ones go first: at once if urgent, else after a short wait
-		for _, c := range peer.conns {
+	for _, remote := range p.peers { // half-closed ones go first: at once if urgent, else after a short wait
+		for _, c := range remote.conns {
 			if c.writeClosedAt != 0 && (urgent || p.now-c.writeClosedAt >= minRedialDelay) &&
 				(victim == nil || c.writeClosedAt < victim.writeClosedAt ||
 					c.writeClosedAt == victim.writeClosedAt && c.id < victim.id) {
-				victim, owner = c, peer
+				victim, owner = c, remote
 			}
 		}
 	}
@@ -73,18 +74,18 @@
 		p.removeConn(owner, victim, victim.sentBytes)
 		return true
 	}
-	for _, peer := range p.peers {
-		if peer == except || peer.dialing != 0 || len(peer.unsent) > 0 || len(peer.sessions) > 0 && !urgent {
+	for _, remote := range p.peers {
+		if remote == except || remote.dialing != 0 || len(remote.unsent) > 0 || len(remote.sessions) > 0 && !urgent {
 			continue
 		}
-		for _, c := range peer.conns {
+		for _, c := range remote.conns {
 			if len(c.inFlight)+len(c.probes) > 0 {
 				continue
 			}
-			if victim == nil || len(peer.sessions) < len(owner.sessions) ||
-				len(peer.sessions) == len(owner.sessions) && (c.lastReadAt < victim.lastReadAt ||
+			if victim == nil || len(remote.sessions) < len(owner.sessions) ||
+				len(remote.sessions) == len(owner.sessions) && (c.lastReadAt < victim.lastReadAt ||
 					c.lastReadAt == victim.lastReadAt && c.id < victim.id) {
-				victim, owner = c, peer
+				victim, owner = c, remote
 			}
 		}
 	}
@@ -99,36 +100,37 @@
 // Connected handles the opening of a connection.
 func (p *Desk) Connected(now Time, server uint32, connID uint64) {
 	p.now = now
-	peer := p.peers[server]
-	if peer == nil || peer.dialing != connID {
+	remote := p.peers[server]
+	if remote == nil || remote.dialing != connID {
 		p.effects = append(p.effects, Effect{Server: server, Conn: connID, Close: true})
 		p.openConns-- // its server was removed, or dials another connection
 		return
 	}
-	peer.dialing, peer.refusedDials, peer.timedOutDials = 0, 0, 0
-	previous := peer.current
-	c := &conn{id: connID, inFlight: map[uint64]*attempt{}, probes: map[uint64]Time{}, connectedAt: now, lastReadAt: now}
-	peer.conns[connID], peer.current = c, c
+	remote.dialing, remote.refusedDials, remote.timedOutDials = 0, 0, 0
+	previous := remote.current
+	c := &conn{id: connID, inFlight: map[uint64]*attempt{}, probes: map[uint64]Time{}, connectedAt: now,
+		lastReadAt: now}
+	remote.conns[connID], remote.current = c, c
 	if previous != nil {
 		previous.retired = true
 	}
-	for _, id := range sorted(peer.pendingReleases) {
-		p.send(peer, c, (&wire.Message{Type: wire.Release, Session: id}).AddCause(wire.CauseGivenUp))
+	for _, id := range sorted(remote.pendingReleases) {
+		p.send(remote, c, (&wire.Message{Type: wire.Release, Session: id}).AddCause(wire.CauseGivenUp))
 	}
-	clear(peer.pendingReleases)
-	for _, id := range sorted(peer.sessions) {
-		if a := peer.sessions[id]; a.rungPending {
-			p.sendRung(peer, a)
+	clear(remote.pendingReleases)
+	for _, id := range sorted(remote.sessions) {
+		if a := remote.sessions[id]; a.rungPending {
+			p.sendRung(remote, a)
 		}
 	}
-	waiting := peer.unsent
-	peer.unsent = nil
+	waiting := remote.unsent
+	remote.unsent = nil
 	for _, a := range waiting {
-		p.sendSetup(peer, a)
+		p.sendSetup(remote, a)
 	}
-	if peer.probePending && peer.current != nil {
-		peer.probePending = false
-		p.sendProbe(peer)
+	if remote.probePending && remote.current != nil {
+		remote.probePending = false
+		p.sendProbe(remote)
 	}
 }
 
@@ -145,52 +147,52 @@
 // DialFailed handles a failed connect.
 func (p *Desk) DialFailed(now Time, server uint32, connID uint64, why Failure) {
 	p.now = now
-	peer := p.peers[server]
+	remote := p.peers[server]
 	p.openConns--
-	if peer == nil || peer.dialing != connID {
+	if remote == nil || remote.dialing != connID {
 		return
 	}
-	peer.dialing = 0
+	remote.dialing = 0
 	switch why {
 	case Refused:
 		p.Stats.Refused++
-		peer.refusedDials, peer.timedOutDials = peer.refusedDials+1, 0
+		remote.refusedDials, remote.timedOutDials = remote.refusedDials+1, 0
 	case Unanswered:
 		p.Stats.Unanswered++
-		peer.timedOutDials, peer.refusedDials = peer.timedOutDials+1, 0
+		remote.timedOutDials, remote.refusedDials = remote.timedOutDials+1, 0
 	case Broke:
 		p.Stats.Broke++
 	}
-	peer.redialAt = now + min(minRedialDelay<<min(max(peer.refusedDials, peer.timedOutDials,
+	remote.redialAt = now + min(minRedialDelay<<min(max(remote.refusedDials, remote.timedOutDials,
 		maxTimedOutDials)-maxTimedOutDials, 8), maxRedialDelay)
-	p.failUnsent(peer, fate.DialRefused)
-	if peer.probePending {
-		peer.probePending = false
+	p.failUnsent(remote, fate.DialRefused)
+	if remote.probePending {
+		remote.probePending = false
 		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect,
-			Took: now - peer.probeRequestedAt})
+			Took: now - remote.probeRequestedAt})
 	}
 	// A server also refuses connects at its limit and while it drains: if it is listed and still has a connection, a
 	// probe is sent there. An open connection alone does not prove that the process runs.
 	switch {
-	case peer.timedOutDials >= maxTimedOutDials, peer.refusedDials >= maxRefusedDials &&
-		(peer.removed || len(peer.conns) == 0):
-		p.endSessions(peer)
-	case peer.refusedDials >= maxRefusedDials && peer.current != nil && peer.current.checkSentAt == 0:
-		peer.current.checkSentAt = now
-		p.sendProbe(peer)
+	case remote.timedOutDials >= maxTimedOutDials, remote.refusedDials >= maxRefusedDials &&
+		(remote.removed || len(remote.conns) == 0):
+		p.endSessions(remote)
+	case remote.refusedDials >= maxRefusedDials && remote.current != nil && remote.current.checkSentAt == 0:
+		remote.current.checkSentAt = now
+		p.sendProbe(remote)
 	}
 }
 
 // Lost handles the end of a connection. begun is an upper bound of the bytes handed to the kernel.
 func (p *Desk) Lost(now Time, server uint32, connID uint64, begun uint64) {
 	p.now = now
-	peer := p.peers[server]
-	if peer == nil {
+	remote := p.peers[server]
+	if remote == nil {
 		return
 	}
-	if c := peer.conns[connID]; c != nil {
+	if c := remote.conns[connID]; c != nil {
 		p.Stats.Lost++
-		p.dropConn(peer, c, begun)
+		p.dropConn(remote, c, begun)
 	}
 }
 
@@ -198,9 +200,9 @@
 // closes its side. A full close would lose messages that the server is just sending there, and only there, about
 // established sessions; their viewers would never be notified. The cost: the descriptor is held for up to
 // halfCloseTimeout.
-func (p *Desk) closeWrite(peer *peer, c *conn) {
+func (p *Desk) closeWrite(remote *peer, c *conn) {
 	c.writeClosedAt = p.now
-	p.effects = append(p.effects, Effect{Server: peer.server, Conn: c.id, Finish: true})
+	p.effects = append(p.effects, Effect{Server: remote.server, Conn: c.id, Finish: true})
 }
 
 // eachConn iterates over the connections in order of their numbers. The loop body may close connections of the same
@@ -214,46 +216,46 @@
 }
 
 // dropConn closes a connection, ends what was open on it, and opens another if one is needed.
-func (p *Desk) dropConn(peer *peer, c *conn, begun uint64) {
-	p.removeConn(peer, c, begun)
-	p.ensureConn(peer)
+func (p *Desk) dropConn(remote *peer, c *conn, begun uint64) {
+	p.removeConn(remote, c, begun)
+	p.ensureConn(remote)
 }
 
 // removeConn closes a connection and ends what was open on it.
-func (p *Desk) removeConn(peer *peer, c *conn, begun uint64) {
-	delete(peer.conns, c.id)
+func (p *Desk) removeConn(remote *peer, c *conn, begun uint64) {
+	delete(remote.conns, c.id)
 	p.openConns--
-	if peer.current == c {
-		peer.current = nil
+	if remote.current == c {
+		remote.current = nil
 	}
-	p.effects = append(p.effects, Effect{Server: peer.server, Conn: c.id, Close: true})
+	p.effects = append(p.effects, Effect{Server: remote.server, Conn: c.id, Close: true})
 	for _, id := range sorted(c.inFlight) {
 		a := c.inFlight[id]
 		switch {
-		case begun < a.endOffset && !a.retried && !peer.draining && !peer.removed:
+		case begun < a.end && !a.retried && !remote.draining && !remote.removed:
 			// A server runs only complete set-ups: this one was not sent whole, and waits for the next connection,
 			// once.
 			p.Stats.Again++
 			delete(c.inFlight, id)
 			a.retried, a.conn = true, nil
-			peer.unsent = append(peer.unsent, a)
-		case begun < a.endOffset:
+			remote.unsent = append(remote.unsent, a)
+		case begun < a.end:
 			p.end(a, fate.Of(fate.Partly, fate.Broke, 0), nil)
 		default:
 			p.end(a, fate.Of(fate.Written, fate.Broke, 0), nil)
 		}
 	}
 	for _, id := range sorted(c.probes) {
-		p.events = append(p.events, front.Probed{Server: peer.server, Status: policy.ResetConn,
+		p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.ResetConn,
 			Took: p.now - c.probes[id]})
 	}
 	clear(c.probes)
 	if p.now-c.connectedAt < policy.Second { // prevents a reconnect loop when connections end at once
-		peer.redialAt = max(peer.redialAt, p.now+minRedialDelay)
+		remote.redialAt = max(remote.redialAt, p.now+minRedialDelay)
 	}
-	if len(peer.sessions) > 0 && p.addressReused(peer) { // the server at its address now does not know them
-		for _, id := range sorted(peer.sessions) {
-			p.end(peer.sessions[id], policy.ResetConn, nil)
+	if len(remote.sessions) > 0 && p.addressReused(remote) { // the server at its address now does not know them
+		for _, id := range sorted(remote.sessions) {
+			p.end(remote.sessions[id], policy.ResetConn, nil)
 		}
 	}
 }
--- a/internal/platform/servers/connections_test.go
+++ b/internal/platform/servers/connections_test.go
@@ -102,8 +102,10 @@
 	}
 	r.take()
 	conn := r.connect() // its messages arrive on any connection
-	r.serverSends(conn, (&wire.Message{Type: wire.Note, Session: 5}).Add(wire.ParamNote, "profile").Add(wire.ParamFigure, "3"))
-	if want := []front.Event{front.Note{Session: 5, Kind: policy.NoteRung, Value: 3}}; !reflect.DeepEqual(r.events, want) {
+	r.serverSends(conn, (&wire.Message{Type: wire.Note, Session: 5}).Add(wire.ParamNote,
+		"profile").Add(wire.ParamFigure, "3"))
+	if want := []front.Event{front.Note{Session: 5, Kind: policy.NoteRung, Value: 3}}; !reflect.DeepEqual(r.events,
+		want) {
 		t.Fatalf("%+v", r.events)
 	}
 	r.events = nil
--- a/internal/platform/servers/invariants_test.go
+++ b/internal/platform/servers/invariants_test.go
@@ -14,18 +14,18 @@
 // simulation plays shell, core, server list and servers in any order of events, and checks what the Protocol does.
 type simulation struct {
 	*rapid.T
-	p          *Desk
-	now        Time
-	maxConns   int
-	open       int
-	dials      []Effect
-	conns      map[uint64]*simulatedConn
-	connected  []uint64
-	listed     map[uint32]Server
-	attempts   map[uint64]*simulatedAttempt
-	ids        []uint64
-	next       uint64
-	clientGone map[uint64]bool // sessions whose client has left
+	p           *Desk
+	now         Time
+	maxConns    int
+	open        int // connections counted here: being opened or not closed by the Protocol
+	dials       []Effect
+	connections map[uint64]*simulatedConn
+	connected   []uint64
+	listed      map[uint32]Server
+	requests    map[uint64]*simulatedAttempt
+	ids         []uint64
+	next        uint64
+	clientGone  map[uint64]bool // sessions whose client has left
 }
 
 // simulatedConn is a connection that was opened.
@@ -47,11 +47,11 @@
 }
 
 func newSimulation(t *rapid.T) *simulation {
-	o := &simulation{T: t, now: start, maxConns: 1 << 30, conns: map[uint64]*simulatedConn{},
-		listed: map[uint32]Server{}, attempts: map[uint64]*simulatedAttempt{}, clientGone: map[uint64]bool{}}
+	o := &simulation{T: t, now: start, maxConns: 1 << 30, connections: map[uint64]*simulatedConn{},
+		listed: map[uint32]Server{}, requests: map[uint64]*simulatedAttempt{}, clientGone: map[uint64]bool{}}
 	o.p = New(Config{Classes: []string{"safe", "paid"}, Fields: []string{"x0"}, Connect: 250 * ms, ProbeWait: 250 * ms,
 		Waits: func(session uint64) bool { return !o.clientGone[session] },
-		Ended: func(conn uint64) bool { k := o.conns[conn]; return k == nil || k.ended || k.lost }})
+		Ended: func(conn uint64) bool { k := o.connections[conn]; return k == nil || k.ended || k.lost }})
 	for id := range uint32(4) {
 		o.list(Server{ID: id + 1, Addr: fmt.Sprint("a:", id)})
 	}
@@ -68,7 +68,7 @@
 func (o *simulation) take() {
 	effects, events := o.p.Take()
 	for _, a := range effects {
-		c := o.conns[a.Conn]
+		c := o.connections[a.Conn]
 		switch {
 		case a.Dial != "":
 			o.dials = append(o.dials, a)
@@ -90,13 +90,13 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case front.Began:
-			sim := o.attempts[e.Session]
+			sim := o.requests[e.Session]
 			if sim == nil || !sim.pending || sim.established || sim.setup.Attempt != e.Attempt || sim.sent == 0 {
 				o.Fatalf("%+v of %+v", e, sim)
 			}
 			sim.established = true
 		case front.Ended:
-			sim := o.attempts[e.Session]
+			sim := o.requests[e.Session]
 			if sim == nil || !sim.pending || sim.setup.Attempt != e.Attempt {
 				o.Fatalf("%+v of %+v", e, sim)
 			}
@@ -124,9 +124,9 @@
 	if m.Type != wire.SetUp {
 		return
 	}
-	sim, s := o.attempts[m.Session], o.listed[a.Server]
+	sim, s := o.requests[m.Session], o.listed[a.Server]
 	if sim == nil || !sim.pending || sim.setup.Server != a.Server || s.Drains || s.Gone || o.clientGone[m.Session] ||
-		o.conns[a.Conn].server != a.Server {
+		o.connections[a.Conn].server != a.Server {
 		o.Fatalf("set-up of %+v sent to %+v; client has left: %v", sim, s, o.clientGone[m.Session])
 	}
 	for id, other := range o.listed {
@@ -152,16 +152,16 @@
 func (o *simulation) setup(id uint64, attempt int) {
 	sim := &simulatedAttempt{setup: front.Setup{Session: id, Attempt: attempt, Server: o.server(), Class: 1,
 		Name: "7f3a9c21e0b4d655", Text: "who", Within: 900 * ms}, pending: true}
-	o.attempts[id] = sim
+	o.requests[id] = sim
 	o.p.Do(o.now, sim.setup)
 }
 
 // step plays one random event.
 func (o *simulation) step() {
 	session, haveSession := pick(o, o.ids)
-	sim := o.attempts[session]
+	sim := o.requests[session]
 	conn, haveConn := pick(o, o.connected)
-	c := o.conns[conn]
+	c := o.connections[conn]
 	switch n := rapid.IntRange(0, 19).Draw(o.T, "what"); {
 	case n <= 2:
 		o.next++
@@ -177,7 +177,7 @@
 			o.p.DialFailed(o.now, a.Server, a.Conn, Failure(rapid.IntRange(0, 2).Draw(o.T, "why")))
 			break
 		}
-		o.conns[a.Conn] = &simulatedConn{server: a.Server}
+		o.connections[a.Conn] = &simulatedConn{server: a.Server}
 		o.connected = append(o.connected, a.Conn)
 		o.p.Connected(o.now, a.Server, a.Conn)
 	case n == 7 && haveSession && sim.pending && !sim.established:
@@ -223,7 +223,7 @@
 		o.clientGone[session] = true
 	case n == 15 && haveConn && !c.lost:
 		c.ended = true
-		if rapid.Bool().Draw(o.T, "told") {
+		if rapid.Bool().Draw(o.T, "notified") {
 			c.lost = true
 			o.p.Lost(o.now, c.server, conn, rapid.Uint64Range(0, c.bytes).Draw(o.T, "begun"))
 		}
@@ -238,7 +238,7 @@
 
 func (o *simulation) serverSends(c *simulatedConn, conn, session uint64) {
 	var m *wire.Message
-	switch rapid.IntRange(0, 5).Draw(o.T, "says") {
+	switch rapid.IntRange(0, 5).Draw(o.T, "message") {
 	case 0, 1:
 		m = ready(session)
 	case 2, 3:
@@ -259,11 +259,11 @@
 // check compares the Protocol's state with the simulated one.
 func (o *simulation) check(before int) int {
 	held := len(o.dials)
-	for _, peer := range o.p.peers {
-		held += len(peer.conns)
-		for conn, c := range peer.conns {
-			if sim := o.conns[conn]; c.id != conn || sim == nil || sim.closed || sim.lost {
-				o.Fatalf("connection %d is held by the Protocol: %+v", conn, sim)
+	for _, remote := range o.p.peers {
+		held += len(remote.conns)
+		for id, c := range remote.conns {
+			if sim := o.connections[id]; c.id != id || sim == nil || sim.closed || sim.lost {
+				o.Fatalf("connection %d is held by the Protocol: %+v", id, sim)
 			}
 		}
 	}
@@ -273,9 +273,10 @@
 	if held > max(o.maxConns, before) {
 		o.Fatalf("%d connections, %d before, limit %d", held, before, o.maxConns)
 	}
-	for id, sim := range o.attempts {
-		if a := o.p.attempts[id]; (a != nil) != sim.pending || a != nil && (a.ended || a.playing != sim.established) {
-			o.Fatalf("session %d: the core has %+v, the Protocol %+v", id, *sim, a)
+	for session, tracked := range o.requests {
+		if a := o.p.attempts[session]; (a != nil) != tracked.pending ||
+			a != nil && (a.ended || a.playing != tracked.established) {
+			o.Fatalf("session %d: the core has %+v, the Protocol %+v", session, *tracked, a)
 		}
 	}
 	return held
--- a/internal/platform/servers/liveness.go
+++ b/internal/platform/servers/liveness.go
@@ -11,59 +11,59 @@
 func (p *Desk) Listed(now Time, list []Server) {
 	p.now = now
 	for _, s := range list {
-		known := p.peers[s.ID]
-		if known == nil {
+		remote := p.peers[s.ID]
+		if remote == nil {
 			if s.Gone {
 				continue
 			}
-			known = &peer{server: s.ID, addr: s.Addr, started: s.Started, conns: map[uint64]*conn{},
-				sessions: map[uint64]*attempt{},
-				moving:   map[uint64]Time{}, abandoned: map[uint64]Time{}, pendingReleases: map[uint64]Time{}}
-			p.peers[s.ID] = known
+			remote = &peer{server: s.ID, addr: s.Addr, started: s.Started,
+				conns: map[uint64]*conn{}, sessions: map[uint64]*attempt{}, moving: map[uint64]Time{},
+				abandoned: map[uint64]Time{}, pendingReleases: map[uint64]Time{}}
+			p.peers[s.ID] = remote
 			p.peerIDs = nil
 			p.byAddr[s.Addr] = s.ID
 		}
-		known.draining, known.removed = s.Drains, s.Gone
-		if s.Gone && p.byAddr[known.addr] == s.ID {
-			delete(p.byAddr, known.addr)
+		remote.draining, remote.removed = s.Drains, s.Gone
+		if s.Gone && p.byAddr[remote.addr] == s.ID {
+			delete(p.byAddr, remote.addr)
 		}
-		if s.Started > known.started { // the process restarted: sessions of the old process have ended
-			known.started = s.Started
-			for _, id := range sorted(known.sessions) {
-				if a := known.sessions[id]; a.startedAt < s.Started {
+		if s.Started > remote.started { // the process restarted: sessions of the old process have ended
+			remote.started = s.Started
+			for _, id := range sorted(remote.sessions) {
+				if a := remote.sessions[id]; a.startedAt < s.Started {
 					p.end(a, policy.ResetConn, nil)
 				}
 			}
-			for c := range known.eachConn {
+			for c := range remote.eachConn {
 				if c.connectedAt < s.Started {
-					p.dropConn(known, c, c.sentBytes)
+					p.dropConn(remote, c, c.sentBytes)
 				}
 			}
-			known.refusedDials, known.timedOutDials = 0, 0
+			remote.refusedDials, remote.timedOutDials = 0, 0
 		}
-		if s.Addr != "" && s.Addr != known.addr {
-			if p.byAddr[known.addr] == s.ID {
-				delete(p.byAddr, known.addr)
+		if s.Addr != "" && s.Addr != remote.addr {
+			if p.byAddr[remote.addr] == s.ID {
+				delete(p.byAddr, remote.addr)
 			}
-			known.addr = s.Addr
+			remote.addr = s.Addr
 			if !s.Gone {
-				p.byAddr[known.addr] = s.ID
+				p.byAddr[remote.addr] = s.ID
 			}
-			for c := range known.eachConn {
+			for c := range remote.eachConn {
 				c.retired = true
 			}
 			// A connect in progress to the old address may reach another server's process, and unsent set-ups would be
 			// written there. Its connection is closed when it opens; a new connect is started.
-			known.current, known.dialing = nil, 0
-			known.refusedDials, known.timedOutDials, known.redialAt = 0, 0, 0
-			p.ensureConn(known)
+			remote.current, remote.dialing = nil, 0
+			remote.refusedDials, remote.timedOutDials, remote.redialAt = 0, 0, 0
+			p.ensureConn(remote)
 		}
 	}
 }
 
 // isSilent reports whether nothing was read from a server for checkTimeout.
-func (p *Desk) isSilent(peer *peer) bool {
-	for _, c := range peer.conns {
+func (p *Desk) isSilent(remote *peer) bool {
+	for _, c := range remote.conns {
 		if p.now-c.lastReadAt < checkTimeout {
 			return false
 		}
@@ -72,12 +72,12 @@
 }
 
 // addressReused reports whether a server removed from the list has lost its address to another one.
-func (p *Desk) addressReused(peer *peer) bool {
-	if !peer.removed {
+func (p *Desk) addressReused(remote *peer) bool {
+	if !remote.removed {
 		return false
 	}
 	for _, other := range p.peers {
-		if other != peer && !other.removed && other.addr == peer.addr {
+		if other != remote && !other.removed && other.addr == remote.addr {
 			return true
 		}
 	}
@@ -86,21 +86,21 @@
 
 // displaced reports whether a server that is still listed has lost its address to one listed later: its removal is not
 // received yet, and the other one answers at the address.
-func (p *Desk) displaced(peer *peer) bool {
-	id, ok := p.byAddr[peer.addr]
-	return ok && id != peer.server
+func (p *Desk) displaced(remote *peer) bool {
+	id, ok := p.byAddr[remote.addr]
+	return ok && id != remote.server
 }
 
 // endSessions ends the sessions of a server whose process or machine is considered down. In case the server still plays
 // them, for no viewer, their release is sent as soon as a connection opens.
-func (p *Desk) endSessions(peer *peer) {
-	for _, id := range sorted(peer.sessions) {
-		p.end(peer.sessions[id], policy.ResetConn, nil)
-		if len(peer.pendingReleases) < maxPendingReleases {
-			peer.pendingReleases[id] = p.now + pendingReleaseTTL
+func (p *Desk) endSessions(remote *peer) {
+	for _, id := range sorted(remote.sessions) {
+		p.end(remote.sessions[id], policy.ResetConn, nil)
+		if len(remote.pendingReleases) < maxPendingReleases {
+			remote.pendingReleases[id] = p.now + pendingReleaseTTL
 		}
 	}
-	for c := range peer.eachConn {
-		p.dropConn(peer, c, c.sentBytes)
+	for c := range remote.eachConn {
+		p.dropConn(remote, c, c.sentBytes)
 	}
 }
--- a/internal/platform/servers/probes.go
+++ b/internal/platform/servers/probes.go
@@ -8,22 +8,24 @@
 
 // Probes of servers, each answered in time or failed.
 
+// probe sends a probe to a server, now or on its next connection.
 func (p *Desk) probe(server uint32) {
-	peer := p.peers[server]
-	if peer == nil {
+	remote := p.peers[server]
+	if remote == nil {
 		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect})
 		return
 	}
-	if peer.current == nil {
-		peer.probePending, peer.probeRequestedAt = true, p.now
-		p.dial(peer, true)
+	if remote.current == nil {
+		remote.probePending, remote.probeRequestedAt = true, p.now
+		p.dial(remote, true)
 		return
 	}
-	p.sendProbe(peer)
+	p.sendProbe(remote)
 }
 
-func (p *Desk) sendProbe(peer *peer) {
+// sendProbe sends a probe on the current connection.
+func (p *Desk) sendProbe(remote *peer) {
 	p.Stats.Tests++
-	peer.current.probes[p.Stats.Tests] = p.now
-	p.send(peer, peer.current, (&wire.Message{Type: wire.Test, Session: p.Stats.Tests}).AddCause(wire.CauseReport))
+	remote.current.probes[p.Stats.Tests] = p.now
+	p.send(remote, remote.current, (&wire.Message{Type: wire.Test, Session: p.Stats.Tests}).AddCause(wire.CauseReport))
 }
--- a/internal/platform/servers/receive.go
+++ b/internal/platform/servers/receive.go
@@ -13,24 +13,24 @@
 // Received handles bytes read from a connection.
 func (p *Desk) Received(now Time, server uint32, connID uint64, b []byte) {
 	p.now = now
-	peer := p.peers[server]
-	if peer == nil {
+	remote := p.peers[server]
+	if remote == nil {
 		return
 	}
-	c := peer.conns[connID]
+	c := remote.conns[connID]
 	if c == nil {
 		return
 	}
 	c.lastReadAt = now
 	c.decoder.Feed(b)
-	for peer.conns[connID] == c {
+	for remote.conns[connID] == c {
 		m, err := c.decoder.Next()
 		if err == nil && m != nil {
-			err = p.handle(peer, c, m)
+			err = p.handle(remote, c, m)
 		}
 		if err != nil { // later messages can't be delimited any more: the connection is unusable
 			p.Stats.Spoilt++
-			p.dropConn(peer, c, c.sentBytes)
+			p.dropConn(remote, c, c.sentBytes)
 			return
 		}
 		if m == nil {
@@ -45,18 +45,20 @@
 	}
 }
 
+// protocolError is the reason why a server's message is invalid.
 type protocolError string
 
 func (e protocolError) Error() string { return string(e) }
 
-func (p *Desk) handle(peer *peer, c *conn, m *wire.Message) error {
+// handle handles a message. After an error the connection is unusable.
+func (p *Desk) handle(remote *peer, c *conn, m *wire.Message) error {
 	switch m.Type {
 	case wire.Ready:
-		return p.handleReady(peer, c, m)
+		return p.handleReady(remote, c, m)
 	case wire.Release:
-		p.handleRelease(peer, c, m)
+		p.handleRelease(remote, c, m)
 	case wire.Note:
-		p.handleNote(peer, m)
+		p.handleNote(remote, m)
 	case wire.Tested:
 		at, ok := c.probes[m.Session]
 		if !ok {
@@ -67,8 +69,8 @@
 		if cause, _ := m.Cause(); cause == 1 {
 			status = policy.OK
 		}
-		p.events = append(p.events, front.Probed{Server: peer.server, Status: status, Took: p.now - at,
-			Report: p.parseReport(m)})
+		p.events = append(p.events, front.Probed{Server: remote.server, Status: status, Took: p.now - at,
+			Report: p.report(m)})
 	case wire.Trying, wire.Released:
 	default:
 		return protocolError("server sent a message type reserved for fronts")
@@ -76,7 +78,8 @@
 	return nil
 }
 
-func (p *Desk) parseReport(m *wire.Message) []float64 {
+// report returns the load report that a message carries, or nil.
+func (p *Desk) report(m *wire.Message) []float64 {
 	v, _ := m.Get(wire.ParamReport)
 	report := wire.ParseReport(string(v), p.cfg.Fields)
 	if report != nil {
@@ -85,12 +88,13 @@
 	return report
 }
 
-func (p *Desk) handleReady(peer *peer, c *conn, m *wire.Message) error {
+// handleReady handles the answer to a set-up.
+func (p *Desk) handleReady(remote *peer, c *conn, m *wire.Message) error {
 	a := p.attempts[m.Session]
 	if a == nil || a.conn != c || a.playing {
-		if _, late := peer.abandoned[m.Session]; late && a == nil { // the answer crossed the release
+		if _, late := remote.abandoned[m.Session]; late && a == nil { // the answer crossed the release
 			p.Stats.Late++
-			p.release(peer, m.Session)
+			p.release(remote, m.Session)
 		}
 		return nil // of an unknown session, or a duplicate
 	}
@@ -102,15 +106,15 @@
 	if !fitsLine(m.Session, string(text)) {
 		// Counted as established, it would fail its viewer and still count in the server's favour: the next set-up
 		// would go there too.
-		p.release(peer, m.Session)
-		p.end(a, policy.Errored, p.parseReport(m))
+		p.release(remote, m.Session)
+		p.end(a, policy.Errored, p.report(m))
 		return nil
 	}
 	a.playing = true
-	peer.sessions[m.Session] = a
+	remote.sessions[m.Session] = a
 	a.setup.Text = ""
 	p.events = append(p.events, front.Began{Session: m.Session, Attempt: a.setup.Attempt, Took: p.now - a.startedAt,
-		Report: p.parseReport(m), Text: string(text)})
+		Report: p.report(m), Text: string(text)})
 	return nil
 }
 
@@ -124,20 +128,21 @@
 	return err == nil
 }
 
-func (p *Desk) handleRelease(peer *peer, c *conn, m *wire.Message) {
-	delete(peer.moving, m.Session)
-	delete(peer.pendingReleases, m.Session)
+// handleRelease handles a refusal or the end of a session.
+func (p *Desk) handleRelease(remote *peer, c *conn, m *wire.Message) {
+	delete(remote.moving, m.Session)
+	delete(remote.pendingReleases, m.Session)
 	cause, _ := m.Cause()
 	a := p.attempts[m.Session]
-	if a == nil || a.setup.Server != peer.server || !a.playing && a.conn != c {
+	if a == nil || a.setup.Server != remote.server || !a.playing && a.conn != c {
 		return
 	}
 	if target := c; a.playing {
 		if c.writeClosedAt != 0 {
-			target = peer.current
+			target = remote.current
 		}
 		if target != nil {
-			p.send(peer, target, &wire.Message{Type: wire.Released, Session: m.Session})
+			p.send(remote, target, &wire.Message{Type: wire.Released, Session: m.Session})
 		}
 	}
 	status := policy.ResetConn
@@ -154,16 +159,17 @@
 	case cause == wire.CauseMoot:
 		status = policy.Moot
 	}
-	p.end(a, status, p.parseReport(m))
+	p.end(a, status, p.report(m))
 }
 
+// noteKinds maps the names of notes to their kinds.
 var noteKinds = map[string]policy.NoteKind{"quality": policy.NoteShare, "profile": policy.NoteRung,
-	"nic": policy.NoteLink,
-	"tor": policy.NoteUplink}
+	"nic": policy.NoteLink, "tor": policy.NoteUplink}
 
-func (p *Desk) handleNote(peer *peer, m *wire.Message) {
+// handleNote passes a note on an established session to the core.
+func (p *Desk) handleNote(remote *peer, m *wire.Message) {
 	a := p.attempts[m.Session]
-	if a == nil || !a.playing || a.setup.Server != peer.server {
+	if a == nil || !a.playing || a.setup.Server != remote.server {
 		return
 	}
 	name, _ := m.Get(wire.ParamNote)
--- a/internal/platform/servers/rotation.go
+++ b/internal/platform/servers/rotation.go
@@ -20,15 +20,15 @@
 	}
 	var oldest *conn
 	var owner *peer
-	for _, peer := range p.peers {
-		c := peer.current
-		if c == nil || peer.dialing != 0 || len(peer.unsent)+len(c.inFlight)+len(c.probes) > 0 ||
+	for _, remote := range p.peers {
+		c := remote.current
+		if c == nil || remote.dialing != 0 || len(remote.unsent)+len(c.inFlight)+len(c.probes) > 0 ||
 			p.now-c.connectedAt < minTurnTime {
 			continue
 		}
 		if oldest == nil || c.connectedAt < oldest.connectedAt ||
 			c.connectedAt == oldest.connectedAt && c.id < oldest.id {
-			oldest, owner = c, peer
+			oldest, owner = c, remote
 		}
 	}
 	if oldest == nil {
--- a/internal/platform/servers/servers.go
+++ b/internal/platform/servers/servers.go
@@ -29,10 +29,8 @@
 	Connect   Time     // time limit for opening a connection
 	ProbeWait Time     // a probe unanswered for this long has failed
 
-	// ClientWaiting reports whether the client of a request is still connected; nil: it always is.
-	Waits func(session uint64) bool
-	// ConnEnded reports whether the server has ended a connection, even if that end is not read yet; nil: it never has.
-	Ended func(conn uint64) bool
+	Waits func(session uint64) bool // whether the client of a request is still connected; nil: it always is
+	Ended func(conn uint64) bool    // whether the server has ended a connection, read or not; nil: it never has
 }
 
 // Timeouts and limits of the protocol. They only decide when a connection is no longer usable and when the requests and
@@ -69,7 +67,7 @@
 	Addr    string
 	Started Time
 	Drains  bool // it takes nothing new
-	Gone    bool
+	Gone    bool // it was removed from the list
 }
 
 // Protocol holds the protocol state of all servers.
@@ -90,10 +88,10 @@
 // Stats counts what happened to connections. Dialed and Tests also number the connections and probes.
 type Stats struct {
 	Dialed, Crowded, Refused, Unanswered, Broke, Lost, Spoilt, Stuck, Late, Again uint64
-	// Probes sent, reports read and notes of short delivery.
-	Tests, Reports, Shorts uint64
-	// Set-ups not sent because their client had left.
-	Left uint64
+
+	Tests, Reports, Shorts uint64 // probes sent, reports read, notes of short delivery
+
+	Left uint64 // set-ups not sent because their client had left
 }
 
 // peer is the protocol state of one server.
@@ -140,7 +138,7 @@
 	setup       front.Setup
 	startedAt   Time
 	conn        *conn  // connection that it was written to; nil: not written
-	endOffset   uint64 // offset of the end of its bytes on that connection
+	end         uint64 // offset of the end of its bytes on that connection
 	retried     bool   // its first connection ended before it was sent
 	playing     bool
 	ended       bool
@@ -167,7 +165,7 @@
 // MaxConns returns the limit set by SetMaxConns.
 func (p *Desk) Limits() int { return p.maxConns }
 
-// Do carries out an effect of the core. Effects that do not concern servers are ignored.
+// Apply carries out an effect of the core. Effects that do not concern servers are ignored.
 func (p *Desk) Do(now Time, effect front.Effect) {
 	p.now = now
 	switch e := effect.(type) {
@@ -176,8 +174,8 @@
 	case front.Abandon:
 		p.abandon(e)
 	case front.Withdraw:
-		if peer := p.peers[e.Server]; peer != nil {
-			p.failUnsent(peer, fate.Withdrawn)
+		if remote := p.peers[e.Server]; remote != nil {
+			p.failUnsent(remote, fate.Withdrawn)
 		}
 	case front.Stop:
 		p.stop(e)
@@ -189,24 +187,25 @@
 }
 
 // send writes a message. It returns false if the message can't be encoded, which no message built here should cause.
-func (p *Desk) send(peer *peer, c *conn, m *wire.Message) bool {
+func (p *Desk) send(remote *peer, c *conn, m *wire.Message) bool {
 	b, err := m.Append(nil)
 	if err != nil {
 		return false
 	}
 	c.sentBytes += uint64(len(b))
-	p.effects = append(p.effects, Effect{Server: peer.server, Conn: c.id, Bytes: b})
+	p.effects = append(p.effects, Effect{Server: remote.server, Conn: c.id, Bytes: b})
 	return true
 }
 
 // Counts returns the numbers of attempts (sessions included), servers and connections held.
 func (p *Desk) Counts() (attempts, peers, conns int) {
-	for _, peer := range p.peers {
-		conns += len(peer.conns)
+	for _, remote := range p.peers {
+		conns += len(remote.conns)
 	}
 	return len(p.attempts), len(p.peers), conns
 }
 
+// sorted returns the sorted keys of a map.
 func sorted[K uint32 | uint64, V any](m map[K]V) []K {
 	if len(m) == 0 {
 		return nil
--- a/internal/platform/servers/servers_test.go
+++ b/internal/platform/servers/servers_test.go
@@ -154,10 +154,10 @@
 func (r *rig) checkEmpty() {
 	r.t.Helper()
 	r.advance(70 * policy.Second)
-	peer := r.p.peers[1]
-	if n, _, _ := r.p.Counts(); n != 0 || peer != nil &&
-		len(peer.sessions)+len(peer.unsent)+len(peer.abandoned)+len(peer.pendingReleases)+len(peer.moving) != 0 {
-		r.t.Errorf("state left over: %d attempts, %+v", n, peer)
+	remote := r.p.peers[1]
+	if n, _, _ := r.p.Counts(); n != 0 || remote != nil &&
+		len(remote.sessions)+len(remote.unsent)+len(remote.abandoned)+len(remote.pendingReleases)+len(remote.moving) != 0 {
+		r.t.Errorf("state left over: %d attempts, %+v", n, remote)
 	}
 }
 
--- a/internal/platform/servers/sessions.go
+++ b/internal/platform/servers/sessions.go
@@ -11,63 +11,67 @@
 // connection.
 
 // release ends a session at its server, now or on the next connection.
-func (p *Desk) release(peer *peer, session uint64) {
-	if peer == nil {
+func (p *Desk) release(remote *peer, session uint64) {
+	if remote == nil {
 		return
 	}
-	if peer.current != nil {
-		p.send(peer, peer.current, (&wire.Message{Type: wire.Release, Session: session}).AddCause(wire.CauseGivenUp))
+	if remote.current != nil {
+		p.send(remote, remote.current, (&wire.Message{Type: wire.Release,
+			Session: session}).AddCause(wire.CauseGivenUp))
 		return
 	}
-	if len(peer.pendingReleases) < maxPendingReleases {
-		peer.pendingReleases[session] = p.now + pendingReleaseTTL
+	if len(remote.pendingReleases) < maxPendingReleases {
+		remote.pendingReleases[session] = p.now + pendingReleaseTTL
 	}
-	p.ensureConn(peer)
+	p.ensureConn(remote)
 }
 
+// stop ends a session that the core has ended or moved.
 func (p *Desk) stop(e front.Stop) {
 	a := p.attempts[e.Session]
 	if a == nil || a.setup.Attempt != e.Attempt {
 		return
 	}
-	peer := p.peers[a.setup.Server]
+	remote := p.peers[a.setup.Server]
 	p.forget(a)
 	if e.Moved { // its viewer ends it at the server; a release would end it too early
-		peer.moving[e.Session] = p.now + moveTimeout
+		remote.moving[e.Session] = p.now + moveTimeout
 		return
 	}
-	p.release(peer, e.Session)
+	p.release(remote, e.Session)
 }
 
+// setRung sends a session's new rung, now or on the next connection.
 func (p *Desk) setRung(e front.SetRung) {
 	a := p.attempts[e.Session]
 	if a == nil || !a.playing || a.setup.Attempt != e.Attempt {
 		return
 	}
 	a.setup.Rung, a.rungPending = e.Rung, true
-	if peer := p.peers[a.setup.Server]; peer.current != nil {
-		p.sendRung(peer, a)
+	if remote := p.peers[a.setup.Server]; remote.current != nil {
+		p.sendRung(remote, a)
 	}
 }
 
-func (p *Desk) sendRung(peer *peer, a *attempt) {
+// sendRung sends the rung of a session on the current connection.
+func (p *Desk) sendRung(remote *peer, a *attempt) {
 	a.rungPending = false
-	p.send(peer, peer.current, (&wire.Message{Type: wire.Level, Session: a.setup.Session}).Add(wire.ParamRung,
+	p.send(remote, remote.current, (&wire.Message{Type: wire.Level, Session: a.setup.Session}).Add(wire.ParamRung,
 		strconv.Itoa(a.setup.Rung)))
 }
 
 // Restore takes over a session that already plays at a server.
 func (p *Desk) Adopt(now Time, e front.Setup) bool {
 	p.now = now
-	peer := p.peers[e.Server]
-	if peer == nil || p.attempts[e.Session] != nil {
+	remote := p.peers[e.Server]
+	if remote == nil || p.attempts[e.Session] != nil {
 		return false
 	}
-	if len(peer.sessions) == 0 {
-		peer.lastConnectedAt = now
+	if len(remote.sessions) == 0 {
+		remote.lastConnectedAt = now
 	}
 	a := &attempt{setup: e, startedAt: now, playing: true}
-	p.attempts[e.Session], peer.sessions[e.Session] = a, a
-	p.ensureConn(peer)
+	p.attempts[e.Session], remote.sessions[e.Session] = a, a
+	p.ensureConn(remote)
 	return true
 }
--- a/internal/platform/servers/setups.go
+++ b/internal/platform/servers/setups.go
@@ -12,28 +12,29 @@
 
 // Set-ups: written, waiting for a connection, abandoned. Those that were provably never sent get a status of their own.
 
+// setup starts an attempt: it is sent now, or waits for a connection.
 func (p *Desk) setup(e front.Setup) {
 	a := &attempt{setup: e, startedAt: p.now}
-	peer := p.peers[e.Server]
-	if peer == nil {
+	remote := p.peers[e.Server]
+	if remote == nil {
 		p.end(a, policy.NoConnect, nil)
 		return
 	}
 	p.attempts[e.Session] = a
-	if peer.current != nil {
-		p.sendSetup(peer, a)
+	if remote.current != nil {
+		p.sendSetup(remote, a)
 		return
 	}
-	peer.unsent = append(peer.unsent, a)
-	p.dial(peer, true)
+	remote.unsent = append(remote.unsent, a)
+	p.dial(remote, true)
 }
 
 // sendSetup sends a set-up on the current connection. The conditions that forbid it are checked here, just before the
 // write: they may have changed since the server was chosen.
-func (p *Desk) sendSetup(peer *peer, a *attempt) {
+func (p *Desk) sendSetup(remote *peer, a *attempt) {
 	e := &a.setup
 	switch {
-	case peer.draining || peer.removed || p.displaced(peer):
+	case remote.draining || remote.removed || p.displaced(remote):
 		// Sent after the drain grace, it would be new work for a server that is leaving, or reach another server at its
 		// address.
 		p.end(a, fate.Of(fate.Unsent, fate.Withdrawn, 0), nil)
@@ -45,17 +46,17 @@
 		p.events = append(p.events, front.Leave{Session: e.Session})
 		p.end(a, fate.Of(fate.Unsent, fate.Withdrawn, 0), nil)
 		return
-	case peer.current == nil: // an earlier unsent set-up found that the connection has ended
-		peer.unsent = append(peer.unsent, a)
-		p.dial(peer, true)
+	case remote.current == nil: // an earlier unsent set-up found that the connection has ended
+		remote.unsent = append(remote.unsent, a)
+		p.dial(remote, true)
 		return
-	case !a.retried && p.cfg.Ended != nil && p.cfg.Ended(peer.current.id):
+	case !a.retried && p.cfg.Ended != nil && p.cfg.Ended(remote.current.id):
 		// Written to a connection that its server has ended, it could not be distinguished from one that ran, and a
 		// paid request would fail. It waits once for the next connection; the end of this one is read in its turn.
 		p.Stats.Again++
 		a.retried = true
-		peer.unsent = append(peer.unsent, a)
-		p.retire(peer, peer.current)
+		remote.unsent = append(remote.unsent, a)
+		p.retire(remote, remote.current)
 		return
 	}
 	m := &wire.Message{Type: wire.SetUp, Session: e.Session}
@@ -65,12 +66,12 @@
 	within := max((e.Within-(p.now-a.startedAt))/policy.Millisecond, 1)
 	m.Add(wire.ParamTimeout, strconv.FormatInt(within, 10)).Add(wire.ParamTitle, e.Name).
 		Add(wire.ParamRung, strconv.Itoa(e.Rung)).Add(wire.ParamText, e.Text)
-	c := peer.current
-	if !p.send(peer, c, m) {
+	c := remote.current
+	if !p.send(remote, c, m) {
 		p.end(a, policy.Moot, nil)
 		return
 	}
-	a.conn, a.endOffset = c, c.sentBytes
+	a.conn, a.end = c, c.sentBytes
 	c.inFlight[e.Session] = a
 }
 
@@ -84,6 +85,7 @@
 		Took: p.now - a.startedAt, Report: report})
 }
 
+// forget removes an attempt from all state.
 func (p *Desk) forget(a *attempt) {
 	a.ended = true
 	id := a.setup.Session
@@ -93,43 +95,44 @@
 	if a.conn != nil && a.conn.inFlight[id] == a {
 		delete(a.conn.inFlight, id)
 	}
-	if peer := p.peers[a.setup.Server]; peer != nil {
-		if peer.sessions[id] == a {
-			delete(peer.sessions, id)
+	if remote := p.peers[a.setup.Server]; remote != nil {
+		if remote.sessions[id] == a {
+			delete(remote.sessions, id)
 		}
-		peer.unsent = slices.DeleteFunc(peer.unsent, func(o *attempt) bool { return o == a })
+		remote.unsent = slices.DeleteFunc(remote.unsent, func(o *attempt) bool { return o == a })
 	}
 }
 
+// abandon ends an attempt that the core no longer waits for, and releases it at its server.
 func (p *Desk) abandon(e front.Abandon) {
 	a := p.attempts[e.Session]
 	if a == nil || a.setup.Attempt != e.Attempt {
 		return
 	}
-	peer := p.peers[a.setup.Server]
+	remote := p.peers[a.setup.Server]
 	if a.conn == nil {
 		p.end(a, fate.Of(fate.Unsent, e.Cause, 0), nil)
 		return
 	}
 	c := a.conn
 	if a.playing {
-		p.release(peer, e.Session)
+		p.release(remote, e.Session)
 	} else {
-		p.send(peer, c, (&wire.Message{Type: wire.Release, Session: e.Session}).AddCause(wire.CauseGivenUp))
-		peer.abandoned[e.Session] = p.now + abandonedTTL
+		p.send(remote, c, (&wire.Message{Type: wire.Release, Session: e.Session}).AddCause(wire.CauseGivenUp))
+		remote.abandoned[e.Session] = p.now + abandonedTTL
 		// If an answer never comes, the connection itself may be dead, and every set-up written there would time out
 		// too. The cost: a server that is only slow gets one connection more.
 		if e.Cause == fate.Expired && c.lastReadAt <= a.startedAt {
-			p.retire(peer, c)
+			p.retire(remote, c)
 		}
 	}
 	p.end(a, fate.Of(fate.Written, e.Cause, 0), nil)
 }
 
 // failUnsent ends the set-ups that were not sent.
-func (p *Desk) failUnsent(peer *peer, cause fate.Cause) {
-	waiting := peer.unsent
-	peer.unsent = nil
+func (p *Desk) failUnsent(remote *peer, cause fate.Cause) {
+	waiting := remote.unsent
+	remote.unsent = nil
 	for _, a := range waiting {
 		p.end(a, fate.Of(fate.Unsent, cause, 0), nil)
 	}
--- a/internal/platform/servers/setups_test.go
+++ b/internal/platform/servers/setups_test.go
@@ -28,13 +28,16 @@
 	r.now += 30 * ms
 	// Provisional; of an unknown session; of this session; a duplicate.
 	r.serverSends(conn, &wire.Message{Type: wire.Trying, Session: 5}, ready(99), ready(5), ready(5))
-	if want := []front.Event{front.Began{Session: 5, Took: 130 * ms, Text: "mine"}}; !reflect.DeepEqual(r.events, want) {
+	if want := []front.Event{front.Began{Session: 5, Took: 130 * ms, Text: "mine"}}; !reflect.DeepEqual(r.events,
+		want) {
 		t.Fatalf("%+v", r.events)
 	}
 	r.events = nil
 	r.do(front.SetRung{Session: 5, Server: 1, Rung: 1})
-	r.serverSends(conn, (&wire.Message{Type: wire.Note, Session: 5}).Add(wire.ParamNote, "quality").Add(wire.ParamFigure, "0.5"))
-	if want := []front.Event{front.Note{Session: 5, Kind: policy.NoteShare, Value: 0.5}}; !reflect.DeepEqual(r.events, want) {
+	r.serverSends(conn, (&wire.Message{Type: wire.Note, Session: 5}).Add(wire.ParamNote,
+		"quality").Add(wire.ParamFigure, "0.5"))
+	if want := []front.Event{front.Note{Session: 5, Kind: policy.NoteShare, Value: 0.5}}; !reflect.DeepEqual(r.events,
+		want) {
 		t.Fatalf("%+v", r.events)
 	}
 	r.events = nil
@@ -153,7 +156,8 @@
 		t.Fatalf("%+v", m)
 	}
 	r.now += 20 * ms
-	r.serverSends(conn, (&wire.Message{Type: wire.Tested, Session: m.Session}).AddCause(1).Add(wire.ParamReport, "x0:0.5;x1:0.25"))
+	r.serverSends(conn, (&wire.Message{Type: wire.Tested, Session: m.Session}).AddCause(1).Add(wire.ParamReport,
+		"x0:0.5;x1:0.25"))
 	if want := []front.Event{front.Probed{Server: 1, Took: 20 * ms,
 		Report: []float64{0.5, 0.25}}}; !reflect.DeepEqual(r.events, want) {
 		t.Fatalf("%+v", r.events)
