--- /dev/null
+++ b/internal/platform/servers/probes.go
@@ -0,0 +1,31 @@
+package servers
+
+import (
+	"tealledge/internal/front"
+	"tealledge/internal/platform/wire"
+	"tealledge/policy"
+)
+
+// Probes of servers, each answered in time or failed.
+
+// probe sends a probe to a server, now or on its next connection.
+func (p *Desk) probe(server uint32) {
+	remote := p.peers[server]
+	if remote == nil {
+		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect})
+		return
+	}
+	if remote.current == nil {
+		remote.probePending, remote.probeRequestedAt = true, p.now
+		p.dial(remote, true)
+		return
+	}
+	p.sendProbe(remote)
+}
+
+// sendProbe sends a probe on the current connection.
+func (p *Desk) sendProbe(remote *peer) {
+	p.Stats.Tests++
+	remote.current.probes[p.Stats.Tests] = p.now
+	p.send(remote, remote.current, (&wire.Message{Type: wire.Test, Session: p.Stats.Tests}).AddCause(wire.CauseReport))
+}
--- a/internal/platform/servers/tick.go
+++ b/internal/platform/servers/tick.go
@@ -7,92 +7,99 @@
 	"tealledge/policy"
 )
 
-// What time does: tests and half messages run out, connections of no more use are closed, quiet machines are asked for.
+// Timers: probes and incomplete messages time out, retired connections are closed, silent machines are checked by a
+// connect.
 
-// Tick lets time pass; it is to be called several times a second.
-func (d *Desk) Tick(now Time) {
-	d.now = now
-	if d.order == nil {
-		d.order = sorted(d.lines)
+// Tick advances the clock; it is called several times a second.
+func (p *Desk) Tick(now Time) {
+	p.now = now
+	if p.peerIDs == nil {
+		p.peerIDs = sorted(p.peers)
 	}
-	for _, id := range d.order {
-		// Most of hundreds of servers have nothing going on: they cost a look each.
-		if l := d.lines[id]; l != nil && (l.gone || l.probing || len(l.links)+len(l.live)+len(l.leaving)+len(l.given)+len(l.doomed)+
-			len(l.waiting) > 0) {
-			d.tick(l)
+	for _, id := range p.peerIDs {
+		// Most of the hundreds of servers are idle: they cost one check each.
+		if remote := p.peers[id]; remote != nil && (remote.removed || remote.probePending ||
+			len(remote.conns)+len(remote.sessions)+len(remote.moving)+len(remote.abandoned)+len(remote.pendingReleases)+
+				len(remote.unsent) > 0) {
+			p.tickPeer(remote)
 		}
 	}
 }
 
-func (d *Desk) tick(l *line) {
-	// Danger: the end of a process is not always heard of on a connection that stood (its reset may be lost, or nobody is left to
-	// send one), and its viewers would hold sessions that are over. Off the list and refusing, it has ended; so it has when
-	// another is at its address, once what was under way is read.
-	if l.gone && len(l.live) > 0 && (l.refused >= refusals || d.quiet(l) && d.taken(l)) {
-		d.dead(l)
+// tickPeer applies the timeouts of one server.
+func (p *Desk) tickPeer(remote *peer) {
+	// The end of a process does not always show on its open connections (its reset may be lost, or nothing is left to
+	// send one), and its viewers would keep sessions that have ended. A server off the list that refuses connects has
+	// ended; so has one whose address another server has, once what was in flight is read.
+	if remote.removed && len(remote.sessions) > 0 && (remote.refusedDials >= maxRefusedDials ||
+		p.isSilent(remote) && p.addressReused(remote)) {
+		p.endSessions(remote)
 	}
-	if l.probing && d.now-l.probeAt >= d.cfg.ProbeWait {
-		l.probing = false
-		d.news = append(d.news, front.Probed{Server: l.server, Status: policy.NoConnect, Took: d.now - l.probeAt})
+	if remote.probePending && p.now-remote.probeRequestedAt >= p.cfg.ProbeWait {
+		remote.probePending = false
+		p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.NoConnect,
+			Took: p.now - remote.probeRequestedAt})
 	}
-	if len(l.links) > 0 {
-		l.heardAt = d.now
+	if len(remote.conns) > 0 {
+		remote.lastConnectedAt = p.now
 	}
-	for k := range l.each {
-		for _, t := range sorted(k.tests) {
-			if at := k.tests[t]; d.now-at >= d.cfg.ProbeWait {
-				delete(k.tests, t)
-				d.news = append(d.news, front.Probed{Server: l.server, Status: policy.TimedOut, Took: d.now - at})
-				if k.readAt <= at {
-					d.retire(l, k)
+	for c := range remote.eachConn {
+		for _, t := range sorted(c.probes) {
+			if at := c.probes[t]; p.now-at >= p.cfg.ProbeWait {
+				delete(c.probes, t)
+				p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.TimedOut,
+					Took: p.now - at})
+				if c.lastReadAt <= at {
+					p.retire(remote, c)
 				}
 			}
 		}
 		switch {
-		case k.checkAt != 0 && k.readAt > k.checkAt: // it is at its limit, or drains
-			k.checkAt, l.refused = 0, 0
-		case k.checkAt != 0 && d.now-k.checkAt >= checkFor && l.refused >= refusals:
-			d.dead(l)
+		case c.checkSentAt != 0 && c.lastReadAt > c.checkSentAt: // it lives: it is at its limit, or drains
+			c.checkSentAt, remote.refusedDials = 0, 0
+		case c.checkSentAt != 0 && p.now-c.checkSentAt >= checkTimeout && remote.refusedDials >= maxRefusedDials:
+			p.endSessions(remote)
 			return
 		}
 		switch {
-		case k.partialAt != 0 && d.now-k.partialAt >= stuckFor:
-			d.Stats.Stuck++
-			d.drop(l, k, k.sent)
-		case k.endingAt != 0 && d.now-k.endingAt >= finishBy:
-			d.drop(l, k, k.sent)
-		case k.endingAt == 0 && k.stale && len(k.out) == 0 && len(k.tests) == 0 && l.cur != nil:
-			d.finish(l, k)
+		case c.partialSince != 0 && p.now-c.partialSince >= partialMessageTimeout:
+			p.Stats.Stuck++
+			p.dropConn(remote, c, c.sentBytes)
+		case c.writeClosedAt != 0 && p.now-c.writeClosedAt >= halfCloseTimeout:
+			p.dropConn(remote, c, c.sentBytes)
+		case c.writeClosedAt == 0 && c.retired && len(c.inFlight) == 0 && len(c.probes) == 0 && remote.current != nil:
+			p.closeWrite(remote, c)
 		}
 	}
-	for _, id := range sorted(l.leaving) {
-		if d.now >= l.leaving[id] {
-			delete(l.leaving, id)
-			d.release(l, id)
+	for _, id := range sorted(remote.moving) {
+		if p.now >= remote.moving[id] {
+			delete(remote.moving, id)
+			p.release(remote, id)
 		}
 	}
-	maps.DeleteFunc(l.given, func(_ uint64, until Time) bool { return d.now >= until })
-	maps.DeleteFunc(l.doomed, func(_ uint64, until Time) bool { return d.now >= until })
-	d.wanted(l)
-	// Danger: a machine that vanished leaves its connections open and silent, and its viewers with nothing. Harm: a
-	// connect for each few seconds that a server has nothing to say.
-	if len(l.live) > 0 && l.cur != nil && d.now-l.cur.readAt >= quietFor {
-		d.dial(l, false)
+	maps.DeleteFunc(remote.abandoned, func(_ uint64, until Time) bool { return p.now >= until })
+	maps.DeleteFunc(remote.pendingReleases, func(_ uint64, until Time) bool { return p.now >= until })
+	p.ensureConn(remote)
+	// A machine that went down leaves its connections open and silent, and its viewers without a stream. The cost: one
+	// connect for each silenceTimeout (a few seconds) in which a server sends nothing.
+	if len(remote.sessions) > 0 && remote.current != nil && p.now-remote.current.lastReadAt >= silenceTimeout {
+		p.dial(remote, false)
 	}
-	if l.gone && len(l.live) == 0 { // nothing is to be released at a process that has left
-		clear(l.doomed)
+	if remote.removed && len(remote.sessions) == 0 { // a removed process holds nothing to release
+		clear(remote.pendingReleases)
 	}
-	if l.gone && len(l.live) == 0 && len(l.waiting) == 0 && len(l.doomed) == 0 && len(l.leaving) == 0 && l.dialing == 0 && !l.probing {
-		open := 0
-		for _, k := range l.links {
-			open += len(k.out)
+	if remote.removed && len(remote.sessions) == 0 && len(remote.unsent) == 0 && len(remote.pendingReleases) == 0 &&
+		len(remote.moving) == 0 && remote.dialing == 0 && !remote.probePending {
+		inFlight := 0
+		for _, c := range remote.conns {
+			inFlight += len(c.inFlight)
 		}
-		if open == 0 {
-			for k := range l.each {
-				d.drop(l, k, k.sent)
+		if inFlight == 0 {
+			for c := range remote.eachConn {
+				p.dropConn(remote, c, c.sentBytes)
 			}
-			delete(d.lines, l.server)
-			d.order = nil
+			delete(p.peers, remote.server)
+			p.peerIDs = nil
 		}
 	}
 }
--- /dev/null
+++ b/internal/platform/viewers/invariants_test.go
@@ -0,0 +1,247 @@
+package viewers
+
+import (
+	"strings"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"tealledge/internal/front"
+	"tealledge/internal/platform/wire"
+	"tealledge/policy"
+)
+
+// simulation plays shell, core, server list and clients in any order of events, and checks what the Protocol sends.
+type simulation struct {
+	*rapid.T
+	p        *Desk
+	now      Time
+	conns    map[uint64]*simulatedConn
+	ids      []uint64
+	requests map[uint64]*request
+	lastConn uint64
+	listed   bool
+}
+
+// simulatedConn is a viewer's connection.
+type simulatedConn struct {
+	closedByFront bool // the Protocol has closed it
+	lost          bool // the Protocol was notified of its end
+}
+
+// request is the state of a session at its client and in the core.
+type request struct {
+	conn      uint64 // connection of the client's request
+	held      bool   // the core holds it
+	playing   bool   // established, as the core knows it
+	answers   int    // answers that reached the client
+	ended     bool   // its client was notified of its end
+	cancelled bool   // its client cancelled or ended it
+	restored  bool
+	ambiguous bool // its id was used twice: replies are not checked
+}
+
+func newSimulation(t *rapid.T) *simulation {
+	o := &simulation{T: t, now: start, conns: map[uint64]*simulatedConn{}, requests: map[uint64]*request{}}
+	o.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetry: policy.Second},
+		Classes:  []string{"live", "paid"},
+		Host:     func(string) (uint32, bool) { return 7, o.listed },
+		OpenMost: 3, Silent: 2 * policy.Second, Half: 2 * policy.Second, Idle: 6 * policy.Second,
+		Quiet: func(conn uint64) bool { return conn%5 != 0 }})
+	o.p.Limit(6)
+	return o
+}
+
+func (o *simulation) take() {
+	effects, events := o.p.Take()
+	for _, a := range effects {
+		c := o.conns[a.Conn]
+		if c == nil || c.closedByFront || c.lost {
+			o.Fatalf("%q written to closed connection %d: %+v", a.Bytes, a.Conn, c)
+		}
+		for text := range strings.Lines(string(a.Bytes)) {
+			l, err := wire.ParseLine([]byte(strings.TrimSuffix(text, "\n")))
+			if r := o.requests[l.Sid]; err == nil && r != nil {
+				o.checkLine(a.Conn, l, r)
+			}
+		}
+		c.closedByFront = c.closedByFront || a.Close
+	}
+	for _, e := range events {
+		switch e := e.(type) {
+		case front.Ask:
+			r := o.requests[e.ID]
+			if r.held || r.answers > 0 && !r.ambiguous {
+				o.Fatalf("request passed on twice: %+v", r)
+			}
+			r.held = true
+		case front.Adopt:
+			r := o.requests[e.ID]
+			if !r.restored || r.held || r.ended && !r.ambiguous {
+				o.Fatalf("session restored twice or after its end: %+v", r)
+			}
+			r.held, r.playing = true, true
+		case front.Leave:
+			if r := o.requests[e.Session]; r.held {
+				r.held, r.playing = false, false
+			}
+		}
+	}
+}
+
+func (o *simulation) checkLine(conn uint64, l wire.Line, r *request) {
+	switch {
+	case r.ambiguous || l.Msg == wire.LineClosed:
+	case l.Msg == wire.LineReady:
+		if r.answers++; r.answers > 1 || conn != r.conn || r.restored {
+			o.Fatalf("%+v to %+v on %d", l, r, conn)
+		}
+	case l.Msg == wire.LineClose && l.Code == wire.CauseMalformed:
+	case l.Msg == wire.LineClose || l.Msg == wire.LineRelocate:
+		if stood := r.answers == 1 || r.restored; r.ended || !stood && conn != r.conn {
+			o.Fatalf("%+v to %+v on %d", l, r, conn)
+		}
+		r.ended = true
+		r.answers = max(r.answers, 1)
+	}
+}
+
+func pick[V any](o *simulation, list []V) (v V, ok bool) {
+	if len(list) == 0 {
+		return v, false
+	}
+	return list[rapid.IntRange(0, len(list)-1).Draw(o.T, "which")], true
+}
+
+func (o *simulation) clientSends(conn uint64, text string) {
+	var in In
+	in.Line, in.Err = wire.ParseLine([]byte(text))
+	o.p.Received(o.now, o.now, conn, []In{in}, nil, rapid.IntRange(0, 9).Draw(o.T, "half") == 0, func(id uint64) bool {
+		r := o.requests[id]
+		return r != nil && r.held
+	})
+}
+
+func (o *simulation) step() {
+	var connIDs []uint64
+	for conn := uint64(1); conn <= o.lastConn; conn++ {
+		if c := o.conns[conn]; c != nil && !c.lost {
+			connIDs = append(connIDs, conn)
+		}
+	}
+	conn, haveConn := pick(o, connIDs)
+	open := haveConn && !o.conns[conn].closedByFront
+	sid, haveSession := pick(o, o.ids)
+	r := o.requests[sid]
+	switch n := rapid.IntRange(0, 15).Draw(o.T, "what"); {
+	case n <= 1:
+		o.lastConn++
+		o.conns[o.lastConn] = &simulatedConn{}
+		o.p.Accepted(o.now, o.lastConn)
+	case n <= 4 && haveConn:
+		id := uint64(100 + len(o.ids))
+		o.ids = append(o.ids, id)
+		o.requests[id] = &request{conn: conn}
+		o.clientSends(conn, openLine(id, usualAttrs))
+	case n == 5 && haveConn:
+		id := uint64(100 + len(o.ids))
+		o.ids = append(o.ids, id)
+		o.requests[id] = &request{conn: conn, restored: true}
+		o.clientSends(conn, restoreLine(id, "s-7"))
+	case n == 6 && haveConn && haveSession && open: // the same id is used again
+		if r.ambiguous = r.ambiguous || !r.restored || r.ended || r.cancelled; r.restored {
+			o.clientSends(conn, restoreLine(sid, "s-7"))
+		} else {
+			o.clientSends(conn, openLine(sid, usualAttrs))
+		}
+	case n == 7 && haveConn && haveSession:
+		if open && (r.answers > 0 || r.restored || conn == r.conn) {
+			r.cancelled = true
+		}
+		o.clientSends(conn, closeLine(sid))
+	case n == 8 && haveConn:
+		o.conns[conn].lost = true
+		o.p.Lost(o.now, conn)
+	case n <= 11 && haveSession && r.held && !r.playing: // the core answers
+		var e front.Effect = front.Plays{Session: sid, Text: "here"}
+		switch rapid.IntRange(0, 3).Draw(o.T, "answer") {
+		case 0:
+			e = front.Refused{Session: sid, After: 100 * ms}
+		case 1:
+			e = front.Failed{Session: sid}
+		}
+		_, r.playing = e.(front.Plays)
+		r.held = r.playing
+		if !o.p.Do(o.now, e) && r.playing {
+			r.held, r.playing = false, false
+		}
+	case n == 12 && haveSession && r.held && r.playing: // the core ends it
+		r.held, r.playing = false, false
+		var e front.Effect = front.Over{Session: sid, Why: front.WhyEnd}
+		switch rapid.IntRange(0, 2).Draw(o.T, "end") {
+		case 0:
+			e = front.Moved{Session: sid}
+		case 1:
+			e = front.Over{Session: sid, Why: front.WhyLeft}
+			r.cancelled = true
+		}
+		o.p.Do(o.now, e)
+	case n == 13:
+		o.listed = rapid.Bool().Draw(o.T, "listed")
+		o.p.Limit(rapid.IntRange(1, 8).Draw(o.T, "most"))
+	default:
+		o.now += Time(rapid.IntRange(1, 900).Draw(o.T, "ms")) * ms
+		o.p.Tick(o.now)
+	}
+	o.take()
+}
+
+// check compares the Protocol's state with itself and with what the core holds.
+func (o *simulation) check() {
+	for conn, c := range o.p.conns {
+		if sim := o.conns[conn]; sim == nil || sim.lost || sim.closedByFront != c.closed {
+			o.Fatalf("connection %d: %+v, the Protocol has %+v", conn, sim, c)
+		}
+		established := 0
+		for _, s := range o.p.sessions {
+			if s.established && s.conn == conn {
+				established++
+			}
+		}
+		if c.established != established {
+			o.Fatalf("connection %d: %d sessions counted, %d established", conn, c.established, established)
+		}
+		for sid := range c.openRequests {
+			if s := o.p.sessions[sid]; s == nil || s.established || s.conn != conn {
+				o.Fatalf("session %d is open on connection %d: %+v", sid, conn, s)
+			}
+		}
+	}
+	for sid, s := range o.p.sessions {
+		r := o.requests[sid]
+		_, pendingRestore := o.p.pendingRestore[sid]
+		if r.held == pendingRestore || !pendingRestore && r.playing != s.established || r.ended && !r.ambiguous {
+			o.Fatalf("session %d: the core has %+v, the Protocol %+v, restore pending: %v", sid, r, s, pendingRestore)
+		}
+		if c := o.p.conns[s.conn]; !s.established && (c == nil || c.closed || !c.openRequests[sid]) {
+			o.Fatalf("session %d is open on no connection", sid)
+		}
+	}
+	for sid, r := range o.requests {
+		if r.held && o.p.sessions[sid] == nil {
+			o.Fatalf("session %d is held only by the core: %+v", sid, r)
+		}
+	}
+}
+
+// Whatever the order of events: a request gets one answer, on its connection; a session ends once; nothing is written
+// to a closed connection; the core and the Protocol hold the same sessions.
+func TestInvariantsUnderAnyEventOrder(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		o := newSimulation(t)
+		for range rapid.IntRange(1, 300).Draw(t, "steps") {
+			o.step()
+			o.check()
+		}
+	})
+}
--- /dev/null
+++ b/internal/platform/viewers/receive.go
@@ -0,0 +1,123 @@
+package viewers
+
+import (
+	"errors"
+	"fmt"
+
+	"tealledge/internal/front"
+	"tealledge/internal/platform/wire"
+)
+
+// Input from viewers: every line is validated before any of it is passed on.
+
+// Input is a line that was read, or the error in reading it.
+type In struct {
+	Line wire.Line
+	Err  error
+}
+
+// Received handles lines that were read together. broken is the error after which the stream can't be read any further,
+// partial reports whether an incomplete line follows them, and inUse whether the core still uses a session's id.
+func (p *Desk) Received(now, read Time, conn uint64, inputs []In, broken error, partial bool, inUse func(uint64) bool) {
+	p.now = now
+	c := p.conns[conn]
+	if c == nil || c.closed {
+		return
+	}
+	c.lastReceivedAt = now
+	if !partial {
+		c.partialSince = 0
+	} else if c.partialSince == 0 || len(inputs) > 0 {
+		c.partialSince = now
+	}
+	cancelled := cancelledRequests(inputs)
+	for _, in := range inputs {
+		if c.closed {
+			return
+		}
+		if in.Err != nil {
+			p.reject(c, in.Line.Sid, in.Err)
+			continue
+		}
+		p.handleLine(c, read, in.Line, cancelled, inUse)
+	}
+	if broken != nil && !c.closed {
+		p.reject(c, 0, broken)
+	}
+}
+
+// cancelledRequests finds the requests that are cancelled in the same batch of lines. Otherwise hundreds of them would
+// each be set up at a server and ended again.
+func cancelledRequests(list []In) map[uint64]bool {
+	var requested, cancelled map[uint64]bool
+	for _, in := range list {
+		switch {
+		case in.Err != nil || in.Line.Sid == 0:
+		case in.Line.Msg == wire.LineOpen:
+			if requested == nil {
+				requested = map[uint64]bool{}
+			}
+			requested[in.Line.Sid] = true
+		case in.Line.Msg == wire.LineClose && requested[in.Line.Sid]:
+			if cancelled == nil {
+				cancelled = map[uint64]bool{}
+			}
+			cancelled[in.Line.Sid] = true
+		}
+	}
+	return cancelled
+}
+
+// reject answers invalid input. Without an id the client can't match the answer to a request: the connection is closed.
+func (p *Desk) reject(c *client, sid uint64, err error) {
+	p.Stats.BadLines++
+	p.Stats.LastBad = truncated(err)
+	reply := p.format(&wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseMalformed,
+		Attrs: map[string]string{"error": truncated(err)}})
+	if sid == 0 {
+		p.closeConn(c, reply)
+		return
+	}
+	p.send(c, reply)
+}
+
+// truncated returns the first 100 bytes of the error's text.
+func truncated(err error) string {
+	text := err.Error()
+	return text[:min(len(text), 100)]
+}
+
+// handleLine handles a line that could be parsed.
+func (p *Desk) handleLine(c *client, read Time, line wire.Line, cancelled map[uint64]bool, inUse func(uint64) bool) {
+	switch line.Msg {
+	case wire.LineOpen:
+		if cancelled[line.Sid] {
+			p.Stats.TakenBack++
+			p.remember(line.Sid)
+			return
+		}
+		p.handleOpen(c, read, line, inUse)
+	case wire.LineClose:
+		s := p.sessions[line.Sid]
+		_, recently := p.recent[line.Sid]
+		// An established session may be ended on any connection; a request may be cancelled only on its own.
+		// Otherwise one client could cancel the request of another that still waits for its answer.
+		if s == nil && !recently || s != nil && !s.established && s.conn != c.id {
+			p.reject(c, line.Sid, errors.New("no such session"))
+			return
+		}
+		c.sentValidLine = true
+		if s != nil {
+			p.forget(line.Sid)
+			p.events = append(p.events, front.Leave{Session: line.Sid})
+		}
+		p.send(c, p.format(&wire.Line{Msg: wire.LineClosed, Sid: line.Sid}))
+	case wire.LineProbe:
+		c.sentValidLine = true
+		p.send(c, p.format(&wire.Line{Msg: wire.LineProbed, Sid: line.Sid, Code: 1}))
+	case wire.LineClosed:
+		c.sentValidLine = true
+	default:
+		p.reject(c, line.Sid, fmt.Errorf("no message of viewers: %.16q", line.Msg))
+	}
+}
--- /dev/null
+++ b/internal/platform/viewers/replies.go
@@ -0,0 +1,124 @@
+package viewers
+
+import (
+	"strconv"
+
+	"tealledge/internal/front"
+	"tealledge/internal/platform/wire"
+	"tealledge/policy"
+)
+
+// Messages to viewers: answers to requests, and the ends of sessions.
+
+// releaseTimeout is how long the end of a session waits for a connection on which it can be sent.
+const releaseTimeout = 8 * policy.Second
+
+// format encodes a line; it returns nil for one that can't be encoded.
+func (p *Desk) format(line *wire.Line) []byte {
+	b, err := line.Append(nil)
+	if err != nil { // only a line with an invalid description can't be encoded
+		return nil
+	}
+	return b
+}
+
+// send writes bytes to a connection, unless it is closed.
+func (p *Desk) send(c *client, b []byte) {
+	if len(b) > 0 && !c.closed {
+		p.effects = append(p.effects, Effect{Conn: c.id, Bytes: b})
+	}
+}
+
+// Apply carries out an effect of the core. Effects that do not concern viewers are ignored. It returns false if an
+// answer could not be sent, as for a description that does not fit a line: the session must be ended.
+func (p *Desk) Do(now Time, effect front.Effect) bool {
+	p.now = now
+	switch e := effect.(type) {
+	case front.Plays:
+		s := p.sessions[e.Session]
+		if s == nil {
+			return false
+		}
+		c := p.conns[s.conn]
+		b := p.format(&wire.Line{Msg: wire.LineReady, Sid: e.Session, Text: e.Text})
+		if c == nil || b == nil {
+			if c != nil {
+				p.send(c, p.format(&wire.Line{Msg: wire.LineClose, Sid: e.Session, Code: wire.CauseError}))
+			}
+			p.forget(e.Session)
+			return false
+		}
+		delete(c.openRequests, e.Session)
+		s.established = true
+		c.established++
+		p.send(c, b)
+	case front.Refused:
+		if c := p.closeRequest(e.Session); c != nil {
+			p.refuse(c, e.Session, e.After)
+		}
+	case front.Failed:
+		if c := p.closeRequest(e.Session); c != nil {
+			p.send(c, p.format(&wire.Line{Msg: wire.LineClose, Sid: e.Session, Code: wire.CauseError}))
+		}
+	case front.Moved:
+		p.sendEnd(e.Session, wire.Line{Msg: wire.LineRelocate, Sid: e.Session})
+	case front.Over:
+		switch e.Why {
+		case front.WhyLeft: // its viewer ended it at the server and needs no message
+			p.forget(e.Session)
+		case front.WhyEnd:
+			p.sendEnd(e.Session, wire.Line{Msg: wire.LineClose, Sid: e.Session, Code: wire.CauseGivenUp})
+		default:
+			p.sendEnd(e.Session, wire.Line{Msg: wire.LineClose, Sid: e.Session, Code: wire.CauseReset})
+		}
+	}
+	return true
+}
+
+// closeRequest forgets a request that is refused or has failed, and returns its connection.
+func (p *Desk) closeRequest(sid uint64) *client {
+	s := p.sessions[sid]
+	if s == nil {
+		return nil
+	}
+	p.forget(sid)
+	return p.conns[s.conn]
+}
+
+// refuse sends a refusal, with the time after which the client may retry if that is configured.
+func (p *Desk) refuse(c *client, sid uint64, after Time) {
+	line := wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseRefused}
+	if after > 0 && p.cfg.Settings.RetryAfter {
+		line.Attrs = map[string]string{"wait": strconv.FormatInt((after+policy.Millisecond-1)/policy.Millisecond, 10)}
+	}
+	p.send(c, p.format(&line))
+}
+
+// sendEnd sends the end of an established session to its viewer: on the connection of its request, else on another one
+// with established sessions, else on the next connection that gets one.
+func (p *Desk) sendEnd(sid uint64, line wire.Line) {
+	s := p.sessions[sid]
+	if s == nil {
+		return
+	}
+	p.forget(sid)
+	b := p.format(&line)
+	c := p.conns[s.conn]
+	if c == nil || c.closed {
+		c = nil
+		for _, other := range p.conns {
+			if !other.closed && other.established > 0 &&
+				(c == nil || other.lastReceivedAt > c.lastReceivedAt ||
+					other.lastReceivedAt == c.lastReceivedAt && other.id < c.id) {
+				c = other
+			}
+		}
+	}
+	if c == nil {
+		if len(p.pendingRelease) < maxRecent {
+			p.pendingRelease[sid] = pendingRelease{b, p.now + releaseTimeout}
+		}
+		return
+	}
+	p.send(c, b)
+}
--- /dev/null
+++ b/internal/platform/viewers/requests.go
@@ -0,0 +1,177 @@
+package viewers
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"tealledge/internal/front"
+	"tealledge/internal/platform/wire"
+	"tealledge/policy"
+)
+
+// Requests: parsed completely, or answered with an error.
+
+// handleOpen handles a request for a session.
+func (p *Desk) handleOpen(c *client, read Time, line wire.Line, inUse func(uint64) bool) {
+	ask, server, err := p.parseRequest(line)
+	s := p.sessions[line.Sid]
+	_, used := p.recent[line.Sid]
+	if err == nil && server != "" && (s != nil && s.established || used) {
+		p.restoreAgain(c, line.Sid, s)
+		return
+	}
+	if s != nil || used || inUse(line.Sid) {
+		// Two requests with the same id can't be distinguished on this connection, so both end. A request on another
+		// connection continues. An id that was in use a moment ago may still be in use at a server.
+		p.Stats.BadAsks++
+		if s != nil && s.conn == c.id && c.openRequests[line.Sid] {
+			p.forget(line.Sid)
+			p.events = append(p.events, front.Leave{Session: line.Sid})
+		}
+		p.reject(c, line.Sid, errors.New("this id is in use"))
+		return
+	}
+	if err != nil {
+		p.Stats.BadAsks++
+		p.reject(c, line.Sid, err)
+		return
+	}
+	c.sentValidLine = true
+	if server != "" {
+		p.sessions[line.Sid] = &session{conn: c.id, established: true}
+		c.established++
+		p.pendingRestore[line.Sid] = pendingRestore{ask, server, p.now + restoreTimeout}
+		p.tryRestore(line.Sid)
+		return
+	}
+	if len(c.openRequests) >= p.cfg.OpenMost {
+		// Otherwise one connection could use up the whole capacity of the front. The request was never started: a
+		// retry is harmless.
+		p.Stats.Crowded++
+		p.refuse(c, line.Sid, p.cfg.Settings.MaxRetry)
+		p.remember(line.Sid)
+		return
+	}
+	p.sessions[line.Sid] = &session{conn: c.id}
+	c.openRequests[line.Sid] = true
+	ask.Player, ask.Read, ask.ID = c.id, read, line.Sid
+	p.events = append(p.events, ask)
+}
+
+// restoreTimeout is how long a session to restore waits for its server to be listed: the list that a front gets at
+// its start may be older than the session.
+const restoreTimeout = 1500 * policy.Millisecond
+
+// pendingRestore is a session to restore whose server is not listed yet.
+type pendingRestore struct {
+	ask      front.Ask
+	server   string
+	deadline Time
+}
+
+// tryRestore restores a session once its server is listed. If it were not kept until then, its client would be told
+// that the session has ended, or nobody would ever be notified of its end.
+func (p *Desk) tryRestore(sid uint64) {
+	e := p.pendingRestore[sid]
+	server, ok := p.cfg.Host(e.server)
+	switch {
+	case ok:
+		delete(p.pendingRestore, sid)
+		p.events = append(p.events, front.Adopt{Ask: e.ask, ID: sid, Server: server, Held: true})
+	case p.now >= e.deadline || len(p.pendingRestore) > maxRecent:
+		p.sendEnd(sid, wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseReset})
+	}
+}
+
+// restoreAgain handles a request to restore a session that is already held: it moves to the connection of the
+// request. If the session has ended, the reply says so. Treated as a second request with the same id, an established
+// session would be reported as ended.
+func (p *Desk) restoreAgain(c *client, sid uint64, s *session) {
+	c.sentValidLine = true
+	if s == nil {
+		reply := p.format(&wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseReset})
+		if pending, found := p.pendingRelease[sid]; found { // its end was waiting for a connection
+			reply = pending.bytes
+			delete(p.pendingRelease, sid)
+		}
+		p.send(c, reply)
+		return
+	}
+	if old := p.conns[s.conn]; old != nil {
+		old.established--
+	}
+	s.conn = c.id
+	c.established++
+}
+
+// Limits on the numbers in a request; larger ones are invalid on this platform.
+const (
+	maxWaitMs = 3_600_000 // ms
+	maxHintMs = 1e10      // ms
+	maxNumber = 10_000
+)
+
+// parseRequest parses and validates a request. server is the name of the server of a session to restore, or empty.
+func (p *Desk) parseRequest(line wire.Line) (ask front.Ask, server string, err error) {
+	class, ok := p.classes[line.Attrs["class"]]
+	if !ok {
+		return ask, "", fmt.Errorf("no class %.32q", line.Attrs["class"])
+	}
+	ask.Class = class
+	title, err := strconv.ParseUint(line.Attrs["key"], 16, 64)
+	if err != nil || len(line.Attrs["key"]) != 16 {
+		return ask, "", fmt.Errorf("no title %.32q", line.Attrs["key"])
+	}
+	ask.Title, ask.Name = title, line.Attrs["key"]
+	waitMs, waitOK := wire.ParseNumber(line.Attrs["left"])
+	if hint, given := line.Attrs["hint"]; given {
+		number, ok := wire.ParseNumber(hint)
+		if !ok || number < 0 || number > maxHintMs {
+			return ask, "", fmt.Errorf("hint %.32q", hint)
+		}
+		ask.Length, ask.Hinted = Time(number*float64(policy.Millisecond)), true
+	}
+	if retry, given := line.Attrs["retry"]; given {
+		number, ok := wire.ParseNumber(retry)
+		if !ok || number < 0 || number > maxNumber {
+			return ask, "", fmt.Errorf("retry %.32q", retry)
+		}
+		ask.Again = number > 0
+	}
+	ask.Home, ask.Top = -1, -1
+	for _, item := range strings.Split(line.Attrs["extras"], ";") {
+		key, value, _ := strings.Cut(item, ":")
+		n, parseErr := strconv.ParseUint(value, 10, 64)
+		count := int(min(n, maxNumber))
+		var wrong bool
+		switch key {
+		case "home":
+			ask.Home, wrong = count, parseErr != nil || count >= max(p.cfg.Settings.Cells, 1)
+		case "copies":
+			ask.Copies, wrong = count, parseErr != nil || count < 1 || count >= maxNumber
+		case "top":
+			ask.Top, wrong = count, parseErr != nil || count >= maxNumber
+		case "again":
+			ask.Again, wrong = ask.Again || n > 0, parseErr != nil
+		case "viewer":
+			ask.Viewer, parseErr = strconv.ParseUint(value, 16, 64)
+			wrong = parseErr != nil || len(value) != 16
+		case "at":
+			server, wrong = value, value == "" || len(value) > 256
+		}
+		if wrong {
+			return ask, "", fmt.Errorf("extras %.32q", item)
+		}
+	}
+	if server == "" && (!waitOK || waitMs <= 0 || waitMs > maxWaitMs) { // a playing session has no waiting time
+		return ask, "", fmt.Errorf("left %.32q", line.Attrs["left"])
+	}
+	ask.Wait = Time(max(waitMs, 0) * float64(policy.Millisecond))
+	if ask.Home < 0 || ask.Copies < 1 || ask.Top < 0 || line.Text == "" {
+		return ask, "", errors.New("a set-up without all of its figures, or without a description")
+	}
+	ask.Text = line.Text
+	return ask, server, nil
+}
