--- a/cmd/tealledge/configs_test.go
+++ b/cmd/tealledge/configs_test.go
@@ -186,10 +186,10 @@
 func listOf(servers []*platformsim.Server, others int) []wire.Event {
 	e := wire.Event{Pos: 1, Hosts: &wire.Hosts{Whole: true, Hosts: []wire.Host{}}}
 	for _, s := range servers {
-		e.Hosts.Hosts = append(e.Hosts.Hosts, wire.Host{Name: s.Name(), Dial: s.Addr(), Health: wire.HostReady, Share: 10})
+		e.Hosts.Hosts = append(e.Hosts.Hosts, wire.Host{Name: s.Name(), Address: s.Addr(), Health: wire.HostReady, Share: 10})
 	}
 	for i := range others {
-		e.Hosts.Hosts = append(e.Hosts.Hosts, wire.Host{Name: fmt.Sprintf("other-%d", i), Dial: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Cell: 1 + i%9, Health: wire.HostReady, Share: 10})
+		e.Hosts.Hosts = append(e.Hosts.Hosts, wire.Host{Name: fmt.Sprintf("other-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Cell: 1 + i%9, Health: wire.HostReady, Share: 10})
 	}
 	return []wire.Event{e}
 }
--- a/cmd/tealledge/demo.go
+++ b/cmd/tealledge/demo.go
@@ -40,8 +40,8 @@
 	}
 	set := s.Service.Service
 	farm, err := mediasim.New(mediasim.Params{Ladder: set.RungKB, Slots: s.Slots, LinkKB: s.LinkKB, UplinkKB: s.UplinkKB, Racks: set.Racks,
-		Cells: set.Cells, SetupTime: s.SetupTime, ReportEvery: s.ReportEvery, NotesLate: time.Duration(set.SeeLate),
-		TellEvery: time.Duration(set.TellEvery), Inline: true, Keep: s.Keep}, c.Servers, nil)
+		Cells: set.Cells, SetupTime: s.SetupTime, ReportEvery: s.ReportEvery, NotesLate: time.Duration(set.NoteDelay),
+		TellEvery: time.Duration(set.NoteInterval), Inline: true, Keep: s.Keep}, c.Servers, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/tealledge/platform.go
+++ b/cmd/tealledge/platform.go
@@ -31,10 +31,10 @@
 	if err != nil {
 		return err
 	}
-	if err := cfg.Check(); err != nil {
+	if err := cfg.CheckEnvironment(); err != nil {
 		return err
 	}
-	procs, memory := cfg.Limits()
+	procs, memory := cfg.RuntimeLimits()
 	runtime.GOMAXPROCS(procs)
 	if memory > 0 {
 		debug.SetMemoryLimit(int64(float64(memory) * memoryPart))
@@ -52,7 +52,7 @@
 			case syscall.SIGHUP:
 				n.Reload()
 			case syscall.SIGTERM:
-				n.Leave()
+				n.Shutdown()
 			default:
 				stop()
 			}
--- a/decide/admit/admit.go
+++ b/decide/admit/admit.go
@@ -13,8 +13,8 @@
 
 // Kinds of queue items.
 const (
-	Ask      Kind = iota // a player's new request
-	News                 // a change to an accepted request: its result, a lost connection, a player leaving
+	Request  Kind = iota // a player's new request
+	Outcome              // a change to an accepted request: its result, a lost connection, a player leaving
 	Advisory             // notes and server lists, which a newer one replaces
 )
 
@@ -35,9 +35,9 @@
 )
 
 // Admit decides on one item for a queue that holds length items of at most capacity.
-func Enter(kind Kind, length, capacity int) Verdict {
+func Admit(kind Kind, length, capacity int) Verdict {
 	switch {
-	case kind == Ask && float64(length) >= requestShare*float64(capacity):
+	case kind == Request && float64(length) >= requestShare*float64(capacity):
 		return Refuse
 	case kind == Advisory && float64(length) >= advisoryShare*float64(capacity):
 		return Refuse
@@ -49,11 +49,11 @@
 
 // PastDeadline reports whether a request has expired in the queue before the module saw it. Such a request is refused
 // and not started. now and deadline are module clock readings in nanoseconds.
-func Late(now, deadline policy.Time) bool { return now >= deadline }
+func PastDeadline(now, deadline policy.Time) bool { return now >= deadline }
 
 // RetryAfter returns the retry delay for a refused request: maxDelay from the settings, less up to half of it in
 // proportion to random (0 to 1), so that requests refused together are not retried together.
-func ComeBack(maxDelay policy.Time, random float64) policy.Time {
+func RetryAfter(maxDelay policy.Time, random float64) policy.Time {
 	return maxDelay - policy.Time(float64(maxDelay)*random/2)
 }
 
@@ -66,7 +66,7 @@
 // ReadWindowAfterStall returns how long a front only reads its sockets after its process was stalled. All its timers
 // are then due at once, while the responses that they wait for are still unread in the sockets. This also covers a
 // machine that was suspended. The cost: timeouts that are really due take effect that much later.
-func Standstill(gap policy.Time) (readFor policy.Time) {
+func ReadWindowAfterStall(gap policy.Time) (readFor policy.Time) {
 	if gap < stallThreshold {
 		return 0
 	}
--- a/decide/admit/admit_test.go
+++ b/decide/admit/admit_test.go
@@ -9,7 +9,7 @@
 func TestFillingQueueRefusesRequestsBeforeOutcomes(t *testing.T) {
 	const capacity = 100
 	for length := 0; length <= capacity; length++ {
-		request, outcome, advisory := Enter(Ask, length, capacity), Enter(News, length, capacity), Enter(Advisory, length, capacity)
+		request, outcome, advisory := Admit(Request, length, capacity), Admit(Outcome, length, capacity), Admit(Advisory, length, capacity)
 		if (request == Refuse) != (length >= 50) || request == Wait {
 			t.Errorf("request at queue length %d: verdict %d", length, request)
 		}
@@ -24,14 +24,14 @@
 
 func TestRetryDelaysAreSpreadWithinMaximum(t *testing.T) {
 	const maxDelay = 2 * policy.Second
-	if ComeBack(maxDelay, 0) != maxDelay || ComeBack(maxDelay, 1) != maxDelay/2 || ComeBack(0, 0.5) != 0 {
-		t.Error(ComeBack(maxDelay, 0), ComeBack(maxDelay, 1))
+	if RetryAfter(maxDelay, 0) != maxDelay || RetryAfter(maxDelay, 1) != maxDelay/2 || RetryAfter(0, 0.5) != 0 {
+		t.Error(RetryAfter(maxDelay, 0), RetryAfter(maxDelay, 1))
 	}
 }
 
 func TestReadsSocketsBeforeTimersAfterStall(t *testing.T) {
-	if Standstill(50*policy.Millisecond) != 0 || Standstill(policy.Second) <= 0 ||
-		Standstill(policy.Second) > 50*policy.Millisecond {
-		t.Error(Standstill(50*policy.Millisecond), Standstill(policy.Second))
+	if ReadWindowAfterStall(50*policy.Millisecond) != 0 || ReadWindowAfterStall(policy.Second) <= 0 ||
+		ReadWindowAfterStall(policy.Second) > 50*policy.Millisecond {
+		t.Error(ReadWindowAfterStall(50*policy.Millisecond), ReadWindowAfterStall(policy.Second))
 	}
 }
--- a/decide/fate/fate.go
+++ b/decide/fate/fate.go
@@ -13,10 +13,10 @@
 
 // Progress values.
 const (
-	Unsent   Progress = iota // no byte was handed to an established connection
-	Partly                   // writing started, but the last byte was never handed to the kernel
-	Written                  // the last byte may have been sent
-	Accepted                 // the server answered SETUP with 200: the session runs or did run
+	Unsent        Progress = iota // no byte was handed to an established connection
+	PartlyWritten                 // writing started, but the last byte was never handed to the kernel
+	Written                       // the last byte may have been sent
+	Accepted                      // the server answered SETUP with 200: the session runs or did run
 )
 
 // Cause is the reason why an attempt ended.
@@ -24,31 +24,31 @@
 
 // Causes.
 const (
-	DialRefused Cause = iota // no connection: refused, unreachable or timed out
-	Expired                  // the attempt timed out
-	Broke                    // the connection failed: reset, end of stream, or data that is not RTSP
-	Withdrawn                // cancelled by the front: the server drains, or the viewer left
-	Answered                 // the server responded with a status other than 200
+	DialFailed     Cause = iota // no connection: refused, unreachable or timed out
+	Expired                     // the attempt timed out
+	ConnectionLost              // the connection failed: reset, end of stream, or data that is not RTSP
+	Cancelled                   // cancelled by the front: the server drains, or the viewer left
+	ErrorResponse               // the server responded with a status other than 200
 )
 
 // StatusOf returns the module's status for an attempt that ended with this progress and cause. For ErrorResponse,
 // code is the RTSP status of the first request that was not answered with 200 (RFC 7826 section 17).
-func Of(progress Progress, cause Cause, code int) policy.Status {
+func StatusOf(progress Progress, cause Cause, code int) policy.Status {
 	switch cause {
-	case Answered:
+	case ErrorResponse:
 		return errorResponseStatus(progress, code)
-	case DialRefused:
-		if progress <= Partly {
+	case DialFailed:
+		if progress <= PartlyWritten {
 			return policy.NoConnect
 		}
-		return policy.ResetConn
-	case Broke:
+		return policy.ConnReset
+	case ConnectionLost:
 		// A request whose last byte was never written can't be complete at the server, and a server runs complete
 		// requests only.
-		if progress <= Partly {
+		if progress <= PartlyWritten {
 			return policy.NoConnect
 		}
-		return policy.ResetConn
+		return policy.ConnReset
 	case Expired:
 		// Unsent at the timeout means that no connection was established: this counts as a failure of the server, and
 		// the set-up never ran. PartlyWritten proves nothing here: the rest may still be written.
@@ -58,9 +58,9 @@
 		return policy.TimedOut
 	default:
 		if progress == Unsent {
-			return policy.Moot
+			return policy.NotSent
 		}
-		return policy.CancelledSt
+		return policy.Cancelled
 	}
 }
 
@@ -79,5 +79,5 @@
 
 // NeverRan reports whether a status proves that the attempt never ran.
 func NeverRan(status policy.Status) bool {
-	return status == policy.Full || status == policy.NoConnect || status == policy.Moot
+	return status == policy.Full || status == policy.NoConnect || status == policy.NotSent
 }
--- a/decide/fate/fate_test.go
+++ b/decide/fate/fate_test.go
@@ -8,17 +8,17 @@
 
 // TestStatusByProgressAndCause checks the complete table of progress by cause.
 func TestStatusByProgressAndCause(t *testing.T) {
-	const no, reset, late, moot, cancelled = policy.NoConnect, policy.ResetConn, policy.TimedOut, policy.Moot,
-		policy.CancelledSt
+	const no, reset, late, moot, cancelled = policy.NoConnect, policy.ConnReset, policy.TimedOut, policy.NotSent,
+		policy.Cancelled
 	want := map[Cause][4]policy.Status{ // unsent, partly, written, accepted
-		DialRefused: {no, no, reset, reset},
-		Expired:     {no, late, late, late},
-		Broke:       {no, no, reset, reset},
-		Withdrawn:   {moot, cancelled, cancelled, cancelled},
+		DialFailed:     {no, no, reset, reset},
+		Expired:        {no, late, late, late},
+		ConnectionLost: {no, no, reset, reset},
+		Cancelled:      {moot, cancelled, cancelled, cancelled},
 	}
 	for cause, row := range want {
 		for progress, status := range row {
-			if got := Of(Progress(progress), cause, 0); got != status {
+			if got := StatusOf(Progress(progress), cause, 0); got != status {
 				t.Errorf("cause %d at progress %d: status %d, want %d", cause, progress, got, status)
 			}
 		}
@@ -31,10 +31,10 @@
 		if code == 453 || code == 503 {
 			want = policy.Full
 		}
-		if got := Of(Written, Answered, code); got != want {
+		if got := StatusOf(Written, ErrorResponse, code); got != want {
 			t.Errorf("code %d in response to SETUP: status %d", code, got)
 		}
-		if got := Of(Accepted, Answered, code); got != policy.Errored {
+		if got := StatusOf(Accepted, ErrorResponse, code); got != policy.Errored {
 			t.Errorf("code %d in response to PLAY after an accepted SETUP: status %d", code, got)
 		}
 	}
@@ -44,8 +44,8 @@
 // that the set-up never ran.
 func TestWrittenSetupNeverCountsAsNeverRan(t *testing.T) {
 	for _, progress := range []Progress{Written, Accepted} {
-		for cause := DialRefused; cause < Answered; cause++ {
-			if NeverRan(Of(progress, cause, 0)) {
+		for cause := DialFailed; cause < ErrorResponse; cause++ {
+			if NeverRan(StatusOf(progress, cause, 0)) {
 				t.Errorf("cause %d at progress %d counts as never run", cause, progress)
 			}
 		}
--- a/decide/life/life.go
+++ b/decide/life/life.go
@@ -24,49 +24,51 @@
 )
 
 // Playlist describes the playlist that a session's player read last. The zero value means none yet.
-type List struct {
-	Target Time
-	Total  Time // duration of all its segments
-	Ended  bool // it has ENDLIST and is never reloaded
+type Playlist struct {
+	TargetDuration Time
+	TotalDuration  Time // duration of all its segments
+	Ended          bool // it has ENDLIST and is never reloaded
 }
 
 // ExpiresAt returns when a session expires if its player sends no further request. Until then it keeps its seat and
 // its place, even while it is unknown whether its player is still there: two sessions must not share a seat. openedAt
 // is when its request was answered, lastRequestAt when it last requested a playlist (0: not yet).
-func Ends(openedAt, lastRequestAt Time, playlist List) Time {
+func ExpiresAt(openedAt, lastRequestAt Time, playlist Playlist) Time {
 	switch {
 	case lastRequestAt == 0:
 		return openedAt + firstPlaylistTimeout
 	case playlist.Ended:
-		return lastRequestAt + min(playlist.Total+finishedIdleTimeout, maxFinishedTimeout)
+		return lastRequestAt + min(playlist.TotalDuration+finishedIdleTimeout, maxFinishedTimeout)
 	}
-	return lastRequestAt + max(maxMissedReloads*playlist.Target+reloadSlack, minLiveTimeout)
+	return lastRequestAt + max(maxMissedReloads*playlist.TargetDuration+reloadSlack, minLiveTimeout)
 }
 
 // ReloadsTooFast reports whether a reload follows the last one so soon that the playlist can't have changed and the
 // same text is served again.
-func TooFast(now, lastRequestAt Time, playlist List) bool {
+func ReloadsTooFast(now, lastRequestAt Time, playlist Playlist) bool {
 	return lastRequestAt > 0 && !playlist.Ended &&
-		now-lastRequestAt < max(Time(minReloadTargets*float64(playlist.Target)), minReloadInterval)
+		now-lastRequestAt < max(Time(minReloadTargets*float64(playlist.TargetDuration)), minReloadInterval)
 }
 
 // ThrottlesReload decides whether a player that reloads too fast is told to wait. A few fast reloads in a row come
 // from a player that seeks or has opened two variants; many come from a faulty one, which would cost as much as
 // dozens of others. The rejected player loses nothing: its session is kept alive all the same.
-func Turned(consecutiveFast int) bool { return consecutiveFast > maxFastReloads }
+func ThrottlesReload(consecutiveFast int) bool { return consecutiveFast > maxFastReloads }
 
 // Fresh reports whether a shared playlist may be served without a new request to its origin; a finished one always
 // may.
-func Fresh(age Time, playlist List) bool { return playlist.Ended || age < playlist.Target/2 }
+func Fresh(age Time, playlist Playlist) bool {
+	return playlist.Ended || age < playlist.TargetDuration/2
+}
 
 // Usable reports whether a playlist that could not be refreshed is better than none. With a live one older than two
 // target durations the player would only wait at its end, and another server may do better.
-func Usable(age Time, playlist List) bool {
-	return playlist.Ended || float64(age) <= maxLiveAgeTargets*float64(playlist.Target)
+func Usable(age Time, playlist Playlist) bool {
+	return playlist.Ended || float64(age) <= maxLiveAgeTargets*float64(playlist.TargetDuration)
 }
 
 // OwnsSession reports whether a request for a title comes from the player of an existing session: it carries the
 // session's cookie, or it names the same viewer. The viewer's name is trusted: a second request under it belongs to
 // the same session, whether the first reply was lost or the title was opened twice. Without a name or a cookie a
 // retry after a lost reply can't be told from a second viewer and counts as one: two viewers must not share a seat.
-func Claim(hasCookie, namesViewer bool) bool { return hasCookie || namesViewer }
+func OwnsSession(hasCookie, namesViewer bool) bool { return hasCookie || namesViewer }
--- a/decide/members/members.go
+++ b/decide/members/members.go
@@ -18,7 +18,7 @@
 )
 
 // Response is one response of the list service.
-type Answer struct {
+type Response struct {
 	Index   uint64 // version of the list (Consul: X-Consul-Index)
 	Entries []policy.Entry
 }
@@ -36,15 +36,15 @@
 
 // Verdicts.
 const (
-	Believed         Verdict = iota
-	Same                     // it contains nothing new
+	Accepted         Verdict = iota
+	Unchanged                // it contains nothing new
 	IndexWentBack            // the index went backwards: the old list is kept, the next response is read whole
 	EmptyUnconfirmed         // the list is empty and not accepted yet
 	TooLong                  // it has more than maxEntries entries
 )
 
 // Apply evaluates a response. If the verdict is Accepted, list is the whole list, to be passed to the module.
-func (v *View) Take(now policy.Time, response Answer) (list []policy.Entry, verdict Verdict) {
+func (v *View) Apply(now policy.Time, response Response) (list []policy.Entry, verdict Verdict) {
 	switch {
 	case len(response.Entries) > maxEntries:
 		return nil, TooLong
@@ -59,7 +59,7 @@
 			return nil, EmptyUnconfirmed
 		}
 	case response.Index == v.index && response.Index != 0:
-		return nil, Same
+		return nil, Unchanged
 	}
 	v.index = response.Index
 	if len(response.Entries) > 0 {
@@ -82,18 +82,18 @@
 			delete(v.drainingSince, id)
 		}
 	}
-	return v.List(), Believed
+	return v.List(), Accepted
 }
 
 // Index returns the version from which to request changes; 0 requests the whole list.
 func (v *View) Index() uint64 { return v.index }
 
 // EmptyPending reports whether an empty list awaits confirmation: the list is then requested again soon.
-func (v *View) Doubted() bool { return v.emptySince != 0 && len(v.entries) > 0 }
+func (v *View) EmptyPending() bool { return v.emptySince != 0 && len(v.entries) > 0 }
 
 // HandleRedirect records a server's own announcement that it drains. It returns the changed entry for the module and
 // whether there was a change.
-func (v *View) Redirected(server uint32, now policy.Time) (policy.Entry, bool) {
+func (v *View) HandleRedirect(server uint32, now policy.Time) (policy.Entry, bool) {
 	entry, ok := v.entries[server]
 	if !ok || entry.Health != policy.Ready {
 		return entry, false
--- a/decide/members/members_test.go
+++ b/decide/members/members_test.go
@@ -15,7 +15,7 @@
 
 func (v *View) mustApply(t *testing.T, now policy.Time, want Verdict, index uint64, ids ...uint32) []policy.Entry {
 	t.Helper()
-	list, got := v.Take(now, Answer{index, makeEntries(ids...)})
+	list, got := v.Apply(now, Response{index, makeEntries(ids...)})
 	if got != want {
 		t.Fatalf("index %d, %v: verdict %d, want %d", index, ids, got, want)
 	}
@@ -25,63 +25,63 @@
 func TestEmptyListIsAcceptedOnlyAfterDelay(t *testing.T) {
 	var v View
 	now := 100 * policy.Second
-	v.mustApply(t, now, Believed, 5, 1, 2)
+	v.mustApply(t, now, Accepted, 5, 1, 2)
 	v.mustApply(t, now, EmptyUnconfirmed, 6)
 	v.mustApply(t, now+emptyListDelay-1, EmptyUnconfirmed, 7)
-	if len(v.List()) != 2 || !v.Doubted() {
+	if len(v.List()) != 2 || !v.EmptyPending() {
 		t.Fatal("the old list was not kept")
 	}
-	v.mustApply(t, now+emptyListDelay, Believed, 7)
+	v.mustApply(t, now+emptyListDelay, Accepted, 7)
 	if len(v.List()) != 0 {
 		t.Fatal("the empty list was not accepted after the delay")
 	}
-	v.mustApply(t, now+emptyListDelay, Believed, 8, 1)
+	v.mustApply(t, now+emptyListDelay, Accepted, 8, 1)
 }
 
 func TestNonEmptyListResetsEmptyDelay(t *testing.T) {
 	var v View
-	v.mustApply(t, 1, Believed, 5, 1, 2)
+	v.mustApply(t, 1, Accepted, 5, 1, 2)
 	v.mustApply(t, 2, EmptyUnconfirmed, 6)
-	v.mustApply(t, 3, Believed, 7, 1, 2)
+	v.mustApply(t, 3, Accepted, 7, 1, 2)
 	v.mustApply(t, 3+emptyListDelay, EmptyUnconfirmed, 8)
 }
 
 func TestRemovalOfOneServerIsAcceptedAtOnce(t *testing.T) {
 	var v View
-	v.mustApply(t, 1, Believed, 5, 1, 2)
-	if list := v.mustApply(t, 2, Believed, 6, 2); len(list) != 1 {
+	v.mustApply(t, 1, Accepted, 5, 1, 2)
+	if list := v.mustApply(t, 2, Accepted, 6, 2); len(list) != 1 {
 		t.Fatal(list)
 	}
 }
 
 func TestIndexGoingBackKeepsOldList(t *testing.T) {
 	var v View
-	v.mustApply(t, 1, Believed, 50, 1, 2)
+	v.mustApply(t, 1, Accepted, 50, 1, 2)
 	v.mustApply(t, 2, IndexWentBack, 3, 9)
 	if v.Index() != 0 || len(v.List()) != 2 {
 		t.Fatal(v.Index(), v.List())
 	}
-	v.mustApply(t, 3, Believed, 3, 1)
-	v.mustApply(t, 4, Same, 3, 1)
+	v.mustApply(t, 3, Accepted, 3, 1)
+	v.mustApply(t, 4, Unchanged, 3, 1)
 }
 
 func TestRedirectOutlastsStaleList(t *testing.T) {
 	var v View
-	v.mustApply(t, 1, Believed, 5, 1, 2)
+	v.mustApply(t, 1, Accepted, 5, 1, 2)
 	now := 50 * policy.Second
-	if e, ok := v.Redirected(1, now); !ok || e.Health != policy.Draining {
+	if e, ok := v.HandleRedirect(1, now); !ok || e.Health != policy.Draining {
 		t.Fatal(e, ok)
 	}
-	if _, ok := v.Redirected(1, now); ok {
+	if _, ok := v.HandleRedirect(1, now); ok {
 		t.Fatal("a second REDIRECT was reported as a change")
 	}
-	if _, ok := v.Redirected(9, now); ok {
+	if _, ok := v.HandleRedirect(9, now); ok {
 		t.Fatal("accepted a REDIRECT of a server that is not listed")
 	}
-	if list := v.mustApply(t, now, Believed, 6, 1, 2); list[0].Health != policy.Draining {
+	if list := v.mustApply(t, now, Accepted, 6, 1, 2); list[0].Health != policy.Draining {
 		t.Fatal("a stale list cleared the draining state")
 	}
-	list, _ := v.Take(now, Answer{7, []policy.Entry{{Server: 1, Started: now + 1}}})
+	list, _ := v.Apply(now, Response{7, []policy.Entry{{Server: 1, Started: now + 1}}})
 	if list[0].Health != policy.Ready {
 		t.Fatal("a new process of the server did not clear the draining state")
 	}
@@ -89,7 +89,7 @@
 
 func TestRefusesListOverMaxEntries(t *testing.T) {
 	var v View
-	if _, got := v.Take(1, Answer{1, make([]policy.Entry, maxEntries+1)}); got != TooLong {
+	if _, got := v.Apply(1, Response{1, make([]policy.Entry, maxEntries+1)}); got != TooLong {
 		t.Fatal(got)
 	}
 }
--- a/decide/overload/limits.go
+++ b/decide/overload/limits.go
@@ -23,7 +23,7 @@
 
 // Check decides whether one more request may wait, given the numbers already waiting: in all, of its connection and
 // of its tenant.
-func (l Limits) Room(front, connection, tenant int, tenants int) Full {
+func (l Limits) Check(front, connection, tenant int, tenants int) Full {
 	switch {
 	case connection >= l.Connection:
 		return ConnectionFull // caused by this connection itself, so it is reported as such
@@ -48,25 +48,25 @@
 
 // Verdicts.
 const (
-	Now Verdict = iota
-	Later
-	Away
+	Accept Verdict = iota
+	Delay
+	Reject
 )
 
 // HandshakeLimiter paces handshakes: after a restart thousands of players reconnect at once, and each handshake costs
 // as much as a request. It is a token bucket with a bounded queue behind it. The cost: the last players of a group
 // that connects at once wait a moment.
-type Door struct {
+type HandshakeLimiter struct {
 	PerSecond float64
 	Burst     float64
-	Line      Time // longest wait in the queue; beyond it the connection is rejected
+	MaxDelay  Time // longest wait in the queue; beyond it the connection is rejected
 	tokens    float64
 	updatedAt Time
 }
 
 // Admit decides on a complete handshake: accepted at once, accepted after a delay, or rejected with the time after
 // which to retry.
-func (l *Door) Come(now Time) (Verdict, Time) {
+func (l *HandshakeLimiter) Admit(now Time) (Verdict, Time) {
 	if l.updatedAt == 0 {
 		l.tokens = l.Burst
 	} else {
@@ -77,10 +77,10 @@
 	switch {
 	case wait <= 0:
 		l.tokens--
-		return Now, 0
-	case wait <= l.Line:
+		return Accept, 0
+	case wait <= l.MaxDelay:
 		l.tokens-- // below zero: it takes its place in the queue
-		return Later, wait
+		return Delay, wait
 	}
-	return Away, wait
+	return Reject, wait
 }
--- a/decide/overload/overload.go
+++ b/decide/overload/overload.go
@@ -38,7 +38,7 @@
 }
 
 // RateLimiter decides which requests are admitted.
-type Gate struct {
+type RateLimiter struct {
 	flows        []flow
 	intervalEnd  Time // end of the current interval
 	minWait      Time // shortest wait in the interval
@@ -49,8 +49,8 @@
 }
 
 // New returns a rate limiter for flows of these weights (worth of the class times the tenant's share).
-func New(weights []float64) *Gate {
-	l := &Gate{flows: make([]flow, len(weights))}
+func New(weights []float64) *RateLimiter {
+	l := &RateLimiter{flows: make([]flow, len(weights))}
 	for i, w := range weights {
 		l.flows[i] = flow{weight: max(w, 1e-9), admittedShare: 1}
 	}
@@ -58,13 +58,13 @@
 }
 
 // Limited reports whether requests are being refused.
-func (l *Gate) Limited() bool { return l.admittedRate > 0 }
+func (l *RateLimiter) Limited() bool { return l.admittedRate > 0 }
 
 // Rate returns the admitted requests a second, 0 for all.
-func (l *Gate) Rate() float64 { return l.admittedRate }
+func (l *RateLimiter) Rate() float64 { return l.admittedRate }
 
 // Admit decides on a new request of a flow.
-func (l *Gate) Admit(now Time, flowIndex int) bool {
+func (l *RateLimiter) Admit(now Time, flowIndex int) bool {
 	l.tick(now, 0)
 	if flowIndex < 0 || flowIndex >= len(l.flows) {
 		return true // unknown class: its parameters are refused later
@@ -83,7 +83,7 @@
 }
 
 // ObserveWait records how long a request waited before the owner took it, and how many are still waiting.
-func (l *Gate) Waited(now, wait Time, backlog int) {
+func (l *RateLimiter) ObserveWait(now, wait Time, backlog int) {
 	l.tick(now, backlog)
 	if l.taken == 0 || wait < l.minWait {
 		l.minWait = wait
@@ -92,7 +92,7 @@
 }
 
 // tick updates the rates at the end of an interval.
-func (l *Gate) tick(now Time, backlog int) {
+func (l *RateLimiter) tick(now Time, backlog int) {
 	if l.intervalEnd == 0 {
 		l.intervalEnd = now + interval
 	}
@@ -133,7 +133,7 @@
 }
 
 // distribute spreads the rate over the flows by weight; what one flow does not use goes to the others.
-func (l *Gate) distribute() {
+func (l *RateLimiter) distribute() {
 	left, weights := l.admittedRate, 0.0
 	for i := range l.flows {
 		l.flows[i].admittedShare = -1
--- a/decide/overload/overload_test.go
+++ b/decide/overload/overload_test.go
@@ -13,7 +13,7 @@
 
 // server simulates a queue served at a fixed rate behind a RateLimiter, in virtual time.
 type server struct {
-	limiter   *Gate
+	limiter   *RateLimiter
 	perSecond float64
 	queue     []item
 	budget    float64
@@ -44,7 +44,7 @@
 		for s.budget = min(s.budget+s.perSecond/1000, 10); s.budget >= 1 && len(s.queue) > 0; {
 			it := s.queue[0]
 			s.queue = s.queue[1:]
-			s.limiter.Waited(now, now-it.at, len(s.queue))
+			s.limiter.ObserveWait(now, now-it.at, len(s.queue))
 			if Stale(now-it.at, s.limiter.Limited()) {
 				s.stale++
 				s.budget -= 0.05
@@ -173,28 +173,28 @@
 		{9, 2, 5, 2, NotFull}, {10, 2, 5, 2, FrontFull}, {9, 3, 5, 2, ConnectionFull}, {10, 3, 6, 2, ConnectionFull},
 		{9, 2, 6, 2, TenantFull}, {9, 2, 6, 1, NotFull},
 	} {
-		if got := l.Room(c.front, c.conn, c.tenant, c.tenants); got != c.want {
+		if got := l.Check(c.front, c.conn, c.tenant, c.tenants); got != c.want {
 			t.Errorf("%+v: limit %q", c, got)
 		}
 	}
 }
 
 func TestHandshakeLimiterPacesReconnects(t *testing.T) {
-	limiter := Door{PerSecond: 100, Burst: 50, Line: policy.Second}
+	limiter := HandshakeLimiter{PerSecond: 100, Burst: 50, MaxDelay: policy.Second}
 	now, at := 5*policy.Second, map[Time]int{}
 	admitted, rejected := 0, 0
 	for range 500 {
-		switch v, wait := limiter.Come(now); v {
-		case Now:
+		switch v, wait := limiter.Admit(now); v {
+		case Accept:
 			admitted++
 			at[0]++
-		case Later:
+		case Delay:
 			admitted++
 			at[wait/(100*ms)]++
 			if wait > policy.Second {
 				t.Fatal("delayed by", wait)
 			}
-		case Away:
+		case Reject:
 			rejected++
 		}
 	}
@@ -206,7 +206,7 @@
 			t.Errorf("%d handshakes are accepted within a tenth of a second", n)
 		}
 	}
-	if v, _ := limiter.Come(now + 3*policy.Second); v != Now {
+	if v, _ := limiter.Admit(now + 3*policy.Second); v != Accept {
 		t.Error("no handshake is accepted after 3 s without any")
 	}
 }
--- a/decide/paths/pace.go
+++ b/decide/paths/pace.go
@@ -8,7 +8,7 @@
 //
 // Without it the connection pools of all fronts together could overload a server that is still cold. The cost: a
 // connection that is only kept warm waits. One that a viewer's set-up needs does not wait, but is counted.
-type Pace struct {
+type Pacer struct {
 	global    tokenBucket
 	servers   map[uint32]*tokenBucket
 	notBefore map[uint32]Time // restarted servers: until then only viewers' connects are allowed
@@ -36,7 +36,7 @@
 }
 
 // Restarted records that a server's process is new. Each front draws its own random value (0 to 1).
-func (p *Pace) Restarted(server uint32, now Time, random float64) {
+func (p *Pacer) Restarted(server uint32, now Time, random float64) {
 	if p.notBefore == nil {
 		p.notBefore = map[uint32]Time{}
 	}
@@ -46,7 +46,7 @@
 }
 
 // Allow decides on a connect. One that a viewer waits for is always allowed, but it is counted.
-func (p *Pace) Allow(server uint32, now Time, forViewer bool) bool {
+func (p *Pacer) Allow(server uint32, now Time, forViewer bool) bool {
 	if p.servers == nil {
 		p.servers = map[uint32]*tokenBucket{}
 	}
--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -122,11 +122,11 @@
 }
 
 // InBackoff reports whether a path is not to be tried for now.
-func (p *Path) Resting(now Time) bool { return now < p.backoffUntil }
+func (p *Path) InBackoff(now Time) bool { return now < p.backoffUntil }
 
 // halfOpen reports whether the backoff of a path has ended without a response since: it is tried again by a connect
 // alone.
-func (p *Path) halfOpen(now Time) bool { return p.backoff > 0 && !p.Resting(now) }
+func (p *Path) halfOpen(now Time) bool { return p.backoff > 0 && !p.InBackoff(now) }
 
 // Order returns the paths to connect to for a viewer's set-up, best first. Half-open paths come after working ones.
 // Paths in backoff are only returned if there are no others: a server all of whose addresses failed must be found
@@ -134,7 +134,7 @@
 func (s *Set) Order(now Time) (list []int) {
 	rank := func(p *Path) int {
 		switch {
-		case p.Resting(now):
+		case p.InBackoff(now):
 			return 2
 		case p.halfOpen(now):
 			return 1
@@ -173,7 +173,7 @@
 
 // FallbackFits decides whether there is still time to fall back to another address: the next holder of the title
 // needs its time too. spent is the time since the set-up was requested, aim the latency target of the class.
-func Worth(spent, aim Time) bool { return aim <= 0 || spent < aim/3 }
+func FallbackFits(spent, aim Time) bool { return aim <= 0 || spent < aim/3 }
 
 // Connected records a successful connect.
 func (s *Set) Connected(i int, now, took Time) {
@@ -188,7 +188,7 @@
 }
 
 // Responded records a response on a path: it not only accepts connections but works.
-func (s *Set) Proved(i int, now Time) {
+func (s *Set) Responded(i int, now Time) {
 	p := &s.Paths[i]
 	p.backoff, p.backoffUntil, p.workedAt = 0, 0, now
 }
@@ -207,7 +207,7 @@
 }
 
 // ResetFailures clears all failures: the server's process is a new one, and they say nothing about it.
-func (s *Set) Forgive() {
+func (s *Set) ResetFailures() {
 	for i := range s.Paths {
 		p := &s.Paths[i]
 		p.failures, p.backoff, p.backoffUntil = 0, 0, 0
@@ -216,16 +216,16 @@
 
 // ConnectionClosed records the end of a connection. If it closes soon after it was established, or without any
 // response, the path has failed; the end of a long and useful connection says nothing about the path.
-func (s *Set) Broke(i int, now, openedAt Time, responded bool) {
+func (s *Set) ConnectionClosed(i int, now, openedAt Time, responded bool) {
 	if !responded || now-openedAt < minUsefulLifetime {
 		s.Failed(i, now)
 	}
 }
 
 // Unreachable reports whether every path is in backoff: only then does the server itself count as unreachable.
-func (s *Set) Dark(now Time) bool {
+func (s *Set) Unreachable(now Time) bool {
 	for i := range s.Paths {
-		if !s.Paths[i].Resting(now) {
+		if !s.Paths[i].InBackoff(now) {
 			return false
 		}
 	}
@@ -235,7 +235,7 @@
 // RecheckDue returns a path whose backoff has ended and that should be tried again by a connect and an OPTIONS,
 // without a viewer's set-up on it; ok is false if there is none. It is for servers whose other paths work: otherwise
 // viewers' set-ups try the path soon enough.
-func (s *Set) Recheck(now Time) (i int, ok bool) {
+func (s *Set) RecheckDue(now Time) (i int, ok bool) {
 	for i := range s.Paths {
 		if s.Paths[i].halfOpen(now) {
 			return i, true
--- a/decide/paths/paths_test.go
+++ b/decide/paths/paths_test.go
@@ -30,8 +30,8 @@
 		"two failed":                             {func(s *Set) { s.Failed(2, start); s.Failed(1, start) }, []int{0}},
 		"all failed: all are tried":              {func(s *Set) { s.Failed(2, start); s.Failed(1, start); s.Failed(0, start) }, []int{2, 1, 0}},
 		"half-open: after the working ones":      {func(s *Set) { s.Failed(2, start-5*policy.Second) }, []int{1, 0, 2}},
-		"responded again, an old failure counts": {func(s *Set) { s.Failed(2, start-5*policy.Second); s.Proved(2, start) }, []int{1, 0, 2}},
-		"failed long ago: no longer counts":      {func(s *Set) { s.Failed(2, start-5*policy.Second*100/2); s.Proved(2, start) }, []int{2, 1, 0}},
+		"responded again, an old failure counts": {func(s *Set) { s.Failed(2, start-5*policy.Second); s.Responded(2, start) }, []int{1, 0, 2}},
+		"failed long ago: no longer counts":      {func(s *Set) { s.Failed(2, start-5*policy.Second*100/2); s.Responded(2, start) }, []int{2, 1, 0}},
 	} {
 		s := threePaths()
 		c.do(s)
@@ -44,13 +44,13 @@
 func TestServerIsUnreachableOnlyWhenAllPathsFailed(t *testing.T) {
 	s := threePaths()
 	for i := range s.Paths {
-		if s.Dark(start) {
+		if s.Unreachable(start) {
 			t.Fatal("unreachable although a path was not tried")
 		}
 		s.Failed(i, start)
 	}
-	if !s.Dark(start) || s.Dark(start+2*policy.Second) {
-		t.Fatal("unreachable after all failed, and 2 s later:", s.Dark(start), s.Dark(start+2*policy.Second))
+	if !s.Unreachable(start) || s.Unreachable(start+2*policy.Second) {
+		t.Fatal("unreachable after all failed, and 2 s later:", s.Unreachable(start), s.Unreachable(start+2*policy.Second))
 	}
 }
 
@@ -62,20 +62,20 @@
 		if got := s.Paths[0].backoffUntil - now; got != want*policy.Second {
 			t.Fatalf("backoff %v, want %d s", got, want)
 		}
-		if _, ok := s.Recheck(now); ok {
+		if _, ok := s.RecheckDue(now); ok {
 			t.Fatal("recheck due during the backoff")
 		}
 		now = s.Paths[0].backoffUntil
-		if i, ok := s.Recheck(now); !ok || i != 0 {
+		if i, ok := s.RecheckDue(now); !ok || i != 0 {
 			t.Fatal("no recheck due after the backoff")
 		}
 		s.Connected(0, now, ms) // accepting a connection proves nothing
-		if _, ok := s.Recheck(now); !ok {
+		if _, ok := s.RecheckDue(now); !ok {
 			t.Fatal("a connect alone ended the failed state")
 		}
 	}
-	s.Proved(0, now)
-	if _, ok := s.Recheck(now); ok || s.Paths[0].Resting(now) {
+	s.Responded(0, now)
+	if _, ok := s.RecheckDue(now); ok || s.Paths[0].InBackoff(now) {
 		t.Fatal("a response did not end the failed state")
 	}
 }
@@ -92,8 +92,8 @@
 		"open for long with responses":     {10 * policy.Second, true, false},
 	} {
 		s := threePaths()
-		s.Broke(1, start, start-c.lifetime, c.responded)
-		if s.Paths[1].Resting(start) != c.backsOff {
+		s.ConnectionClosed(1, start, start-c.lifetime, c.responded)
+		if s.Paths[1].InBackoff(start) != c.backsOff {
 			t.Errorf("%s: in backoff: %v", name, !c.backsOff)
 		}
 	}
@@ -111,7 +111,7 @@
 	if d := s.Delay(0, 30*ms, 2); d > 10*ms {
 		t.Error("delay with 30 ms left for three paths:", d)
 	}
-	if !Worth(100*ms, policy.Second) || Worth(400*ms, policy.Second) {
+	if !FallbackFits(100*ms, policy.Second) || FallbackFits(400*ms, policy.Second) {
 		t.Error("FallbackFits is wrong")
 	}
 }
@@ -122,7 +122,7 @@
 	if !s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "[::1]:5", Family: IPv6}, {Addr: "9.9.9.9:1", Family: IPv4}}) {
 		t.Error("a change was not reported")
 	}
-	if len(s.Paths) != 2 || !s.Paths[0].Resting(start) || s.Paths[1].Resting(start) {
+	if len(s.Paths) != 2 || !s.Paths[0].InBackoff(start) || s.Paths[1].InBackoff(start) {
 		t.Fatalf("%+v", s.Paths)
 	}
 	if s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "9.9.9.9:1", Family: IPv4}}) {
@@ -135,7 +135,7 @@
 func TestPacesConnectsToRestartedServer(t *testing.T) {
 	seen := 0
 	for front := range 50 {
-		var p Pace
+		var p Pacer
 		p.Restarted(7, start, float64(front)/50)
 		connected := false
 		for now := Time(start); now < start+policy.Second; now += 50 * ms {
@@ -148,7 +148,7 @@
 	if seen > 27 || seen < 20 { // without pacing all fifty connect in the first tick
 		t.Error(seen, "connects in the first second")
 	}
-	var p Pace
+	var p Pacer
 	allowed := 0
 	for range 100 {
 		if p.Allow(7, start, false) {
--- a/decide/recovery/recovery.go
+++ b/decide/recovery/recovery.go
@@ -34,13 +34,13 @@
 
 // Stages. InFlight is stored before a paid SETUP is sent; safe set-ups are stored once they play.
 const (
-	Out   Stage = iota // a paid set-up may have been sent
-	Plays              // its player was sent the reply that it plays
+	InFlight Stage = iota // a paid set-up may have been sent
+	Playing               // its player was sent the reply that it plays
 )
 
 // Session is the stored record of a session.
 type Session struct {
-	Ask     policy.Ask
+	Ask     policy.SessionSpec
 	Name    string // of the title at its server; "": named by its number
 	Server  uint32
 	Attempt int
@@ -59,40 +59,40 @@
 	// Forget: no server can still hold anything of it.
 	Forget Action = iota
 	// Restore: query its server whether the stream plays, and hold it for its player meanwhile.
-	Adopt
+	Restore
 	// TearDown: no player will resume it, but its server may still play it.
 	TearDown
 	// CountSeat: a paid set-up that may have run and can't be queried. It is never sent again; its seat is counted
 	// until no server can still hold it.
-	Haunt
+	CountSeat
 )
 
 // DecideSession decides on a session. lastAliveAt is the last time that the front is known to have run, resumeWindow
 // how long a player may be away. until is when a restored session that no player resumed, or a counted seat, is
 // dropped.
-func Judge(now, lastAliveAt, resumeWindow Time, s Session) (action Action, until Time) {
+func DecideSession(now, lastAliveAt, resumeWindow Time, s Session) (action Action, until Time) {
 	if s.At > now+maxClockStepBack || lastAliveAt > now+maxClockStepBack {
 		// The clock has changed, so the age of the record is unknown. A stream with a known ID can be torn down at
 		// any age; a seat without one is counted for as long as it may last from now.
 		if s.Stream != "" {
 			return TearDown, 0
 		}
-		return Haunt, now + StreamTTL
+		return CountSeat, now + StreamTTL
 	}
 	downtime := max(now-max(lastAliveAt, s.At), 0)
 	switch {
 	case downtime >= StreamTTL:
 		return Forget, 0
-	case s.Stage == Out && s.Stream == "":
-		return Haunt, max(s.At, lastAliveAt) + StreamTTL
-	case s.Stage == Out:
+	case s.Stage == InFlight && s.Stream == "":
+		return CountSeat, max(s.At, lastAliveAt) + StreamTTL
+	case s.Stage == InFlight:
 		return TearDown, 0 // accepted, but its player was never sent the reply and will request again
 	case s.Stream == "":
-		return Haunt, max(s.At, lastAliveAt) + StreamTTL
+		return CountSeat, max(s.At, lastAliveAt) + StreamTTL
 	case resumeWindow <= 0 || downtime >= resumeWindow:
 		return TearDown, 0
 	}
-	return Adopt, max(lastAliveAt, s.At) + resumeWindow
+	return Restore, max(lastAliveAt, s.At) + resumeWindow
 }
 
 // Server is the stored record of a server.
@@ -155,7 +155,7 @@
 }
 
 // StoreHealth is the state of the front's own store, as seen by its writes.
-type Health struct {
+type StoreHealth struct {
 	failedAt   Time
 	reported   bool
 	slowWrites int
@@ -165,18 +165,18 @@
 	// WriteTimeout is how long a paid set-up waits for its record to be written. With a longer wait, a disk that
 	// hangs would hold set-ups past their players' deadlines. The cost of going on without the record: after a crash
 	// its seat is not counted.
-	WriteWait     = 100 * policy.Millisecond
+	WriteTimeout  = 100 * policy.Millisecond
 	maxSlowWrites = 3                  // consecutive writes that reached WriteTimeout
 	retryInterval = 30 * policy.Second // after which a failed store is tried again
 )
 
 // RecordWrite records the result of a write. report is set if the failure is to be reported to the operators, once
 // for each period of failure.
-func (h *Health) Wrote(now, took Time, err error) (report bool) {
+func (h *StoreHealth) RecordWrite(now, took Time, err error) (report bool) {
 	switch {
 	case err != nil:
 		h.failedAt = now
-	case took >= WriteWait:
+	case took >= WriteTimeout:
 		if h.slowWrites++; h.slowWrites >= maxSlowWrites {
 			h.failedAt = now
 		}
@@ -194,4 +194,6 @@
 }
 
 // ShouldWait reports whether a paid set-up waits for its record: not if the store fails or hangs.
-func (h *Health) Waits(now Time) bool { return h.failedAt == 0 || now-h.failedAt >= retryInterval }
+func (h *StoreHealth) ShouldWait(now Time) bool {
+	return h.failedAt == 0 || now-h.failedAt >= retryInterval
+}
--- a/decide/recovery/recovery_test.go
+++ b/decide/recovery/recovery_test.go
@@ -21,22 +21,22 @@
 		want        Action
 		until       Time
 	}{
-		"playing a moment ago":                          {Session{Stage: Plays, Stream: "x", At: ago(30)}, ago(2), Adopt, ago(2) + resumeWindow},
-		"playing, resume window over":                   {Session{Stage: Plays, Stream: "x", At: ago(30)}, ago(10), TearDown, 0},
-		"playing so long ago that the stream has ended": {Session{Stage: Plays, Stream: "x", At: ago(90)}, ago(60), Forget, 0},
-		"written after the front was last alive":        {Session{Stage: Plays, Stream: "x", At: ago(1)}, ago(20), Adopt, ago(1) + resumeWindow},
-		"a paid set-up in flight":                       {Session{Stage: Out, At: ago(3)}, ago(2), Haunt, ago(2) + StreamTTL},
-		"a paid set-up in flight, long ago":             {Session{Stage: Out, At: ago(70)}, ago(61), Forget, 0},
-		"accepted, but its player got no reply":         {Session{Stage: Out, Stream: "x", At: ago(3)}, ago(2), TearDown, 0},
-		"the clock stepped back, stream known":          {Session{Stage: Plays, Stream: "x", At: ago(-300)}, ago(-300), TearDown, 0},
-		"the clock stepped back, stream unknown":        {Session{Stage: Out, At: ago(-300)}, ago(-300), Haunt, now + StreamTTL},
-		"the clock stepped back a little":               {Session{Stage: Plays, Stream: "x", At: ago(-1)}, ago(-1), Adopt, ago(-1) + resumeWindow},
+		"playing a moment ago":                          {Session{Stage: Playing, Stream: "x", At: ago(30)}, ago(2), Restore, ago(2) + resumeWindow},
+		"playing, resume window over":                   {Session{Stage: Playing, Stream: "x", At: ago(30)}, ago(10), TearDown, 0},
+		"playing so long ago that the stream has ended": {Session{Stage: Playing, Stream: "x", At: ago(90)}, ago(60), Forget, 0},
+		"written after the front was last alive":        {Session{Stage: Playing, Stream: "x", At: ago(1)}, ago(20), Restore, ago(1) + resumeWindow},
+		"a paid set-up in flight":                       {Session{Stage: InFlight, At: ago(3)}, ago(2), CountSeat, ago(2) + StreamTTL},
+		"a paid set-up in flight, long ago":             {Session{Stage: InFlight, At: ago(70)}, ago(61), Forget, 0},
+		"accepted, but its player got no reply":         {Session{Stage: InFlight, Stream: "x", At: ago(3)}, ago(2), TearDown, 0},
+		"the clock stepped back, stream known":          {Session{Stage: Playing, Stream: "x", At: ago(-300)}, ago(-300), TearDown, 0},
+		"the clock stepped back, stream unknown":        {Session{Stage: InFlight, At: ago(-300)}, ago(-300), CountSeat, now + StreamTTL},
+		"the clock stepped back a little":               {Session{Stage: Playing, Stream: "x", At: ago(-1)}, ago(-1), Restore, ago(-1) + resumeWindow},
 	} {
-		if action, until := Judge(now, c.lastAliveAt, resumeWindow, c.s); action != c.want || until != c.until {
+		if action, until := DecideSession(now, c.lastAliveAt, resumeWindow, c.s); action != c.want || until != c.until {
 			t.Errorf("%s: action %v until %v", name, action, until)
 		}
 	}
-	if action, _ := Judge(now, ago(1), 0, Session{Stage: Plays, Stream: "x", At: ago(2)}); action != TearDown {
+	if action, _ := DecideSession(now, ago(1), 0, Session{Stage: Playing, Stream: "x", At: ago(2)}); action != TearDown {
 		t.Error("a session is held although players may not resume")
 	}
 }
@@ -46,10 +46,10 @@
 func TestPaidSetupIsNotForgottenWhileItMayRun(t *testing.T) {
 	for writtenAt := Time(-100); writtenAt <= 100; writtenAt += 7 {
 		for lastAliveAt := Time(-100); lastAliveAt <= 100; lastAliveAt += 7 {
-			s := Session{Stage: Out, At: now + writtenAt*policy.Second}
-			action, until := Judge(now, now+lastAliveAt*policy.Second, resumeWindow, s)
+			s := Session{Stage: InFlight, At: now + writtenAt*policy.Second}
+			action, until := DecideSession(now, now+lastAliveAt*policy.Second, resumeWindow, s)
 			mayRun := now-s.At < StreamTTL
-			if mayRun && (action != Haunt || until < s.At+StreamTTL && s.At <= now) {
+			if mayRun && (action != CountSeat || until < s.At+StreamTTL && s.At <= now) {
 				t.Fatalf("written at %d, last alive at %d: action %v until %d", writtenAt, lastAliveAt, action, until-now)
 			}
 		}
@@ -94,22 +94,22 @@
 // TestFailingStoreDoesNotDelaySetups: a failing store is reported once for each period of failure, and is tried
 // again.
 func TestFailingStoreDoesNotDelaySetups(t *testing.T) {
-	var h Health
-	if !h.Waits(now) || h.Wrote(now, 1, nil) {
+	var h StoreHealth
+	if !h.ShouldWait(now) || h.RecordWrite(now, 1, nil) {
 		t.Fatal("a working store is not waited for, or reported as failed")
 	}
-	if !h.Wrote(now, 1, errors.New("disk full")) || h.Wrote(now, 1, errors.New("disk full")) || h.Waits(now+1) {
+	if !h.RecordWrite(now, 1, errors.New("disk full")) || h.RecordWrite(now, 1, errors.New("disk full")) || h.ShouldWait(now+1) {
 		t.Error("a failing store is not reported exactly once, or is waited for")
 	}
-	if later := now + retryInterval; !h.Waits(later) || h.Wrote(later, 1, nil) || !h.Waits(later+1) {
+	if later := now + retryInterval; !h.ShouldWait(later) || h.RecordWrite(later, 1, nil) || !h.ShouldWait(later+1) {
 		t.Error("a failed store is not tried again")
 	}
 	for i := range maxSlowWrites {
-		if report := h.Wrote(now, WriteWait, nil); report != (i == maxSlowWrites-1) {
+		if report := h.RecordWrite(now, WriteTimeout, nil); report != (i == maxSlowWrites-1) {
 			t.Error("reported after slow write", i, report)
 		}
 	}
-	if h.Waits(now + 1) {
+	if h.ShouldWait(now + 1) {
 		t.Error("a slow store delays set-ups")
 	}
 }
--- a/decide/upkeep/progress.go
+++ b/decide/upkeep/progress.go
@@ -23,54 +23,54 @@
 )
 
 // Timeouts bound the steps.
-type Times struct {
-	Hear  Time // from a grant until fronts that have not acknowledged it are no longer waited for
-	Drain Time // from then until the machines go out with the sessions that are still on them
-	Late  Time // beyond the requested duration, until machines not reported back are taken back
-	Back  Time // at a cold server's pace; the machines still count as out
+type Timeouts struct {
+	AckTimeout    Time // from a grant until fronts that have not acknowledged it are no longer waited for
+	DrainTimeout  Time // from then until the machines go out with the sessions that are still on them
+	ReturnTimeout Time // beyond the requested duration, until machines not reported back are taken back
+	WarmUpTime    Time // at a cold server's pace; the machines still count as out
 }
 
 // Progress is the known state of granted work.
-type Course struct {
-	Step     Step
-	Since    Time
-	For      Time
-	Unheard  []string // present fronts that have not acknowledged the grant
-	Unsaid   []string // present fronts that have not reported the sessions on the machines since
-	Standing int      // known sessions on the machines
+type Progress struct {
+	Step              Step
+	Since             Time
+	WorkDuration      Time
+	Unacknowledged    []string // present fronts that have not acknowledged the grant
+	Unreported        []string // present fronts that have not reported the sessions on the machines since
+	RemainingSessions int      // known sessions on the machines
 }
 
 // Next returns the step that the work enters now, if any, until when that step may last, and why.
-func (t Times) Next(now Time, progress Course) (next Step, until Time, why string, ok bool) {
+func (t Timeouts) Next(now Time, progress Progress) (next Step, until Time, why string, ok bool) {
 	elapsed := now - progress.Since
 	switch progress.Step {
 	case Granted:
 		switch {
-		case len(progress.Unheard) == 0:
-			return Draining, now + t.Drain, "every front here has heard", true
-		case elapsed >= t.Hear:
-			return Draining, now + t.Drain,
-				fmt.Sprintf("not heard within %v by %s", time.Duration(t.Hear), joinNames(progress.Unheard)), true
+		case len(progress.Unacknowledged) == 0:
+			return Draining, now + t.DrainTimeout, "every front here has heard", true
+		case elapsed >= t.AckTimeout:
+			return Draining, now + t.DrainTimeout,
+				fmt.Sprintf("not heard within %v by %s", time.Duration(t.AckTimeout), joinNames(progress.Unacknowledged)), true
 		}
 	case Draining:
 		switch {
-		case progress.Standing == 0 && len(progress.Unsaid) == 0:
-			return Out, now + progress.For + t.Late, "nothing stands there any more", true
-		case elapsed >= t.Drain && len(progress.Unsaid) > 0:
-			return Out, now + progress.For + t.Late,
-				fmt.Sprintf("%d sessions stand there after %v, and nothing is known from %s", progress.Standing,
-					time.Duration(t.Drain), joinNames(progress.Unsaid)), true
-		case elapsed >= t.Drain:
-			return Out, now + progress.For + t.Late,
-				fmt.Sprintf("%d sessions stand there after %v", progress.Standing, time.Duration(t.Drain)), true
+		case progress.RemainingSessions == 0 && len(progress.Unreported) == 0:
+			return Out, now + progress.WorkDuration + t.ReturnTimeout, "nothing stands there any more", true
+		case elapsed >= t.DrainTimeout && len(progress.Unreported) > 0:
+			return Out, now + progress.WorkDuration + t.ReturnTimeout,
+				fmt.Sprintf("%d sessions stand there after %v, and nothing is known from %s", progress.RemainingSessions,
+					time.Duration(t.DrainTimeout), joinNames(progress.Unreported)), true
+		case elapsed >= t.DrainTimeout:
+			return Out, now + progress.WorkDuration + t.ReturnTimeout,
+				fmt.Sprintf("%d sessions stand there after %v", progress.RemainingSessions, time.Duration(t.DrainTimeout)), true
 		}
 	case Out:
-		if elapsed >= progress.For+t.Late {
-			return Back, now + t.Back,
-				fmt.Sprintf("nobody said that it is done, %v after its time", time.Duration(t.Late)), true
+		if elapsed >= progress.WorkDuration+t.ReturnTimeout {
+			return Back, now + t.WarmUpTime,
+				fmt.Sprintf("nobody said that it is done, %v after its time", time.Duration(t.ReturnTimeout)), true
 		}
 	case Back:
-		if elapsed >= t.Back {
+		if elapsed >= t.WarmUpTime {
 			return Done, 0, "as warm as the others", true
 		}
 	}
@@ -79,7 +79,9 @@
 
 // MaxDuration is an upper bound of the time from a grant to its end: granted work is over by then, whatever fails,
 // while the fronts have a quorum. Together with the order of requests it bounds how long any request waits.
-func (t Times) Longest(work Time) Time { return t.Hear + t.Drain + work + t.Late + t.Back }
+func (t Timeouts) MaxDuration(work Time) Time {
+	return t.AckTimeout + t.DrainTimeout + work + t.ReturnTimeout + t.WarmUpTime
+}
 
 func joinNames(list []string) string {
 	const maxNames = 5
--- a/decide/upkeep/upkeep.go
+++ b/decide/upkeep/upkeep.go
@@ -32,8 +32,8 @@
 type Server struct {
 	ID         uint32
 	Rack, Zone int
-	KB         float64 // capacity of its link, kB a second
-	Used       float64 // kB a second that its sessions of all fronts need in the worst case
+	LinkKB     float64 // capacity of its link, kB a second
+	NeededKB   float64 // kB a second that its sessions of all fronts need in the worst case
 	Paid       int     // paid sessions on it
 	Failed     bool    // not ready, and not for work
 }
@@ -45,7 +45,7 @@
 }
 
 // Fleet is the state on which decisions are based. Servers are sorted by ID.
-type World struct {
+type Fleet struct {
 	Servers []Server
 	Fronts  []Front
 	RackKB  float64 // capacity of the uplink of a rack, kB a second; 0: as much as its servers
@@ -53,21 +53,21 @@
 	Groups [][]uint32
 	// UncertainReason is set if too little is known of the present sessions: no request that names servers is
 	// granted.
-	Unsure string
+	UncertainReason string
 	// HoldReason is set if no request is granted for another reason, such as a zone that is being vacated.
-	Held string
+	HoldReason string
 }
 
 // Request is a request for one piece of work. Its machines go out together or not at all.
-type Ask struct {
-	ID      uint64
-	Asked   Time
-	By      Time // the machines have to be back by then; 0: no deadline
-	For     Time
-	Servers []uint32
-	Fronts  []string
-	Out     bool // the work was granted and is not over
-	Emptied bool // if granted: no sessions are left on the machines
+type Request struct {
+	ID           uint64
+	RequestedAt  Time
+	Deadline     Time // the machines have to be back by then; 0: no deadline
+	WorkDuration Time
+	Servers      []uint32
+	Fronts       []string
+	Granted      bool // the work was granted and is not over
+	Drained      bool // if granted: no sessions are left on the machines
 }
 
 // Verdict is the decision on a waiting request.
@@ -75,9 +75,9 @@
 
 // Verdicts.
 const (
-	Wait  Verdict = iota
-	Go            // now
-	Never         // it can't be granted, or not in time
+	Wait   Verdict = iota
+	Grant          // now
+	Refuse         // it can't be granted, or not in time
 )
 
 // Answer is the decision on a request, with the reason if it is not granted.
@@ -94,11 +94,11 @@
 // same rack or zone, then by ID, oldest first. Requests without a deadline come after those that have one, except
 // that Patience reserves places for them. Without the rounds the last zone in the order would be worked on alone,
 // within its own limit, when all others are done.
-func Order(l Limits, fleet *World, requests []Ask) []Ask {
+func Order(l Limits, fleet *Fleet, requests []Request) []Request {
 	racks, zones := map[int]int{}, map[int]int{}
 	for i := range requests {
 		for _, id := range requests[i].Servers {
-			if s := fleet.server(id); s != nil && !requests[i].Out {
+			if s := fleet.server(id); s != nil && !requests[i].Granted {
 				racks[s.Rack]++
 				zones[s.Zone]++
 			}
@@ -110,16 +110,16 @@
 		kb, rounds := 0.0, 0
 		for _, id := range requests[i].Servers {
 			if s := fleet.server(id); s != nil {
-				kb += s.Used
+				kb += s.NeededKB
 				rounds = max(rounds, racks[s.Rack]/max(l.Rack, 1), zones[s.Zone]/max(l.Zone, 1))
 			}
 		}
 		keys[requests[i].ID] = key{bits.Len64(uint64(max(kb, 0))), rounds}
 	}
 	list := slices.Clone(requests)
-	slices.SortStableFunc(list, func(a, b Ask) int {
-		return cmp.Or(-cmp.Compare(boolToInt(a.By > 0), boolToInt(b.By > 0)),
-			cmp.Compare(a.By-a.For, b.By-b.For)*boolToInt(a.By > 0 && b.By > 0),
+	slices.SortStableFunc(list, func(a, b Request) int {
+		return cmp.Or(-cmp.Compare(boolToInt(a.Deadline > 0), boolToInt(b.Deadline > 0)),
+			cmp.Compare(a.Deadline-a.WorkDuration, b.Deadline-b.WorkDuration)*boolToInt(a.Deadline > 0 && b.Deadline > 0),
 			cmp.Compare(keys[a.ID].impact, keys[b.ID].impact),
 			-cmp.Compare(keys[a.ID].rounds, keys[b.ID].rounds), cmp.Compare(a.ID, b.ID))
 	})
@@ -134,30 +134,30 @@
 }
 
 // Decide answers every request that is not yet granted. All that it grants may go out at once.
-func Decide(now Time, l Limits, fleet *World, requests []Ask) []Answer {
+func Decide(now Time, l Limits, fleet *Fleet, requests []Request) []Answer {
 	u, idle := newUsage(l, fleet), newIdleUsage(l, fleet)
 	for i := range requests {
-		if requests[i].Out {
+		if requests[i].Granted {
 			u.add(&requests[i])
 		}
 	}
 	var answers []Answer
 	var reserved []reservation // for requests that have waited too long to be overtaken
 	for _, a := range Order(l, fleet, requests) {
-		if a.Out {
+		if a.Granted {
 			continue
 		}
 		if refusal := refusalOf(now, idle, fleet, &a); refusal.Why != "" {
-			refusal.ID, refusal.Verdict = a.ID, Never
+			refusal.ID, refusal.Verdict = a.ID, Refuse
 			answers = append(answers, refusal)
 			continue
 		}
-		if fleet.Held != "" {
-			answers = append(answers, Answer{ID: a.ID, Limit: "held", Why: fleet.Held})
+		if fleet.HoldReason != "" {
+			answers = append(answers, Answer{ID: a.ID, Limit: "held", Why: fleet.HoldReason})
 			continue
 		}
-		if fleet.Unsure != "" && len(a.Servers) > 0 {
-			answers = append(answers, Answer{ID: a.ID, Limit: "room", Why: fleet.Unsure})
+		if fleet.UncertainReason != "" && len(a.Servers) > 0 {
+			answers = append(answers, Answer{ID: a.ID, Limit: "room", Why: fleet.UncertainReason})
 			continue
 		}
 		if c, found := findConflict(reserved, fleet, &a); found {
@@ -168,12 +168,12 @@
 		answer, reservations := u.check(&a)
 		if answer.Why == "" {
 			u.add(&a)
-			answers = append(answers, Answer{ID: a.ID, Verdict: Go})
+			answers = append(answers, Answer{ID: a.ID, Verdict: Grant})
 			continue
 		}
 		answer.ID = a.ID
 		answers = append(answers, answer)
-		if now-a.Asked >= l.Patience {
+		if now-a.RequestedAt >= l.Patience {
 			reserved = append(reserved, reservations...)
 		}
 	}
@@ -182,13 +182,13 @@
 
 // ExceededLimit returns the reason of the limit that granted work whose machines are not out yet would exceed by now,
 // "" if none. Failures since the grant count, because granted work must not take further machines out after them.
-func Broken(l Limits, fleet *World, requests []Ask, id uint64) string {
+func ExceededLimit(l Limits, fleet *Fleet, requests []Request, id uint64) string {
 	u := newUsage(l, fleet)
-	var own *Ask
+	var own *Request
 	for i := range requests {
 		if requests[i].ID == id {
 			own = &requests[i]
-		} else if requests[i].Out {
+		} else if requests[i].Granted {
 			u.add(&requests[i])
 		}
 	}
@@ -200,13 +200,13 @@
 }
 
 // refusalOf returns why a request can't be granted, even with nothing else out and nothing failed, or not in time.
-func refusalOf(now Time, idle *usage, fleet *World, a *Ask) Answer {
+func refusalOf(now Time, idle *usage, fleet *Fleet, a *Request) Answer {
 	if len(a.Servers)+len(a.Fronts) == 0 {
 		return Answer{Limit: "machines", Why: "it names no machine"}
 	}
-	if a.By > 0 && now+a.For > a.By {
+	if a.Deadline > 0 && now+a.WorkDuration > a.Deadline {
 		return Answer{Limit: "by", Why: fmt.Sprintf("work of %v can't end in time: it is %v too late",
-			time.Duration(a.For), time.Duration(now+a.For-a.By).Round(time.Second))}
+			time.Duration(a.WorkDuration), time.Duration(now+a.WorkDuration-a.Deadline).Round(time.Second))}
 	}
 	for _, id := range a.Servers {
 		if fleet.server(id) == nil {
@@ -226,12 +226,12 @@
 }
 
 // newIdleUsage returns the usage of a fleet with nothing out, nothing failed and no sessions.
-func newIdleUsage(l Limits, fleet *World) *usage {
+func newIdleUsage(l Limits, fleet *Fleet) *usage {
 	idle := *fleet
 	idle.Servers, idle.Fronts = slices.Clone(fleet.Servers), slices.Clone(fleet.Fronts)
 	for i := range idle.Servers {
 		s := &idle.Servers[i]
-		s.Failed, s.Used, s.Paid = false, 0, 0
+		s.Failed, s.NeededKB, s.Paid = false, 0, 0
 	}
 	for i := range idle.Fronts {
 		idle.Fronts[i].Failed = false
@@ -239,7 +239,7 @@
 	return newUsage(l, &idle)
 }
 
-func (f *World) server(id uint32) *Server {
+func (f *Fleet) server(id uint32) *Server {
 	i, ok := slices.BinarySearchFunc(f.Servers, id, func(s Server, id uint32) int { return cmp.Compare(s.ID, id) })
 	if !ok {
 		return nil
--- a/decide/upkeep/upkeep_test.go
+++ b/decide/upkeep/upkeep_test.go
@@ -9,10 +9,10 @@
 )
 
 // grid returns a fleet of servers 1..racks*per, two racks a zone, each with a link of 100 kB a second.
-func grid(racks, per int) *World {
-	f := &World{}
+func grid(racks, per int) *Fleet {
+	f := &Fleet{}
 	for i := range racks * per {
-		f.Servers = append(f.Servers, Server{ID: uint32(i + 1), Rack: i / per, Zone: i / per / 2, KB: 100})
+		f.Servers = append(f.Servers, Server{ID: uint32(i + 1), Rack: i / per, Zone: i / per / 2, LinkKB: 100})
 	}
 	return f
 }
@@ -35,16 +35,16 @@
 func TestEachLimitBlocksRequest(t *testing.T) {
 	cases := map[string]struct {
 		limits  func(*Limits)
-		fleet   func(*World)
+		fleet   func(*Fleet)
 		servers []uint32
 	}{
 		"rack":    {limits: func(l *Limits) { l.Rack = 1 }, servers: []uint32{2}},
 		"racks":   {limits: func(l *Limits) { l.Racks = 1 }, servers: []uint32{5, 6, 7, 8}},
 		"zone":    {limits: func(l *Limits) { l.Zone = 4 }, servers: []uint32{5}},
 		"whole":   {limits: func(l *Limits) { l.Whole = 4 }, servers: []uint32{12}},
-		"holders": {limits: func(l *Limits) { l.Holders = 1 }, fleet: func(f *World) { f.Groups = [][]uint32{{1, 12}} }, servers: []uint32{12}},
-		"room":    {fleet: func(f *World) { f.Servers[11].Used = 750 }, servers: []uint32{5}},
-		"paid":    {limits: func(l *Limits) { l.Paid = 3 }, fleet: func(f *World) { f.Servers[0].Paid, f.Servers[11].Paid = 2, 2 }, servers: []uint32{12}},
+		"holders": {limits: func(l *Limits) { l.Holders = 1 }, fleet: func(f *Fleet) { f.Groups = [][]uint32{{1, 12}} }, servers: []uint32{12}},
+		"room":    {fleet: func(f *Fleet) { f.Servers[11].NeededKB = 750 }, servers: []uint32{5}},
+		"paid":    {limits: func(l *Limits) { l.Paid = 3 }, fleet: func(f *Fleet) { f.Servers[0].Paid, f.Servers[11].Paid = 2, 2 }, servers: []uint32{12}},
 	}
 	for limit, c := range cases {
 		l, f := looseLimits, grid(4, 4)
@@ -54,20 +54,20 @@
 		if c.fleet != nil {
 			c.fleet(f)
 		}
-		out := Ask{ID: 1, Servers: []uint32{1, 2, 3, 4}, Out: true}
+		out := Request{ID: 1, Servers: []uint32{1, 2, 3, 4}, Granted: true}
 		if limit == "rack" {
 			out.Servers = []uint32{1}
 		}
-		requests := []Ask{out, {ID: 2, Servers: c.servers}}
+		requests := []Request{out, {ID: 2, Servers: c.servers}}
 		if limit == "room" { // 12 of 16 servers stay in service, then 11
-			f.Servers[11].Used = 1150
+			f.Servers[11].NeededKB = 1150
 		}
 		got := answerTo(t, Decide(0, l, f, requests), 2)
 		if got.Verdict != Wait || got.Limit != limit || len(got.Behind) != 1 || got.Behind[0] != 1 {
 			t.Errorf("%s: %+v", limit, got)
 		}
-		requests[0].Out, requests[0].ID = false, 3
-		if got := answerTo(t, Decide(0, l, f, requests[1:]), 2); got.Verdict != Go {
+		requests[0].Granted, requests[0].ID = false, 3
+		if got := answerTo(t, Decide(0, l, f, requests[1:]), 2); got.Verdict != Grant {
 			t.Errorf("%s, with nothing out: %+v", limit, got)
 		}
 	}
@@ -80,11 +80,11 @@
 	f.Servers[0].Failed = true
 	l := looseLimits
 	l.Rack, l.Patience = 1, 1
-	answers := Decide(0, l, f, []Ask{{ID: 1, Servers: []uint32{2}}, {ID: 2, Servers: []uint32{1}}})
+	answers := Decide(0, l, f, []Request{{ID: 1, Servers: []uint32{2}}, {ID: 2, Servers: []uint32{1}}})
 	if a := answerTo(t, answers, 1); a.Verdict != Wait || a.Limit != "rack" || !strings.Contains(a.Why, "failed") {
 		t.Errorf("request for a server beside the failed one: %+v", a)
 	}
-	if a := answerTo(t, answers, 2); a.Verdict != Go {
+	if a := answerTo(t, answers, 2); a.Verdict != Grant {
 		t.Errorf("request for the failed server itself: %+v", a)
 	}
 }
@@ -94,19 +94,19 @@
 	f := grid(2, 4)
 	f.Groups = [][]uint32{{8}}
 	f.Servers[4].Failed = true // a failed server may recover, so it makes no request impossible
-	for why, a := range map[string]Ask{
+	for why, a := range map[string]Request{
 		"not even alone: rack": {ID: 1, Servers: []uint32{1, 2}},
 		"title":                {ID: 1, Servers: []uint32{8}},
 		"no server 99":         {ID: 1, Servers: []uint32{99}},
 		"no front":             {ID: 1, Fronts: []string{"x"}},
 		"names no machine":     {ID: 1},
-		"too late":             {ID: 1, Servers: []uint32{1}, For: 10e9, By: 9e9},
+		"too late":             {ID: 1, Servers: []uint32{1}, WorkDuration: 10e9, Deadline: 9e9},
 	} {
-		if got := answerTo(t, Decide(0, l, f, []Ask{a}), 1); got.Verdict != Never || !strings.Contains(got.Why, why) {
+		if got := answerTo(t, Decide(0, l, f, []Request{a}), 1); got.Verdict != Refuse || !strings.Contains(got.Why, why) {
 			t.Errorf("%s: %+v", why, got)
 		}
 	}
-	if got := answerTo(t, Decide(0, l, f, []Ask{{ID: 1, Servers: []uint32{6}}}), 1); got.Verdict != Wait {
+	if got := answerTo(t, Decide(0, l, f, []Request{{ID: 1, Servers: []uint32{6}}}), 1); got.Verdict != Wait {
 		t.Errorf("request for a server beside the failed one: %+v", got)
 	}
 }
@@ -116,8 +116,8 @@
 func TestPatienceReservesPlace(t *testing.T) {
 	l := looseLimits
 	l.Whole, l.Patience = 4, 100
-	requests := []Ask{{ID: 1, Servers: []uint32{9}, Out: true}, {ID: 2, Asked: 0, Servers: []uint32{1, 2, 3, 4}}, {ID: 3, Asked: 50, Servers: []uint32{10}}}
-	if a := answerTo(t, Decide(99, l, grid(3, 4), requests), 3); a.Verdict != Go {
+	requests := []Request{{ID: 1, Servers: []uint32{9}, Granted: true}, {ID: 2, RequestedAt: 0, Servers: []uint32{1, 2, 3, 4}}, {ID: 3, RequestedAt: 50, Servers: []uint32{10}}}
+	if a := answerTo(t, Decide(99, l, grid(3, 4), requests), 3); a.Verdict != Grant {
 		t.Errorf("before the patience is over: %+v", a)
 	}
 	if a := answerTo(t, Decide(100, l, grid(3, 4), requests), 3); a.Verdict != Wait || len(a.Behind) != 1 || a.Behind[0] != 2 {
@@ -129,11 +129,11 @@
 // for the end would be worked on alone.
 func TestOrder(t *testing.T) {
 	f := grid(8, 2) // two racks a zone
-	f.Servers[4].Used = 500
+	f.Servers[4].NeededKB = 500
 	l := looseLimits
 	l.Rack, l.Zone = 1, 2
-	requests := []Ask{{ID: 1, Servers: []uint32{5}}, {ID: 2, Servers: []uint32{1}}, {ID: 3, Servers: []uint32{13}}, {ID: 4, Servers: []uint32{14}},
-		{ID: 5, Servers: []uint32{9}, For: 5, By: 100}, {ID: 6, Servers: []uint32{10}, For: 50, By: 100}}
+	requests := []Request{{ID: 1, Servers: []uint32{5}}, {ID: 2, Servers: []uint32{1}}, {ID: 3, Servers: []uint32{13}}, {ID: 4, Servers: []uint32{14}},
+		{ID: 5, Servers: []uint32{9}, WorkDuration: 5, Deadline: 100}, {ID: 6, Servers: []uint32{10}, WorkDuration: 50, Deadline: 100}}
 	var got []uint64
 	for _, a := range Order(l, f, requests) {
 		got = append(got, a.ID)
@@ -151,16 +151,16 @@
 		n := len(f.Servers)
 		for i := range f.Servers {
 			f.Servers[i].Failed = rapid.IntRange(0, 9).Draw(t, "failed") == 0
-			f.Servers[i].Used = float64(rapid.IntRange(0, 60).Draw(t, "used"))
+			f.Servers[i].NeededKB = float64(rapid.IntRange(0, 60).Draw(t, "used"))
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "groups") {
 			f.Groups = append(f.Groups, rapid.SliceOfNDistinct(rapid.Uint32Range(1, uint32(n)), 1, n, rapid.ID[uint32]).Draw(t, "group"))
 		}
 		l := Limits{Rack: rapid.IntRange(0, 3).Draw(t, "rack"), Zone: rapid.IntRange(0, 5).Draw(t, "zone"), Whole: rapid.IntRange(0, 8).Draw(t, "whole"),
 			Racks: rapid.IntRange(0, 2).Draw(t, "racks out"), Holders: rapid.IntRange(0, 2).Draw(t, "holders"), Margin: 0.2, Paid: 100, Patience: 10}
-		var requests []Ask
+		var requests []Request
 		for i := range rapid.IntRange(1, 8).Draw(t, "asks") {
-			requests = append(requests, Ask{ID: uint64(i + 1), Asked: Time(rapid.IntRange(0, 20).Draw(t, "asked")),
+			requests = append(requests, Request{ID: uint64(i + 1), RequestedAt: Time(rapid.IntRange(0, 20).Draw(t, "asked")),
 				Servers: rapid.SliceOfNDistinct(rapid.Uint32Range(1, uint32(n)), 1, 3, rapid.ID[uint32]).Draw(t, "servers")})
 		}
 		verdicts := map[uint64]Answer{}
@@ -173,7 +173,7 @@
 		out := map[uint32]uint64{}
 		for _, a := range requests {
 			v := verdicts[a.ID]
-			if v.Verdict != Go {
+			if v.Verdict != Grant {
 				if v.Why == "" {
 					t.Fatalf("request %d waits without a reason", a.ID)
 				}
@@ -192,13 +192,13 @@
 		racks, zones, sizes, kb, need, whole := map[int]int{}, map[int]int{}, map[int]int{}, 0.0, 0.0, 0
 		for _, s := range f.Servers {
 			sizes[s.Rack]++
-			need += s.Used
+			need += s.NeededKB
 			if s.Failed || out[s.ID] != 0 {
 				racks[s.Rack]++
 				zones[s.Zone]++
 				whole++
 			} else {
-				kb += s.KB
+				kb += s.LinkKB
 			}
 		}
 		// touched reports whether work takes out a matching server that had not failed: failures alone are no violation.
--- a/decide/upkeep/usage.go
+++ b/decide/upkeep/usage.go
@@ -8,7 +8,7 @@
 // usage counts the machines that are out, for each limit.
 type usage struct {
 	limits          Limits
-	fleet           *World
+	fleet           *Fleet
 	out             map[uint32]bool   // servers that are out, for work or because they failed
 	requestByServer map[uint32]uint64 // ID of the granted request that has the server
 	frontsOut       map[string]uint64 // fronts that are out: ID of the request, 0 if the front failed
@@ -23,7 +23,7 @@
 	rackKB          map[int]float64  // kB a second that the servers of a rack in service carry
 }
 
-func newUsage(l Limits, fleet *World) *usage {
+func newUsage(l Limits, fleet *Fleet) *usage {
 	u := &usage{limits: l, fleet: fleet, out: map[uint32]bool{}, requestByServer: map[uint32]uint64{},
 		frontsOut: map[string]uint64{}, rackOut: map[int]int{}, rackSize: map[int]int{},
 		wholeRacks: map[int]uint64{}, zoneOut: map[int]int{},
@@ -38,8 +38,8 @@
 	}
 	for i := range fleet.Servers {
 		s := &fleet.Servers[i]
-		u.neededKB += s.Used
-		u.rackKB[s.Rack] += s.KB
+		u.neededKB += s.NeededKB
+		u.rackKB[s.Rack] += s.LinkKB
 		u.rackSize[s.Rack]++
 	}
 	for i := range fleet.Servers {
@@ -63,14 +63,14 @@
 	u.out[s.ID] = true
 	u.rackOut[s.Rack]++
 	u.zoneOut[s.Zone]++
-	u.rackKB[s.Rack] -= s.KB
+	u.rackKB[s.Rack] -= s.LinkKB
 	for _, g := range u.groupsOf[s.ID] {
 		u.groupLeft[g]--
 	}
 }
 
 // add counts a granted request. Machines that it names and that are no longer listed use up no limit.
-func (u *usage) add(a *Ask) {
+func (u *usage) add(a *Request) {
 	for _, r := range u.coveredRacks(a) {
 		u.wholeRacks[r] = a.ID
 	}
@@ -78,7 +78,7 @@
 		if s := u.fleet.server(id); s != nil {
 			u.takeOut(s)
 			u.requestByServer[s.ID] = a.ID
-			if !a.Emptied {
+			if !a.Drained {
 				u.paid += s.Paid
 			}
 		}
@@ -89,7 +89,7 @@
 }
 
 // coveredRacks returns the racks of which a request takes every server.
-func (u *usage) coveredRacks(a *Ask) (racks []int) {
+func (u *usage) coveredRacks(a *Request) (racks []int) {
 	have := map[int]int{}
 	for i, id := range a.Servers {
 		if s := u.fleet.server(id); s != nil && !slices.Contains(a.Servers[:i], id) {
@@ -112,7 +112,7 @@
 }
 
 // findConflict finds a reservation that a request would violate. Work on failed machines violates none.
-func findConflict(reservations []reservation, fleet *World, a *Ask) (reservation, bool) {
+func findConflict(reservations []reservation, fleet *Fleet, a *Request) (reservation, bool) {
 	for _, c := range reservations {
 		switch c.limit {
 		case "fronts":
@@ -136,7 +136,7 @@
 }
 
 // check returns the limit that blocks a request, and the reservations to make for it if it has waited too long.
-func (u *usage) check(a *Ask) (Answer, []reservation) {
+func (u *usage) check(a *Request) (Answer, []reservation) {
 	racks, zones, total := map[int]int{}, map[int]int{}, 0
 	taken := map[uint32]bool{}
 	paid := 0
@@ -158,7 +158,7 @@
 		zones[s.Zone]++
 		total++
 		paid += s.Paid
-		removedKB[s.Rack] += s.KB
+		removedKB[s.Rack] += s.LinkKB
 		for _, g := range u.groupsOf[id] {
 			groupLoss[g]++
 		}
@@ -256,7 +256,7 @@
 	return slices.DeleteFunc(ids, func(id uint64) bool { return id == 0 })
 }
 
-func (u *usage) reservations(a *Ask, limit string) (list []reservation) {
+func (u *usage) reservations(a *Request, limit string) (list []reservation) {
 	if limit != "rack" && limit != "zone" {
 		return []reservation{{limit: limit, requestID: a.ID}}
 	}
--- a/decide/work/work.go
+++ b/decide/work/work.go
@@ -20,7 +20,7 @@
 // Task is recurring or one-time work.
 type Task struct {
 	Name           string
-	Every          Time    // from the end of one run to the start of the next; 0: once
+	Interval       Time    // from the end of one run to the start of the next; 0: once
 	Deadline       Time    // time after which a due run is late; 0: it can wait for ever
 	Priority       int     // the higher runs first; among equals the one that has used the least time
 	Share          float64 // of the time for background work; 0: all of it
@@ -129,7 +129,7 @@
 }
 
 // RecordStep records a step: the time it took, the bytes it moved, and whether its run is done.
-func (p *Plan) Ran(now Time, name string, took Time, bytes int, done bool, pressure Pressure) {
+func (p *Plan) RecordStep(now Time, name string, took Time, bytes int, done bool, pressure Pressure) {
 	for _, t := range p.tasks {
 		if t.Name != name {
 			continue
@@ -150,7 +150,7 @@
 			return
 		}
 		t.running = false
-		if t.dueAt = now + t.Every; t.Every <= 0 {
+		if t.dueAt = now + t.Interval; t.Interval <= 0 {
 			p.tasks = slices.DeleteFunc(p.tasks, func(o *Task) bool { return o == t })
 		}
 		return
--- a/decide/work/work_test.go
+++ b/decide/work/work_test.go
@@ -20,7 +20,7 @@
 		took, bytes, done := step(name, budget)
 		now += took
 		timeByTask[name] += took
-		p.Ran(now, name, took, bytes, done, pressure(now))
+		p.RecordStep(now, name, took, bytes, done, pressure(now))
 	}
 	return timeByTask
 }
@@ -100,7 +100,7 @@
 
 func TestRecurringAndOneTimeTasks(t *testing.T) {
 	p := &Plan{}
-	p.Add(policy.Second, Task{Name: "again", Every: policy.Second})
+	p.Add(policy.Second, Task{Name: "again", Interval: policy.Second})
 	p.Add(policy.Second, Task{Name: "once"})
 	if p.Add(policy.Second, Task{Name: "once"}) {
 		t.Error("two tasks with the same name")
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -21,7 +21,7 @@
 
 // session is a request until its end.
 type session struct {
-	policy.Ask
+	policy.SessionSpec
 	attempts   int
 	server     uint32
 	inFlight   bool
@@ -54,12 +54,12 @@
 		f.updateList(e)
 	case policy.Request:
 		f.requestTimes = append(f.requestTimes, now)
-		s := &session{Ask: e.Ask}
+		s := &session{SessionSpec: e.SessionSpec}
 		f.sessions[e.ID] = s
 		return f.place(now, s)
 	case policy.Outcome:
 		return f.handleOutcome(now, e)
-	case policy.Gone:
+	case policy.ViewerLeft:
 		if s := f.sessions[e.ID]; s != nil && !s.inFlight {
 			delete(f.sessions, e.ID)
 		}
@@ -88,7 +88,7 @@
 	}
 	s.inFlight = false
 	f.sessionCounts[s.server]--
-	s.mayHaveRun = s.mayHaveRun || e.Status != policy.Full && e.Status != policy.NoConnect && e.Status != policy.Moot
+	s.mayHaveRun = s.mayHaveRun || e.Status != policy.Full && e.Status != policy.NoConnect && e.Status != policy.NotSent
 	if e.Final {
 		delete(f.sessions, e.ID)
 		return nil
@@ -106,7 +106,7 @@
 		if s.mayHaveRun && class.Paid || now >= s.Deadline {
 			return []policy.Action{policy.Fail{ID: s.ID}}
 		}
-		return []policy.Action{policy.Refuse{ID: s.ID, After: f.cfg.MaxRetry}}
+		return []policy.Action{policy.Refuse{ID: s.ID, After: f.cfg.MaxRetryAfter}}
 	}
 	if s.attempts > 0 {
 		f.retryTimes = append(f.retryTimes, now)
@@ -116,7 +116,7 @@
 	f.sessionCounts[server]++
 	timeout := s.Deadline - now
 	if !class.Paid {
-		timeout = min(timeout, class.Aim/2)
+		timeout = min(timeout, class.SetupTarget/2)
 	}
 	return []policy.Action{policy.Send{ID: s.ID, Server: server, Timeout: timeout}}
 }
@@ -155,12 +155,12 @@
 	countRecent := func(list []policy.Time) float64 {
 		n := 0
 		for _, t := range list {
-			if t >= now-f.cfg.BudgetSpan {
+			if t >= now-f.cfg.RetryWindow {
 				n++
 			}
 		}
 		return float64(n)
 	}
-	return !f.cfg.Budgeted || countRecent(f.retryTimes)+1 <=
-		f.cfg.SpareAttempts+f.cfg.Ratio*countRecent(f.requestTimes)
+	return !f.cfg.RetriesLimited || countRecent(f.retryTimes)+1 <=
+		f.cfg.SpareRetries+f.cfg.RetryRatio*countRecent(f.requestTimes)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -248,9 +248,9 @@
 // consistent checks what only shows when all is read.
 func (c *Config) consistent(r *Reader, root *sexp.Node) {
 	s := &c.Service
-	s.Fleet, s.Me = c.Front.Fleet, c.Front.Me
-	if s.Me >= s.Fleet {
-		r.Fail(root, "front: me (%d) must be under fleet (%d)", s.Me, s.Fleet)
+	s.Fronts, s.FrontIndex = c.Front.Fleet, c.Front.Me
+	if s.FrontIndex >= s.Fronts {
+		r.Fail(root, "front: me (%d) must be under fleet (%d)", s.FrontIndex, s.Fronts)
 	}
 	for i := range s.Classes {
 		k := &s.Classes[i]
@@ -260,9 +260,9 @@
 		if k.Floor >= len(s.RungKB) || k.Top >= len(s.RungKB) || k.Floor > k.Top {
 			r.Fail(root, "class %q: floor %d and top %d do not fit a ladder of %d rungs", c.Classes[i], k.Floor, k.Top, len(s.RungKB))
 		}
-		if k.Aim > k.Deadline || k.Deadline <= policy.Time(2*c.Front.AnswerMargin) {
+		if k.SetupTarget > k.Deadline || k.Deadline <= policy.Time(2*c.Front.AnswerMargin) {
 			r.Fail(root, "class %q: aim %v and deadline %v must grow, and the deadline be over twice the answer-margin",
-				c.Classes[i], time.Duration(k.Aim), time.Duration(k.Deadline))
+				c.Classes[i], time.Duration(k.SetupTarget), time.Duration(k.Deadline))
 		}
 	}
 	for _, t := range c.Titles {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if len(c.Classes) < 2 || len(c.Titles) == 0 || c.Service.MaxRetry != 2*policy.Second {
+		if len(c.Classes) < 2 || len(c.Titles) == 0 || c.Service.MaxRetryAfter != 2*policy.Second {
 			t.Errorf("%s: %+v", f, c)
 		}
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -19,7 +19,7 @@
 	Via                                 map[string]string
 	Voters                              []string
 	Limits                              upkeep.Limits
-	Times                               upkeep.Times
+	Times                               upkeep.Timeouts
 	Stale                               time.Duration
 	Skew                                time.Duration         // of the fleet's clock; not in a file: trials set it
 	at                                  map[string]*sexp.Node // where forms stand, for mistakes that show at the end
@@ -35,7 +35,7 @@
 	f.at = map[string]*sexp.Node{"fleet": n}
 	f.Via = map[string]string{}
 	f.Limits = upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1, Holders: 1, Margin: 0.2, Paid: 20, Patience: upkeep.Time(10 * time.Minute)}
-	f.Times = upkeep.Times{Hear: upkeep.Time(10 * time.Second), Drain: upkeep.Time(10 * time.Minute), Late: upkeep.Time(30 * time.Minute)}
+	f.Times = upkeep.Timeouts{AckTimeout: upkeep.Time(10 * time.Second), DrainTimeout: upkeep.Time(10 * time.Minute), ReturnTimeout: upkeep.Time(30 * time.Minute)}
 	f.Stale = 15 * time.Second
 	keep := func(name string, read func(*sexp.Node)) func(*sexp.Node) {
 		return func(n *sexp.Node) { f.at[name] = n; read(n) }
@@ -119,10 +119,10 @@
 		"paid":     whole(&l.Paid, 0, 1e6),
 		"margin":   func(n *sexp.Node) { l.Margin = r.Num(n, 0, 10) },
 		"patience": span(&l.Patience, 0, 30*24*time.Hour),
-		"hear":     span(&t.Hear, time.Second, 10*time.Minute),
-		"drain":    span(&t.Drain, 0, 24*time.Hour),
-		"late":     span(&t.Late, time.Second, 30*24*time.Hour),
-		"back":     span(&t.Back, 0, time.Hour),
+		"hear":     span(&t.AckTimeout, time.Second, 10*time.Minute),
+		"drain":    span(&t.DrainTimeout, 0, 24*time.Hour),
+		"late":     span(&t.ReturnTimeout, time.Second, 30*24*time.Hour),
+		"back":     span(&t.WarmUpTime, 0, time.Hour),
 		"stale":    func(n *sexp.Node) { f.Stale = r.Span(n, 6*time.Second, 10*time.Minute) },
 	})
 }
@@ -170,9 +170,9 @@
 	case l.Rack > l.Zone || l.Zone > l.Whole:
 		r.Fail(at, "upkeep: rack %d, zone %d, whole %d: none may be over the next", l.Rack, l.Zone, l.Whole)
 	}
-	if cold := c.Service.ColdSpan; f.Times.Back == 0 {
-		f.Times.Back = max(cold, upkeep.Time(time.Second))
-	} else if f.Times.Back < cold {
-		r.Fail(at, "upkeep: back %v is under the time that a cold server takes, %v", time.Duration(f.Times.Back), time.Duration(cold))
+	if cold := c.Service.WarmupTime; f.Times.WarmUpTime == 0 {
+		f.Times.WarmUpTime = max(cold, upkeep.Time(time.Second))
+	} else if f.Times.WarmUpTime < cold {
+		r.Fail(at, "upkeep: back %v is under the time that a cold server takes, %v", time.Duration(f.Times.WarmUpTime), time.Duration(cold))
 	}
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -10,7 +10,7 @@
 // service reads what the decision module is told of the deployment.
 func (c *Config) service(r *Reader, n *sexp.Node) {
 	s := &c.Service
-	s.Racks, s.Cells, s.Join, s.MaxAttempts, s.StallCost, s.RetryAfter = 1, 1, 1, 3, 5, true
+	s.Racks, s.Cells, s.ExtraViewerCost, s.MaxAttempts, s.StallCost, s.RetryAfter = 1, 1, 1, 3, 5, true
 	num := func(to *float64, least, most float64) func(*sexp.Node) {
 		return func(n *sexp.Node) { *to = r.Num(n, least, most) }
 	}
@@ -48,43 +48,43 @@
 		"fleet-kb":         num(&s.FleetKB, 0, 1e15),
 		"rack-kb":          num(&s.RackKB, 1, 1e15),
 		"weight-kb":        num(&s.WeightKB, 1, 1e15),
-		"join":             num(&s.Join, 0, 1),
-		"full-from":        num(&s.FullFrom, 0, 100),
+		"join":             num(&s.ExtraViewerCost, 0, 1),
+		"full-from":        num(&s.FullThreshold, 0, 100),
 		"stall-cost":       num(&s.StallCost, 0, 1000),
 		"change-cost":      num(&s.ChangeCost, 0, 1000),
-		"over-share":       num(&s.OverShare, 0, 1),
+		"over-share":       num(&s.OverShareWorth, 0, 1),
 		"price-move":       num(&s.PriceMove, 0, 1),
 		"price-probe":      num(&s.PriceProbe, 0, 1),
-		"price-cross":      num(&s.PriceCross, 0, 10),
-		"late-fail":        num(&s.LateFail, 0, 1),
-		"notes-late":       span(&s.SeeLate, time.Minute),
-		"tell-every":       span(&s.TellEvery, time.Hour),
-		"reports-inline":   flag(&s.Inline),
+		"price-cross":      num(&s.PriceCrossZone, 0, 10),
+		"late-fail":        num(&s.PriceLateFail, 0, 1),
+		"notes-late":       span(&s.NoteDelay, time.Minute),
+		"tell-every":       span(&s.NoteInterval, time.Hour),
+		"reports-inline":   flag(&s.InlineReports),
 		"may-probe":        flag(&s.MayProbe),
 		"max-attempts":     func(n *sexp.Node) { s.MaxAttempts = r.Int(n, 1, 100) },
-		"connect-wait":     span(&s.ConnectWait, 10*time.Second),
-		"retry-after-most": span(&s.MaxRetry, 10*time.Minute),
+		"connect-wait":     span(&s.ConnectTimeout, 10*time.Second),
+		"retry-after-most": span(&s.MaxRetryAfter, 10*time.Minute),
 		"drain-grace":      span(&s.DrainGrace, time.Minute),
 		"cold": func(n *sexp.Node) {
 			r.Fields(n, []string{"span", "from", "times", "over"}, map[string]func(*sexp.Node){
-				"span":  span(&s.ColdSpan, time.Hour),
-				"from":  num(&s.ColdFrom, 0, 1),
-				"times": num(&s.ColdTimes, 0, 100),
-				"over":  span(&s.FallSpan, time.Hour),
+				"span":  span(&s.WarmupTime, time.Hour),
+				"from":  num(&s.ColdCapacity, 0, 1),
+				"times": num(&s.OverloadFactor, 0, 100),
+				"over":  span(&s.OverloadWindow, time.Hour),
 			})
 		},
 		"budget": func(n *sexp.Node) {
-			s.Budgeted = true
+			s.RetriesLimited = true
 			r.Fields(n, []string{"spare", "ratio", "span"}, map[string]func(*sexp.Node){
-				"spare": num(&s.SpareAttempts, 0, 1e9),
-				"ratio": num(&s.Ratio, 0, 100),
-				"span":  span(&s.BudgetSpan, time.Hour),
+				"spare": num(&s.SpareRetries, 0, 1e9),
+				"ratio": num(&s.RetryRatio, 0, 100),
+				"span":  span(&s.RetryWindow, time.Hour),
 			})
 		},
 	})
-	s.RetryAfter = s.MaxRetry > 0
-	if s.ConnectWait == 0 {
-		s.ConnectWait = 250 * policy.Millisecond
+	s.RetryAfter = s.MaxRetryAfter > 0
+	if s.ConnectTimeout == 0 {
+		s.ConnectTimeout = 250 * policy.Millisecond
 	}
 }
 
@@ -123,7 +123,7 @@
 	r.named(n, "class", &c.Classes, func(rest *sexp.Node) {
 		k := policy.Class{Worth: 1, Scale: 1, Top: -1}
 		r.Fields(rest, []string{"aim", "deadline"}, map[string]func(*sexp.Node){
-			"aim":      func(n *sexp.Node) { k.Aim = policy.Time(r.Span(n, time.Millisecond, time.Minute)) },
+			"aim":      func(n *sexp.Node) { k.SetupTarget = policy.Time(r.Span(n, time.Millisecond, time.Minute)) },
 			"deadline": func(n *sexp.Node) { k.Deadline = policy.Time(r.Span(n, time.Millisecond, 10*time.Minute)) },
 			"effect":   func(n *sexp.Node) { k.Paid = r.Choice(n, "safe", "paid") == "paid" },
 			"worth":    func(n *sexp.Node) { k.Worth = r.Num(n, 0, 1e6) },
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -111,9 +111,9 @@
 		return err
 	}
 	w.farm, err = mediasim.New(mediasim.Params{Ladder: set.RungKB, Slots: s.Slots, LinkKB: s.LinkKB, UplinkKB: s.UplinkKB, Uneven: s.Uneven,
-		Racks: set.Racks, Cells: set.Cells, SetupTime: s.SetupTime, ReportEvery: s.ReportEvery, NotesLate: second(set.SeeLate),
-		TellEvery: second(set.TellEvery), FullFrom: set.FullFrom, Inline: set.Inline, ColdSpan: second(set.ColdSpan), ColdFrom: set.ColdFrom,
-		FallTimes: set.ColdTimes, FallOver: second(set.FallSpan), Keep: s.Keep, Holds: s.holds, Seed: s.Seed,
+		Racks: set.Racks, Cells: set.Cells, SetupTime: s.SetupTime, ReportEvery: s.ReportEvery, NotesLate: second(set.NoteDelay),
+		TellEvery: second(set.NoteInterval), FullFrom: set.FullThreshold, Inline: set.InlineReports, ColdSpan: second(set.WarmupTime), ColdFrom: set.ColdCapacity,
+		FallTimes: set.OverloadFactor, FallOver: second(set.OverloadWindow), Keep: s.Keep, Holds: s.holds, Seed: s.Seed,
 		Families: s.Families, Dir: w.o.Dir, HTTP: s.HLS > 0, Keys: keys}, s.Servers, w.rec)
 	if err != nil {
 		return err
@@ -255,12 +255,12 @@
 
 func (w *world) rules() audit.Rules {
 	set := w.s.Service.Service
-	r := audit.Rules{AnswerGrace: 40 * time.Millisecond, DrainGrace: second(set.DrainGrace), Skew: skew, ColdSpan: second(set.ColdSpan),
-		ColdFrom: set.ColdFrom, FallTimes: set.ColdTimes, FallSpan: second(set.FallSpan), Budgeted: set.Budgeted, Spare: set.SpareAttempts,
-		Ratio: set.Ratio, BudgetSpan: second(set.BudgetSpan), RungWorth: set.RungWorth, StallCost: set.StallCost, ChangeCost: set.ChangeCost}
+	r := audit.Rules{AnswerGrace: 40 * time.Millisecond, DrainGrace: second(set.DrainGrace), Skew: skew, ColdSpan: second(set.WarmupTime),
+		ColdFrom: set.ColdCapacity, FallTimes: set.OverloadFactor, FallSpan: second(set.OverloadWindow), Budgeted: set.RetriesLimited, Spare: set.SpareRetries,
+		Ratio: set.RetryRatio, BudgetSpan: second(set.RetryWindow), RungWorth: set.RungWorth, StallCost: set.StallCost, ChangeCost: set.ChangeCost}
 	for i, k := range set.Classes {
 		r.Classes = append(r.Classes, audit.Class{Name: w.s.Service.Classes[i], Paid: k.Paid, Floor: k.Floor, Seats: k.Seats,
-			Aim: second(k.Aim), Deadline: second(k.Deadline)})
+			Aim: second(k.SetupTarget), Deadline: second(k.Deadline)})
 	}
 	return r
 }
--- a/internal/exchange/connection.go
+++ b/internal/exchange/connection.go
@@ -13,7 +13,7 @@
 type Redirected struct{ Server uint32 }
 
 // connectionReady makes the winner of a race the peer's connection and writes the requests that waited for it.
-func (p *Desk) connectionReady(peer *peerState, r *candidate) {
+func (p *Protocol) connectionReady(peer *peerState, r *candidate) {
 	peer.connState, peer.conn, peer.connAddr = connected, r.conn, r.addr
 	peer.connectedAt, peer.lastReadAt, peer.bytesSent, peer.lastCSeq, peer.connAnswered = p.now, p.now, r.bytesSent,
 		r.lastCSeq, true
@@ -42,7 +42,7 @@
 }
 
 // verify asks whether a stream still plays.
-func (p *Desk) verify(peer *peerState, a *attempt) {
+func (p *Protocol) verify(peer *peerState, a *attempt) {
 	a.sentConn = peer.conn
 	m := rtsp.Message{Method: rtsp.GetParameter, URI: p.uri(peer, &a.setup),
 		Headers: []rtsp.Header{{Name: "Session", Value: a.sessionID}}}
@@ -50,11 +50,11 @@
 }
 
 // unreachable ends everything that waited for a server when none of its addresses could be connected.
-func (p *Desk) unreachable(peer *peerState) {
+func (p *Protocol) unreachable(peer *peerState) {
 	peer.connState = disconnected
-	p.cancelWaiting(peer, fate.DialRefused)
+	p.cancelWaiting(peer, fate.DialFailed)
 	for _, a := range slices.Clone(peer.streams) { // the streams can't be verified and are lost to their players
-		p.endAttempt(a, policy.ResetConn, nil)
+		p.endAttempt(a, policy.ConnReset, nil)
 		// If only the network path failed, the server would keep playing for nobody. Found by the exhaustive check.
 		p.queueTeardown(peer, a)
 	}
@@ -66,17 +66,17 @@
 }
 
 // cancelWaiting ends the peer's set-ups that were not sent.
-func (p *Desk) cancelWaiting(peer *peerState, cause fate.Cause) {
+func (p *Protocol) cancelWaiting(peer *peerState, cause fate.Cause) {
 	unsent := peer.unsent
 	peer.unsent = nil
 	for _, a := range unsent {
-		p.endAttempt(a, fate.Of(fate.Unsent, cause, 0), nil)
+		p.endAttempt(a, fate.StatusOf(fate.Unsent, cause, 0), nil)
 	}
 }
 
 // ConnectionLost reports that a connection ended. maxWritten is an upper bound of the bytes handed to the kernel: bytes
 // beyond it never left this machine.
-func (p *Desk) Lost(now Time, server uint32, conn uint64, maxWritten uint64) {
+func (p *Protocol) ConnectionLost(now Time, server uint32, conn uint64, maxWritten uint64) {
 	p.now = now
 	peer := p.peers[server]
 	switch {
@@ -90,17 +90,17 @@
 
 // closeConnection closes a peer's connection. Playing streams are verified on a new connection, unless the server's
 // process is gone. silent means that the connection is closed because nothing was read on it.
-func (p *Desk) closeConnection(peer *peerState, maxWritten uint64, processGone, silent bool) {
+func (p *Protocol) closeConnection(peer *peerState, maxWritten uint64, processGone, silent bool) {
 	if peer.connState == disconnected {
 		return
 	}
 	wasConnected := peer.connState == connected
 	if wasConnected {
-		p.effects = append(p.effects, Act{Server: peer.server, Conn: peer.conn, Close: true})
+		p.effects = append(p.effects, Effect{Server: peer.server, Conn: peer.conn, Close: true})
 		if i := peer.pathIndex(peer.connAddr); i >= 0 && silent {
 			peer.pathSet.Failed(i, p.now)
 		} else if i >= 0 && !processGone {
-			peer.pathSet.Broke(i, p.now, peer.connectedAt, peer.connAnswered)
+			peer.pathSet.ConnectionClosed(i, p.now, peer.connectedAt, peer.connAnswered)
 		}
 	}
 	p.cancelRace(peer)
@@ -112,13 +112,13 @@
 			r := requests[seq]
 			switch {
 			case r.kind == requestProbe && !r.timedOut:
-				p.events = append(p.events, front.Probed{Server: peer.server, Status: policy.ResetConn,
+				p.events = append(p.events, front.Probed{Server: peer.server, Status: policy.ConnReset,
 					Took: p.now - r.startedAt})
 			case r.kind == requestPlay && !processGone:
 				p.queueTeardown(peer, r.owner) // SETUP was accepted, and PLAY may have reached the server
 				fallthrough
 			case r.kind == requestSetup || r.kind == requestPlay:
-				p.endAttempt(r.owner, fate.Of(progress(r.owner, maxWritten), fate.Broke, 0), nil)
+				p.endAttempt(r.owner, fate.StatusOf(progress(r.owner, maxWritten), fate.ConnectionLost, 0), nil)
 			case r.kind == requestTeardown && !processGone:
 				p.queueTeardown(peer, r.owner)
 			}
@@ -130,11 +130,11 @@
 	for _, a := range slices.Clone(peer.streams) {
 		a.unverified = true
 		if processGone {
-			p.endAttempt(a, policy.ResetConn, nil)
+			p.endAttempt(a, policy.ConnReset, nil)
 		}
 	}
 	if processGone {
-		p.cancelWaiting(peer, fate.Broke)
+		p.cancelWaiting(peer, fate.ConnectionLost)
 	}
 	if len(peer.streams) > 0 || len(peer.unsent) > 0 || len(peer.pendingTeardowns) > 0 {
 		p.dial(peer)
@@ -146,13 +146,13 @@
 	case a.sessionID != "":
 		return fate.Accepted
 	case maxWritten < a.setupEnd:
-		return fate.Partly
+		return fate.PartlyWritten
 	}
 	return fate.Written
 }
 
 // Received handles a message from a server.
-func (p *Desk) Received(now Time, server uint32, conn uint64, m *rtsp.Message) {
+func (p *Protocol) Received(now Time, server uint32, conn uint64, m *rtsp.Message) {
 	p.now = now
 	peer := p.peers[server]
 	if peer == nil {
@@ -180,12 +180,12 @@
 	p.handleResponse(peer, r, m)
 }
 
-func (p *Desk) handleResponse(peer *peerState, r *request, m *rtsp.Message) {
+func (p *Protocol) handleResponse(peer *peerState, r *request, m *rtsp.Message) {
 	a := r.owner
 	switch r.kind {
 	case requestSetup:
 		if m.Status != rtsp.StatusOK {
-			p.endAttempt(a, fate.Of(fate.Written, fate.Answered, m.Status), p.report(m))
+			p.endAttempt(a, fate.StatusOf(fate.Written, fate.ErrorResponse, m.Status), p.report(m))
 			return
 		}
 		a.sessionID = m.Session()
@@ -195,10 +195,10 @@
 		case m.Status == rtsp.StatusOK && a.sessionID != "":
 			a.playing = true
 			peer.streams = append(peer.streams, a)
-			p.events = append(p.events, front.Began{Session: a.setup.Session, Attempt: a.setup.Attempt,
+			p.events = append(p.events, front.AttemptStarted{Session: a.setup.Session, Attempt: a.setup.Attempt,
 				Took: p.now - a.startedAt, Report: p.report(m)})
 		default: // set up but not playing: torn down
-			status := fate.Of(fate.Accepted, fate.Answered, m.Status)
+			status := fate.StatusOf(fate.Accepted, fate.ErrorResponse, m.Status)
 			p.teardown(peer, a)
 			a.ended = false
 			p.endAttempt(a, status, p.report(m))
@@ -212,7 +212,7 @@
 		switch {
 		case a.ended:
 		case m.Status == rtsp.StatusSessionNotFound:
-			p.endAttempt(a, policy.ResetConn, nil)
+			p.endAttempt(a, policy.ConnReset, nil)
 		case r.kind == requestVerify && m.Status == rtsp.StatusOK:
 			a.unverified = false
 			p.writeRung(peer, a)
@@ -234,7 +234,7 @@
 	policy.FieldUplink: "uplink"}
 
 // report reads the load values in a message body, in the order of the settings' fields; nil unless all are present.
-func (p *Desk) report(m *rtsp.Message) []float64 {
+func (p *Protocol) report(m *rtsp.Message) []float64 {
 	if len(m.Body) == 0 || len(p.cfg.Fields) == 0 {
 		return nil
 	}
@@ -254,7 +254,7 @@
 }
 
 // handleRequest answers a request from the server.
-func (p *Desk) handleRequest(peer *peerState, m *rtsp.Message) {
+func (p *Protocol) handleRequest(peer *peerState, m *rtsp.Message) {
 	reply := rtsp.Message{Status: rtsp.StatusOK, CSeq: m.CSeq}
 	switch m.Method {
 	case rtsp.Options:
@@ -294,7 +294,7 @@
 	return nil
 }
 
-func (p *Desk) handleNotes(a *attempt, params map[string]string) {
+func (p *Protocol) handleNotes(a *attempt, params map[string]string) {
 	for _, n := range []struct {
 		name string
 		kind policy.NoteKind
@@ -308,12 +308,12 @@
 
 // Tick moves the time forward: it times out probes, closes silent connections and sends keep-alives on idle ones. It
 // should be called several times a second.
-func (p *Desk) Tick(now Time) {
+func (p *Protocol) Tick(now Time) {
 	p.now = now
 	for _, id := range p.peerOrder {
 		peer := p.peers[id]
 		p.tickPaths(peer)
-		if peer.connState == connecting && peer.probeWaiting && now-peer.probeAt >= p.cfg.ProbeWait {
+		if peer.connState == connecting && peer.probeWaiting && now-peer.probeAt >= p.cfg.ProbeTimeout {
 			peer.probeWaiting = false
 			p.events = append(p.events, front.Probed{Server: id, Status: policy.NoConnect, Took: now - peer.probeAt})
 		}
@@ -321,7 +321,7 @@
 			continue
 		}
 		for _, seq := range peer.requestOrder {
-			if c := peer.requests[seq]; c.kind == requestProbe && !c.timedOut && now-c.startedAt >= p.cfg.ProbeWait {
+			if c := peer.requests[seq]; c.kind == requestProbe && !c.timedOut && now-c.startedAt >= p.cfg.ProbeTimeout {
 				c.timedOut = true
 				p.events = append(p.events, front.Probed{Server: id, Status: policy.TimedOut, Took: now - c.startedAt})
 			}
@@ -329,9 +329,9 @@
 		switch {
 		// Without this, a peer that died silently would keep its connection, and each set-up on it would run into its
 		// timeout. The cost: the streams of a server that only stalls are verified on a new connection.
-		case len(peer.requests) > 0 && now-max(peer.oldestRequestAt, peer.lastReadAt) >= p.cfg.Stall:
+		case len(peer.requests) > 0 && now-max(peer.oldestRequestAt, peer.lastReadAt) >= p.cfg.StallTimeout:
 			p.closeConnection(peer, peer.bytesSent, false, true)
-		case len(peer.requests) == 0 && now-peer.lastReadAt >= p.cfg.KeepAlive:
+		case len(peer.requests) == 0 && now-peer.lastReadAt >= p.cfg.KeepAliveInterval:
 			m := rtsp.Message{Method: rtsp.Options, URI: "rtsp://" + peer.addr + "/"}
 			p.send(peer, p.appendRequest(peer, &m, request{kind: requestKeepAlive}, nil))
 		}
@@ -339,7 +339,7 @@
 }
 
 // Counts returns the number of attempts and streams held and the number of unanswered requests.
-func (p *Desk) Counts() (held, requests int) {
+func (p *Protocol) Counts() (held, requests int) {
 	for _, peer := range p.peers {
 		requests += len(peer.requests)
 	}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -31,30 +31,30 @@
 
 // Config configures a Protocol.
 type Config struct {
-	Front     string // name of this front, part of its attempt IDs
-	Fields    []policy.Field
-	ProbeWait Time // a probe unanswered for this long has failed
-	Stall     Time // a connection with unanswered requests and nothing read for this long is closed
-	KeepAlive Time // interval of OPTIONS requests on an idle connection
-	TitleName func(uint64) string
-	Connect   Time           // a connection must be established and have answered once within this time
-	IdleClose Time           // a connection without sessions that is unused for this long is closed; 0: never
-	Aims      []Time         // per class: a connect that takes too much of the aim is abandoned for the next holder
-	Draw      func() float64 // from 0 to 1; spreads the fronts' dials after a server restart
+	Front             string // name of this front, part of its attempt IDs
+	Fields            []policy.Field
+	ProbeTimeout      Time // a probe unanswered for this long has failed
+	StallTimeout      Time // a connection with unanswered requests and nothing read for this long is closed
+	KeepAliveInterval Time // interval of OPTIONS requests on an idle connection
+	TitleName         func(uint64) string
+	ConnectTimeout    Time           // a connection must be established and have answered once within this time
+	IdleTimeout       Time           // a connection without sessions that is unused for this long is closed; 0: never
+	Aims              []Time         // per class: a connect that takes too much of the aim is abandoned for the next holder
+	Random            func() float64 // from 0 to 1; spreads the fronts' dials after a server restart
 }
 
 // Effect is an operation on a connection for the shell to carry out. Exactly one of Dial, Close and Bytes is set.
-type Act struct {
-	Server uint32
-	Conn   uint64
-	Dial   string // address to connect to
-	Within Time   // dial timeout
-	Close  bool
-	Bytes  []byte
+type Effect struct {
+	Server  uint32
+	Conn    uint64
+	Dial    string // address to connect to
+	Timeout Time   // dial timeout
+	Close   bool
+	Bytes   []byte
 }
 
 // Protocol holds the RTSP state of all servers.
-type Desk struct {
+type Protocol struct {
 	cfg          Config
 	now          Time
 	peers        map[uint32]*peerState
@@ -62,8 +62,8 @@
 	lastConn     uint64
 	lastPipeline uint64
 	attempts     map[uint64]*attempt // by session: waiting, in flight or playing
-	pacer        paths.Pace
-	effects      []Act
+	pacer        paths.Pacer
+	effects      []Effect
 	events       []front.Event
 }
 
@@ -152,13 +152,13 @@
 }
 
 // New returns a Protocol without servers.
-func New(cfg Config) *Desk {
-	return &Desk{cfg: cfg, peers: map[uint32]*peerState{}, attempts: map[uint64]*attempt{}}
+func New(cfg Config) *Protocol {
+	return &Protocol{cfg: cfg, peers: map[uint32]*peerState{}, attempts: map[uint64]*attempt{}}
 }
 
 // Take returns the effects for the shell and the events for the core since the last call. Both slices are valid until
 // the next call of a method.
-func (p *Desk) Take() ([]Act, []front.Event) {
+func (p *Protocol) Take() ([]Effect, []front.Event) {
 	effects, events := p.effects, p.events
 	p.effects, p.events = nil, nil
 	return effects, events
@@ -166,15 +166,15 @@
 
 // Server is an entry of the server list with its addresses. Addr is the address given to players.
 type Server struct {
-	ID      uint32
-	Addr    string
-	Paths   []paths.Path
-	Started Time
+	ID        uint32
+	Addr      string
+	Paths     []paths.Path
+	StartedAt Time
 }
 
 // SetServers replaces the list of servers and their addresses. A server whose process is newer or whose address is gone
 // gets a new connection: replies on the old one don't apply to the new process.
-func (p *Desk) Listed(now Time, servers []Server) {
+func (p *Protocol) SetServers(now Time, servers []Server) {
 	p.now = now
 	seen := map[uint32]bool{}
 	for _, peer := range p.peers {
@@ -184,7 +184,7 @@
 		seen[s.ID] = true
 		peer := p.peers[s.ID]
 		if peer == nil {
-			peer = &peerState{server: s.ID, addr: s.Addr, processStartedAt: s.Started,
+			peer = &peerState{server: s.ID, addr: s.Addr, processStartedAt: s.StartedAt,
 				requests: map[uint32]*request{}}
 			p.peers[s.ID] = peer
 			i, _ := slices.BinarySearch(p.peerOrder, s.ID)
@@ -193,13 +193,13 @@
 			peer.listed = true
 			continue
 		}
-		restarted := s.Started > peer.processStartedAt && peer.processStartedAt > 0
+		restarted := s.StartedAt > peer.processStartedAt && peer.processStartedAt > 0
 		changed := peer.pathSet.Update(s.Paths)
-		peer.addr, peer.processStartedAt, peer.listed = s.Addr, s.Started, true
+		peer.addr, peer.processStartedAt, peer.listed = s.Addr, s.StartedAt, true
 		if restarted {
 			// A new process at the same addresses: replies of the old one don't apply to it.
-			p.pacer.Restarted(peer.server, now, p.cfg.Draw())
-			peer.pathSet.Forgive()
+			p.pacer.Restarted(peer.server, now, p.cfg.Random())
+			peer.pathSet.ResetFailures()
 			p.closeConnection(peer, peer.bytesSent, true, false)
 		} else if changed && peer.connState == connected && peer.pathIndex(peer.connAddr) < 0 {
 			p.closeConnection(peer, peer.bytesSent, false, false) // address removed; streams are verified on another
@@ -217,7 +217,7 @@
 }
 
 // Address returns a server's address for players, "" if the server is unknown.
-func (p *Desk) Address(server uint32) string {
+func (p *Protocol) Address(server uint32) string {
 	if peer := p.peers[server]; peer != nil {
 		return peer.addr
 	}
@@ -225,7 +225,7 @@
 }
 
 // Apply carries out an effect of the core; effects that don't concern servers are ignored.
-func (p *Desk) Do(now Time, effect front.Effect) {
+func (p *Protocol) Apply(now Time, effect front.Effect) {
 	p.now = now
 	switch e := effect.(type) {
 	case front.Setup:
@@ -234,7 +234,7 @@
 		p.abandon(e)
 	case front.Withdraw:
 		if peer := p.peers[e.Server]; peer != nil {
-			p.cancelWaiting(peer, fate.Withdrawn)
+			p.cancelWaiting(peer, fate.Cancelled)
 		}
 	case front.Stop:
 		if a := p.attempts[e.Session]; a != nil && a.setup.Attempt == e.Attempt {
@@ -248,14 +248,14 @@
 }
 
 // PendingTeardowns returns the number of streams that wait for a connection to be torn down on.
-func (p *Desk) Doomed() (n int) {
+func (p *Protocol) PendingTeardowns() (n int) {
 	for _, peer := range p.peers {
 		n += len(peer.pendingTeardowns)
 	}
 	return n
 }
 
-func (p *Desk) setRung(e front.SetRung) {
+func (p *Protocol) setRung(e front.SetRung) {
 	a := p.attempts[e.Session]
 	if a == nil || !a.playing || a.setup.Attempt != e.Attempt {
 		return
@@ -268,14 +268,14 @@
 	p.writeRung(peer, a)
 }
 
-func (p *Desk) writeRung(peer *peerState, a *attempt) {
+func (p *Protocol) writeRung(peer *peerState, a *attempt) {
 	m := rtsp.Message{Method: rtsp.SetParameter, URI: p.uri(peer, &a.setup), Headers: []rtsp.Header{
 		{Name: "Session", Value: a.sessionID}, {Name: "Content-Type", Value: "text/parameters"}},
 		Body: []byte("rung: " + strconv.Itoa(a.setup.Rung) + "\r\n")}
 	p.send(peer, p.appendRequest(peer, &m, request{kind: requestRung, owner: a}, nil))
 }
 
-func (p *Desk) probe(server uint32) {
+func (p *Protocol) probe(server uint32) {
 	peer := p.peers[server]
 	if peer == nil || len(peer.pathSet.Paths) == 0 {
 		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect})
@@ -289,14 +289,14 @@
 	p.writeProbe(peer)
 }
 
-func (p *Desk) writeProbe(peer *peerState) {
+func (p *Protocol) writeProbe(peer *peerState) {
 	m := rtsp.Message{Method: rtsp.GetParameter, URI: "rtsp://" + peer.addr + "/", Headers: []rtsp.Header{
 		{Name: "Content-Type", Value: "text/parameters"}}, Body: []byte("link\r\nuplink\r\n")}
 	p.send(peer, p.appendRequest(peer, &m, request{kind: requestProbe}, nil))
 }
 
 // HoldsAttempt reports whether an attempt is held here: waiting, in flight or playing.
-func (p *Desk) Out(session uint64, number int) bool {
+func (p *Protocol) HoldsAttempt(session uint64, number int) bool {
 	a := p.attempts[session]
 	return a != nil && a.setup.Attempt == number
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -17,7 +17,7 @@
 // harness drives a Protocol with one server and records its output.
 type harness struct {
 	t        *testing.T
-	protocol *Desk
+	protocol *Protocol
 	now      Time
 	conn     uint64
 	written  []byte
@@ -30,11 +30,11 @@
 
 func newHarness(t *testing.T) *harness {
 	b := &harness{t: t, now: policy.Second, decoder: &rtsp.Decoder{}, protocol: New(Config{Front: "f1",
-		Fields: []policy.Field{policy.FieldLink, policy.FieldUplink}, ProbeWait: policy.Second / 4,
-		Stall: 3 * policy.Second, KeepAlive: 10 * policy.Second, Connect: policy.Second / 4,
-		Draw:      func() float64 { return 0 },
+		Fields: []policy.Field{policy.FieldLink, policy.FieldUplink}, ProbeTimeout: policy.Second / 4,
+		StallTimeout: 3 * policy.Second, KeepAliveInterval: 10 * policy.Second, ConnectTimeout: policy.Second / 4,
+		Random:    func() float64 { return 0 },
 		TitleName: func(t uint64) string { return fmt.Sprint("t", t) }})}
-	b.protocol.Listed(b.now, serverOne(0, addr))
+	b.protocol.SetServers(b.now, serverOne(0, addr))
 	return b
 }
 
@@ -56,13 +56,13 @@
 }
 
 func (b *harness) setup(session uint64) {
-	b.protocol.Do(b.now, front.Setup{Session: session, Server: 1, Title: 7, Rung: 2})
+	b.protocol.Apply(b.now, front.Setup{Session: session, Server: 1, Title: 7, Rung: 2})
 	b.collect()
 }
 
 // serverOne returns a list of server 1 alone, at the given addresses.
 func serverOne(started Time, addrs ...string) []Server {
-	s := Server{ID: 1, Addr: addrs[0], Started: started}
+	s := Server{ID: 1, Addr: addrs[0], StartedAt: started}
 	for _, a := range addrs {
 		s.Paths = append(s.Paths, paths.Path{Addr: a, Family: paths.IPv4})
 	}
@@ -80,7 +80,10 @@
 	b.reply(&rtsp.Message{Status: 200, CSeq: 1})
 }
 
-func (b *harness) lost(maxWritten uint64) { b.protocol.Lost(b.now, 1, b.conn, maxWritten); b.collect() }
+func (b *harness) lost(maxWritten uint64) {
+	b.protocol.ConnectionLost(b.now, 1, b.conn, maxWritten)
+	b.collect()
+}
 
 // nextRequest returns the next message written.
 func (b *harness) nextRequest() *rtsp.Message {
@@ -124,7 +127,7 @@
 func TestWritesSetupAndPlayTogether(t *testing.T) {
 	b := newHarness(t)
 	b.startStream(41)
-	began := onlyEvent[front.Began](b)
+	began := onlyEvent[front.AttemptStarted](b)
 	if began.Session != 41 || len(began.Report) != 2 || began.Report[1] != 0.25 {
 		t.Fatal(began)
 	}
@@ -150,11 +153,11 @@
 		b.setup(1)
 		b.connect()
 		b.lost(uint64(b.base + written))
-		want := policy.ResetConn
+		want := policy.ConnReset
 		if written < setupEnd {
 			want = policy.NoConnect // the server can't have received a complete SETUP
 		}
-		if e := onlyEvent[front.Ended](b); e.Status != want {
+		if e := onlyEvent[front.AttemptEnded](b); e.Status != want {
 			t.Errorf("lost with %d of %d bytes written: %d, want %d", written, total, e.Status, want)
 		}
 	}
@@ -176,15 +179,15 @@
 				b.reply(m)
 			}
 			if cut == len(replies) {
-				onlyEvent[front.Began](b)
+				onlyEvent[front.AttemptStarted](b)
 				continue
 			}
-			want := policy.ResetConn
+			want := policy.ConnReset
 			if cause == "connection lost" {
 				b.lost(b.protocol.peers[1].bytesSent)
 			} else {
 				want = policy.TimedOut
-				b.protocol.Do(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
+				b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
 				b.collect()
 				last := b.lastRequest()
 				if by := last.Session(); last.Method != rtsp.Teardown || (by == "q") != (cut >= firstEnd) ||
@@ -192,7 +195,7 @@
 					t.Fatalf("cut at %d: torn down by %+v", cut, last)
 				}
 			}
-			if e := onlyEvent[front.Ended](b); e.Status != want {
+			if e := onlyEvent[front.AttemptEnded](b); e.Status != want {
 				t.Errorf("%s at reply byte %d: %d, want %d", cause, cut, e.Status, want)
 			}
 		}
@@ -216,22 +219,22 @@
 	}{
 		"refused": {func(b *harness) { b.protocol.DialFailed(b.now, 1, b.conn) }, policy.NoConnect},
 		"timeout": {func(b *harness) {
-			b.protocol.Do(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
+			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
 		}, policy.NoConnect},
 		"player left": {func(b *harness) {
-			b.protocol.Do(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Withdrawn})
-		}, policy.Moot},
-		"drain notice": {func(b *harness) { b.protocol.Do(b.now, front.Withdraw{Server: 1}) }, policy.Moot},
+			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Cancelled})
+		}, policy.NotSent},
+		"drain notice": {func(b *harness) { b.protocol.Apply(b.now, front.Withdraw{Server: 1}) }, policy.NotSent},
 		"new process": {func(b *harness) {
 			b.protocol.peers[1].processStartedAt = 1
-			b.protocol.Listed(b.now, serverOne(9, addr))
+			b.protocol.SetServers(b.now, serverOne(9, addr))
 		}, policy.NoConnect},
 	} {
 		b := newHarness(t)
 		b.setup(1)
 		c.what(b)
 		b.collect()
-		if e := onlyEvent[front.Ended](b); e.Status != c.want {
+		if e := onlyEvent[front.AttemptEnded](b); e.Status != c.want {
 			t.Errorf("%s: %d, want %d", name, e.Status, c.want)
 		}
 		b.connect()
@@ -255,7 +258,7 @@
 		b.connect()
 		b.reply((&rtsp.Message{Status: c.setup, CSeq: 2}).Set("Session", "q"))
 		b.reply(&rtsp.Message{Status: c.play, CSeq: 3})
-		if e := onlyEvent[front.Ended](b); e.Status != c.want {
+		if e := onlyEvent[front.AttemptEnded](b); e.Status != c.want {
 			t.Errorf("%d then %d: %d, want %d", c.setup, c.play, e.Status, c.want)
 		}
 		if torn := b.lastRequest().Method == rtsp.Teardown; torn != c.torn {
@@ -268,9 +271,9 @@
 	b := newHarness(t)
 	b.setup(1)
 	b.connect()
-	b.protocol.Do(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
+	b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
 	b.collect()
-	onlyEvent[front.Ended](b)
+	onlyEvent[front.AttemptEnded](b)
 	b.reply((&rtsp.Message{Status: 200, CSeq: 2}).Set("Session", "q"))
 	b.reply(&rtsp.Message{Status: 200, CSeq: 3})
 	b.reply(&rtsp.Message{Status: 455, CSeq: 4}) // the pipelined TEARDOWN was not understood
@@ -301,12 +304,12 @@
 		"unreachable": {func(b *harness) { b.protocol.DialFailed(b.now, 1, b.conn) }, true},
 		"new process": {func(b *harness) {
 			b.protocol.peers[1].processStartedAt = 1
-			b.protocol.Listed(b.now, serverOne(9, addr))
+			b.protocol.SetServers(b.now, serverOne(9, addr))
 		}, true},
 	} {
 		b := newHarness(t)
 		b.startStream(1)
-		onlyEvent[front.Began](b)
+		onlyEvent[front.AttemptStarted](b)
 		dials := b.dials
 		b.lost(b.protocol.peers[1].bytesSent)
 		if b.dials != dials+1 || len(b.events) > 0 {
@@ -315,7 +318,7 @@
 		c.after(b)
 		b.collect()
 		if c.lost {
-			if e := onlyEvent[front.Ended](b); e.Status != policy.ResetConn {
+			if e := onlyEvent[front.AttemptEnded](b); e.Status != policy.ConnReset {
 				t.Errorf("%s: %v", name, e)
 			}
 		} else if len(b.events) > 0 || b.protocol.peers[1].streams[0].unverified {
@@ -331,7 +334,7 @@
 	for name, lose := range map[string]func(b *harness){
 		"lost after SETUP was accepted": func(b *harness) {},
 		"abandoned, TEARDOWN unanswered": func(b *harness) {
-			b.protocol.Do(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
+			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
 			b.collect()
 		},
 	} {
@@ -341,7 +344,7 @@
 		b.reply((&rtsp.Message{Status: 200, CSeq: 2}).Set("Session", "q"))
 		lose(b)
 		b.lost(b.protocol.peers[1].bytesSent)
-		onlyEvent[front.Ended](b)
+		onlyEvent[front.AttemptEnded](b)
 		if b.dials != 2 {
 			t.Fatalf("%s: %d dials", name, b.dials)
 		}
@@ -356,7 +359,7 @@
 func TestClosesSilentConnection(t *testing.T) {
 	b := newHarness(t)
 	b.startStream(1)
-	onlyEvent[front.Began](b)
+	onlyEvent[front.AttemptStarted](b)
 	b.now += 10 * policy.Second
 	b.protocol.Tick(b.now)
 	b.collect()
@@ -374,7 +377,7 @@
 func TestHandlesServerRequests(t *testing.T) {
 	b := newHarness(t)
 	id := b.startStream(1)
-	onlyEvent[front.Began](b)
+	onlyEvent[front.AttemptStarted](b)
 	set := func(body string) {
 		b.reply((&rtsp.Message{Method: rtsp.SetParameter, URI: "*", CSeq: 5, Body: []byte(body)}).Set("Session", id))
 	}
@@ -388,7 +391,7 @@
 		t.Fatal(r)
 	}
 	b.reply((&rtsp.Message{Method: rtsp.PlayNotify, URI: "*", CSeq: 7}).Set("Session", id).Set("Notify-Reason", "end-of-stream"))
-	if e := onlyEvent[front.Ended](b); e.Status != policy.OK {
+	if e := onlyEvent[front.AttemptEnded](b); e.Status != policy.OK {
 		t.Fatal(e)
 	}
 	b.reply(&rtsp.Message{Method: "ANNOUNCE", URI: "*", CSeq: 8})
@@ -399,14 +402,14 @@
 
 func TestReportsEachProbeOnce(t *testing.T) {
 	b := newHarness(t)
-	b.protocol.Do(b.now, front.Probe{Server: 1})
+	b.protocol.Apply(b.now, front.Probe{Server: 1})
 	b.collect()
 	b.connect()
 	b.reply(&rtsp.Message{Status: 200, CSeq: 2, Body: []byte("link: 1.5\r\nuplink: 0.1\r\n")})
 	if p := onlyEvent[front.Probed](b); p.Status != policy.OK || p.Report[0] != 1.5 {
 		t.Fatal(p)
 	}
-	b.protocol.Do(b.now, front.Probe{Server: 1})
+	b.protocol.Apply(b.now, front.Probe{Server: 1})
 	b.now += policy.Second
 	b.protocol.Tick(b.now)
 	b.collect()
@@ -417,7 +420,7 @@
 	if len(b.events) > 0 {
 		t.Fatal("a late reply was reported as a second result")
 	}
-	b.protocol.Do(b.now, front.Probe{Server: 9})
+	b.protocol.Apply(b.now, front.Probe{Server: 9})
 	b.collect()
 	if p := onlyEvent[front.Probed](b); p.Status != policy.NoConnect {
 		t.Fatal(p)
@@ -429,7 +432,7 @@
 func TestOnlyRaceWinnerCarriesSetups(t *testing.T) {
 	for _, lateFirst := range []bool{false, true} {
 		b := newHarness(t)
-		b.protocol.Listed(b.now, serverOne(0, "a:1", "b:1"))
+		b.protocol.SetServers(b.now, serverOne(0, "a:1", "b:1"))
 		b.setup(1)
 		first := b.conn
 		b.now += 100 * policy.Millisecond
@@ -459,7 +462,7 @@
 			}
 			closed = closed || a.Close && a.Conn == loser
 		}
-		if rests := b.protocol.Paths(1).Paths[0].Resting(b.now); rests != lateFirst {
+		if rests := b.protocol.Paths(1).Paths[0].InBackoff(b.now); rests != lateFirst {
 			t.Errorf("first address, dialled with a head start, rests: %v", rests)
 		}
 		if setups != 1 || !closed {
@@ -474,7 +477,7 @@
 
 func TestRechecksRestedAddressWithoutSetup(t *testing.T) {
 	b := newHarness(t)
-	b.protocol.Listed(b.now, serverOne(0, "a:1", "b:1"))
+	b.protocol.SetServers(b.now, serverOne(0, "a:1", "b:1"))
 	b.setup(1)
 	b.protocol.DialFailed(b.now, 1, b.conn) // a refuses, b is dialled at once
 	b.collect()
@@ -495,16 +498,16 @@
 	}
 	b.protocol.Received(b.now, 1, b.conn, &rtsp.Message{Status: 200, CSeq: 1})
 	b.collect()
-	if b.protocol.Paths(1).Paths[0].Resting(b.now) || b.protocol.peers[1].recheck != nil {
+	if b.protocol.Paths(1).Paths[0].InBackoff(b.now) || b.protocol.peers[1].recheck != nil {
 		t.Error("the address still rests or the recheck did not end")
 	}
 }
 
 func TestFailsSetupAtServerWithoutAddress(t *testing.T) {
 	b := newHarness(t)
-	b.protocol.Listed(b.now, []Server{{ID: 1}})
+	b.protocol.SetServers(b.now, []Server{{ID: 1}})
 	b.setup(1)
-	if e := onlyEvent[front.Ended](b); e.Status != policy.NoConnect {
+	if e := onlyEvent[front.AttemptEnded](b); e.Status != policy.NoConnect {
 		t.Fatal(e)
 	}
 }
@@ -528,14 +531,14 @@
 		b := newHarness(t)
 		id := b.startStream(5)
 		if name != "the stream was playing and its server is unreachable" {
-			b.protocol.Do(b.now, front.Stop{Session: 5, Server: 1})
+			b.protocol.Apply(b.now, front.Stop{Session: 5, Server: 1})
 			b.collect()
 			b.nextRequest()
 		}
 		b.lost(1 << 20)
 		next(b)
 		b.collect()
-		if b.protocol.Doomed() != 1 {
+		if b.protocol.PendingTeardowns() != 1 {
 			t.Errorf("%s: the teardown is not pending", name)
 			continue
 		}
@@ -553,7 +556,7 @@
 		if m := b.nextRequest(); m.Method != rtsp.Teardown || m.Session() != id {
 			t.Errorf("%s: %+v", name, m)
 		}
-		if b.protocol.Doomed() != 0 {
+		if b.protocol.PendingTeardowns() != 0 {
 			t.Errorf("%s: torn down and still pending", name)
 		}
 	}
@@ -567,8 +570,8 @@
 		b.collect()
 		b.protocol.DialFailed(b.now, 1, b.conn)
 	}
-	if b.protocol.Doomed() != 0 || b.dials > 25 {
-		t.Errorf("%d teardowns pending, %d dials in 75 s", b.protocol.Doomed(), b.dials)
+	if b.protocol.PendingTeardowns() != 0 || b.dials > 25 {
+		t.Errorf("%d teardowns pending, %d dials in 75 s", b.protocol.PendingTeardowns(), b.dials)
 	}
 }
 
@@ -577,8 +580,8 @@
 func TestVerifiesRestoredStream(t *testing.T) {
 	for status, ended := range map[int]int{200: 0, 454: 1} {
 		b := newHarness(t)
-		if !b.protocol.Adopt(b.now, front.Setup{Session: 5, Attempt: 2, Server: 1, Title: 7, Rung: 2}, "old") ||
-			b.protocol.Adopt(b.now, front.Setup{Session: 6, Server: 9}, "x") {
+		if !b.protocol.Restore(b.now, front.Setup{Session: 5, Attempt: 2, Server: 1, Title: 7, Rung: 2}, "old") ||
+			b.protocol.Restore(b.now, front.Setup{Session: 6, Server: 9}, "x") {
 			t.Fatal("Restore failed, or succeeded for an unknown server")
 		}
 		b.collect()
@@ -593,7 +596,7 @@
 		}
 		if status == 200 {
 			b.nextRequest() // its rung
-			b.protocol.Do(b.now, front.Stop{Session: 5, Attempt: 2, Server: 1})
+			b.protocol.Apply(b.now, front.Stop{Session: 5, Attempt: 2, Server: 1})
 			b.collect()
 			if m := b.nextRequest(); m.Method != rtsp.Teardown || m.Session() != "old" {
 				t.Errorf("%+v", m)
@@ -601,8 +604,8 @@
 		}
 	}
 	b := newHarness(t)
-	b.protocol.Doom(b.now, 1, "gone")
-	b.protocol.Doom(b.now, 9, "of an unknown server")
+	b.protocol.TearDownOrphan(b.now, 1, "gone")
+	b.protocol.TearDownOrphan(b.now, 9, "of an unknown server")
 	b.collect()
 	b.connect()
 	if m := b.nextRequest(); m.Method != rtsp.Teardown || m.Session() != "gone" {
--- a/internal/exchange/race.go
+++ b/internal/exchange/race.go
@@ -36,12 +36,12 @@
 }
 
 // dial starts a race, unless a connection is established or a race is running.
-func (p *Desk) dial(peer *peerState) {
+func (p *Protocol) dial(peer *peerState) {
 	if peer.connState != disconnected {
 		return
 	}
 	peer.connState = connecting
-	peer.race = &race{deadline: p.now + p.cfg.Connect}
+	peer.race = &race{deadline: p.now + p.cfg.ConnectTimeout}
 	for _, i := range peer.pathSet.Order(p.now) {
 		peer.race.remaining = append(peer.race.remaining, peer.pathSet.Paths[i].Addr)
 	}
@@ -49,7 +49,7 @@
 }
 
 // dialNext dials the next address; if none is left and no candidate is running, the server is unreachable.
-func (p *Desk) dialNext(peer *peerState) {
+func (p *Protocol) dialNext(peer *peerState) {
 	r := peer.race
 	for len(r.remaining) > 0 {
 		addr := r.remaining[0]
@@ -69,9 +69,9 @@
 	}
 }
 
-func (p *Desk) startDial(peer *peerState, addr string, timeout Time) *candidate {
+func (p *Protocol) startDial(peer *peerState, addr string, timeout Time) *candidate {
 	p.lastConn++
-	p.effects = append(p.effects, Act{Server: peer.server, Conn: p.lastConn, Dial: addr, Within: max(timeout, 1)})
+	p.effects = append(p.effects, Effect{Server: peer.server, Conn: p.lastConn, Dial: addr, Timeout: max(timeout, 1)})
 	return &candidate{conn: p.lastConn, addr: addr, startedAt: p.now}
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Connected reports that a dial succeeded. The connection gets an OPTIONS request, which it must answer to win.
-func (p *Desk) Connected(now Time, server uint32, conn uint64) {
+func (p *Protocol) Connected(now Time, server uint32, conn uint64) {
 	p.now = now
 	peer := p.peers[server]
 	var r *candidate
@@ -99,7 +99,7 @@
 		r = peer.candidate(conn)
 	}
 	if r == nil { // the race is over
-		p.effects = append(p.effects, Act{Server: server, Conn: conn, Close: true})
+		p.effects = append(p.effects, Effect{Server: server, Conn: conn, Close: true})
 		return
 	}
 	r.connected, r.lastCSeq = true, 1
@@ -109,21 +109,21 @@
 	m := rtsp.Message{Method: rtsp.Options, URI: "rtsp://" + peer.addr + "/", CSeq: r.lastCSeq}
 	b := m.Append(nil)
 	r.bytesSent = uint64(len(b))
-	p.effects = append(p.effects, Act{Server: server, Conn: conn, Bytes: b})
+	p.effects = append(p.effects, Effect{Server: server, Conn: conn, Bytes: b})
 }
 
 // connectionAnswered handles the first message read on a candidate: the address works, and the candidate wins its race.
-func (p *Desk) connectionAnswered(peer *peerState, conn uint64) {
+func (p *Protocol) connectionAnswered(peer *peerState, conn uint64) {
 	r := peer.candidate(conn)
 	if r == nil {
 		return
 	}
 	if i := peer.pathIndex(r.addr); i >= 0 {
-		peer.pathSet.Proved(i, p.now)
+		peer.pathSet.Responded(i, p.now)
 	}
 	if r == peer.recheck {
 		peer.recheck = nil
-		p.effects = append(p.effects, Act{Server: peer.server, Conn: conn, Close: true})
+		p.effects = append(p.effects, Effect{Server: peer.server, Conn: conn, Close: true})
 		return
 	}
 	peer.race.candidates = slices.DeleteFunc(peer.race.candidates, func(o *candidate) bool { return o == r })
@@ -139,27 +139,27 @@
 }
 
 // cancelRace ends a race. Established candidates are closed now, the others when their dial succeeds.
-func (p *Desk) cancelRace(peer *peerState) {
+func (p *Protocol) cancelRace(peer *peerState) {
 	if peer.race == nil {
 		return
 	}
 	for _, r := range peer.race.candidates {
 		if r.connected {
-			p.effects = append(p.effects, Act{Server: peer.server, Conn: r.conn, Close: true})
+			p.effects = append(p.effects, Effect{Server: peer.server, Conn: r.conn, Close: true})
 		}
 	}
 	peer.race = nil
 }
 
 // restartRace starts a race again because the addresses changed while it was running.
-func (p *Desk) restartRace(peer *peerState) {
+func (p *Protocol) restartRace(peer *peerState) {
 	p.cancelRace(peer)
 	peer.connState = disconnected
 	p.dial(peer)
 }
 
 // DialFailed reports that a dial failed: refused, unreachable or timed out.
-func (p *Desk) DialFailed(now Time, server uint32, conn uint64) {
+func (p *Protocol) DialFailed(now Time, server uint32, conn uint64) {
 	p.now = now
 	if peer := p.peers[server]; peer != nil {
 		p.connectionFailed(peer, conn)
@@ -167,7 +167,7 @@
 }
 
 // connectionFailed removes a candidate that failed and dials the next address at once.
-func (p *Desk) connectionFailed(peer *peerState, conn uint64) {
+func (p *Protocol) connectionFailed(peer *peerState, conn uint64) {
 	r := peer.candidate(conn)
 	if r == nil {
 		return
@@ -185,7 +185,7 @@
 
 // tickPaths dials the next address of a race when its delay is over, ends races past their deadline, rechecks addresses
 // that rested, closes idle connections, and dials for pending teardowns and for servers in frequent use.
-func (p *Desk) tickPaths(peer *peerState) {
+func (p *Protocol) tickPaths(peer *peerState) {
 	if r := peer.race; r != nil {
 		switch {
 		case p.now >= r.deadline || !p.raceWorthwhile(peer):
@@ -195,7 +195,7 @@
 					break
 				}
 				if running.connected {
-					p.effects = append(p.effects, Act{Server: peer.server, Conn: running.conn, Close: true})
+					p.effects = append(p.effects, Effect{Server: peer.server, Conn: running.conn, Close: true})
 				}
 				p.connectionFailed(peer, running.conn)
 			}
@@ -204,20 +204,20 @@
 		}
 	}
 	switch {
-	case peer.recheck != nil && p.now-peer.recheck.startedAt >= 2*p.cfg.Connect:
+	case peer.recheck != nil && p.now-peer.recheck.startedAt >= 2*p.cfg.ConnectTimeout:
 		if peer.recheck.connected {
-			p.effects = append(p.effects, Act{Server: peer.server, Conn: peer.recheck.conn, Close: true})
+			p.effects = append(p.effects, Effect{Server: peer.server, Conn: peer.recheck.conn, Close: true})
 		}
 		p.connectionFailed(peer, peer.recheck.conn)
 	case peer.recheck == nil && peer.race == nil && peer.listed:
 		// Tests whether the address works again without risking a viewer's set-up.
-		if i, ok := peer.pathSet.Recheck(p.now); ok && p.pacer.Allow(peer.server, p.now, false) {
-			peer.recheck = p.startDial(peer, peer.pathSet.Paths[i].Addr, p.cfg.Connect)
+		if i, ok := peer.pathSet.RecheckDue(p.now); ok && p.pacer.Allow(peer.server, p.now, false) {
+			peer.recheck = p.startDial(peer, peer.pathSet.Paths[i].Addr, p.cfg.ConnectTimeout)
 		}
 	}
-	if peer.connState == connected && p.cfg.IdleClose > 0 && len(peer.streams) == 0 && len(peer.requests) == 0 &&
-		p.now-max(peer.lastSetupAt, peer.connectedAt) >= p.cfg.IdleClose {
-		p.effects = append(p.effects, Act{Server: peer.server, Conn: peer.conn, Close: true})
+	if peer.connState == connected && p.cfg.IdleTimeout > 0 && len(peer.streams) == 0 && len(peer.requests) == 0 &&
+		p.now-max(peer.lastSetupAt, peer.connectedAt) >= p.cfg.IdleTimeout {
+		p.effects = append(p.effects, Effect{Server: peer.server, Conn: peer.conn, Close: true})
 		peer.connState = disconnected
 	}
 	if peer.connState == disconnected && len(peer.pendingTeardowns) > 0 {
@@ -231,7 +231,7 @@
 		}
 	}
 	if peer.connState == disconnected && peer.listed && peer.lastSetupAt > 0 && p.now-peer.lastSetupAt < warmWindow &&
-		!peer.pathSet.Dark(p.now) && p.pacer.Allow(peer.server, p.now, false) {
+		!peer.pathSet.Unreachable(p.now) && p.pacer.Allow(peer.server, p.now, false) {
 		p.dial(peer) // sessions are frequent here: the next one finds an open connection
 	}
 }
@@ -240,7 +240,7 @@
 const warmWindow = Time(10e9)
 
 // raceWorthwhile reports whether the race still fits the aim of the set-up that has waited longest.
-func (p *Desk) raceWorthwhile(peer *peerState) bool {
+func (p *Protocol) raceWorthwhile(peer *peerState) bool {
 	if len(peer.unsent) == 0 {
 		return true
 	}
@@ -249,11 +249,11 @@
 	if class := first.setup.Class; class >= 0 && class < len(p.cfg.Aims) {
 		aim = p.cfg.Aims[class]
 	}
-	return paths.Worth(p.now-first.startedAt, aim)
+	return paths.FallbackFits(p.now-first.startedAt, aim)
 }
 
 // NextTick returns the time at which Tick should be called for a race, if one is running.
-func (p *Desk) Next() (at Time, ok bool) {
+func (p *Protocol) NextTick() (at Time, ok bool) {
 	for _, id := range p.peerOrder {
 		if r := p.peers[id].race; r != nil {
 			t := r.deadline
@@ -269,7 +269,7 @@
 }
 
 // Paths returns the state of a server's addresses, for tests and the metrics page.
-func (p *Desk) Paths(server uint32) *paths.Set {
+func (p *Protocol) Paths(server uint32) *paths.Set {
 	if peer := p.peers[server]; peer != nil {
 		return &peer.pathSet
 	}
--- a/internal/exchange/restore.go
+++ b/internal/exchange/restore.go
@@ -5,7 +5,7 @@
 // Restore takes over a stream from before a restart of this front. The stream is verified on a new connection by its
 // RTSP session ID (GET_PARAMETER, RFC 7826 section 13.7); if its server no longer knows it, the core gets its
 // AttemptEnded. Restore returns false and holds nothing if the server is unknown.
-func (p *Desk) Adopt(now Time, s front.Setup, stream string) bool {
+func (p *Protocol) Restore(now Time, s front.Setup, stream string) bool {
 	p.now = now
 	peer := p.peers[s.Server]
 	if peer == nil || stream == "" || p.attempts[s.Session] != nil {
@@ -23,13 +23,13 @@
 }
 
 // TearDownOrphan tears down a stream from before a restart of this front once its server is connected.
-func (p *Desk) Doom(now Time, server uint32, stream string) {
+func (p *Protocol) TearDownOrphan(now Time, server uint32, stream string) {
 	p.now = now
 	p.queueTeardown(p.peers[server], &attempt{sessionID: stream})
 }
 
 // Stream returns the RTSP session ID of a session's stream, "" if it has none yet.
-func (p *Desk) Stream(session uint64) string {
+func (p *Protocol) Stream(session uint64) string {
 	if a := p.attempts[session]; a != nil {
 		return a.sessionID
 	}
@@ -37,7 +37,7 @@
 }
 
 // Attempt returns the number of the session's attempt held here, 0 if none is.
-func (p *Desk) Attempt(session uint64) int {
+func (p *Protocol) Attempt(session uint64) int {
 	if a := p.attempts[session]; a != nil {
 		return a.setup.Attempt
 	}
@@ -45,7 +45,7 @@
 }
 
 // Server returns the server of the session's attempt, 0 if none is held here.
-func (p *Desk) Server(session uint64) uint32 {
+func (p *Protocol) Server(session uint64) uint32 {
 	if a := p.attempts[session]; a != nil {
 		return a.setup.Server
 	}
--- a/internal/exchange/setups.go
+++ b/internal/exchange/setups.go
@@ -13,7 +13,7 @@
 
 // This file writes, ends, abandons and tears down set-ups at media servers.
 
-func (p *Desk) setup(e front.Setup) {
+func (p *Protocol) setup(e front.Setup) {
 	a := &attempt{setup: e, startedAt: p.now}
 	p.attempts[e.Session] = a
 	peer := p.peers[e.Server]
@@ -28,7 +28,7 @@
 	}
 }
 
-func (p *Desk) uri(peer *peerState, s *front.Setup) string {
+func (p *Protocol) uri(peer *peerState, s *front.Setup) string {
 	name := s.Name
 	if name == "" {
 		name = p.cfg.TitleName(s.Title)
@@ -37,7 +37,7 @@
 }
 
 // writeSetup writes SETUP and PLAY to the connection.
-func (p *Desk) writeSetup(peer *peerState, a *attempt) {
+func (p *Protocol) writeSetup(peer *peerState, a *attempt) {
 	p.lastPipeline++
 	peer.lastSetupAt = p.now
 	a.pipeline, a.sentConn = p.lastPipeline, peer.conn
@@ -56,7 +56,7 @@
 }
 
 // appendRequest numbers a request, records it as unanswered and appends it to b.
-func (p *Desk) appendRequest(peer *peerState, m *rtsp.Message, r request, b []byte) []byte {
+func (p *Protocol) appendRequest(peer *peerState, m *rtsp.Message, r request, b []byte) []byte {
 	peer.lastCSeq++
 	m.CSeq = peer.lastCSeq
 	r.startedAt = p.now
@@ -68,23 +68,23 @@
 	return m.Append(b)
 }
 
-func (p *Desk) send(peer *peerState, b []byte) {
+func (p *Protocol) send(peer *peerState, b []byte) {
 	peer.bytesSent += uint64(len(b))
-	p.effects = append(p.effects, Act{Server: peer.server, Conn: peer.conn, Bytes: b})
+	p.effects = append(p.effects, Effect{Server: peer.server, Conn: peer.conn, Bytes: b})
 }
 
 // endAttempt emits an attempt's AttemptEnded, once, and removes the attempt.
-func (p *Desk) endAttempt(a *attempt, status policy.Status, report []float64) {
+func (p *Protocol) endAttempt(a *attempt, status policy.Status, report []float64) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	p.removeAttempt(a)
-	p.events = append(p.events, front.Ended{Session: a.setup.Session, Attempt: a.setup.Attempt, Status: status,
+	p.events = append(p.events, front.AttemptEnded{Session: a.setup.Session, Attempt: a.setup.Attempt, Status: status,
 		Took: p.now - a.startedAt, Report: report})
 }
 
-func (p *Desk) removeAttempt(a *attempt) {
+func (p *Protocol) removeAttempt(a *attempt) {
 	if p.attempts[a.setup.Session] == a {
 		delete(p.attempts, a.setup.Session)
 	}
@@ -94,7 +94,7 @@
 }
 
 // abandon stops waiting for an attempt in flight.
-func (p *Desk) abandon(e front.Abandon) {
+func (p *Protocol) abandon(e front.Abandon) {
 	a := p.attempts[e.Session]
 	if a == nil || a.setup.Attempt != e.Attempt || a.ended {
 		return
@@ -102,7 +102,7 @@
 	peer := p.peers[a.setup.Server]
 	if a.sentConn == 0 {
 		peer.unsent = slices.DeleteFunc(peer.unsent, func(o *attempt) bool { return o == a })
-		p.endAttempt(a, fate.Of(fate.Unsent, e.Cause, 0), nil)
+		p.endAttempt(a, fate.StatusOf(fate.Unsent, e.Cause, 0), nil)
 		return
 	}
 	progress := fate.Written
@@ -111,12 +111,12 @@
 	}
 	p.teardown(peer, a)
 	a.ended = false
-	p.endAttempt(a, fate.Of(progress, e.Cause, 0), nil)
+	p.endAttempt(a, fate.StatusOf(progress, e.Cause, 0), nil)
 }
 
 // teardown makes the server end a stream or an unanswered set-up. The TEARDOWN of an unanswered set-up goes to the
 // connection that carried the set-up: on another one it could overtake the set-up.
-func (p *Desk) teardown(peer *peerState, a *attempt) {
+func (p *Protocol) teardown(peer *peerState, a *attempt) {
 	a.ended = true
 	p.removeAttempt(a)
 	if peer == nil || peer.connState != connected || a.sentConn != peer.conn && a.sessionID == "" {
@@ -133,7 +133,7 @@
 }
 
 // queueTeardown records a stream that the server may still play although its connection is lost.
-func (p *Desk) queueTeardown(peer *peerState, a *attempt) {
+func (p *Protocol) queueTeardown(peer *peerState, a *attempt) {
 	if peer != nil && a.sessionID != "" && len(peer.pendingTeardowns) < maxPendingTeardowns {
 		peer.pendingTeardowns = append(peer.pendingTeardowns, a.sessionID)
 		peer.teardownBackoff, peer.teardownsExpireAt = minTeardownBackoff, p.now+pendingTeardownTTL
--- a/internal/explore/attempts/clock.go
+++ b/internal/explore/attempts/clock.go
@@ -16,10 +16,10 @@
 			at, ok = t, true
 		}
 	}
-	if t, some := w.core.NextOwn(); some {
+	if t, some := w.core.NextSessionTimer(); some {
 		consider(max(t, w.now+1))
 	}
-	if t, some := w.desk.Next(); some {
+	if t, some := w.desk.NextTick(); some {
 		consider(max(t, w.now+1))
 	}
 	for i := range w.servers {
@@ -60,7 +60,7 @@
 	slow := w.slow
 	w.slow = nil
 	for _, e := range slow {
-		w.desk.Do(w.now, e)
+		w.desk.Apply(w.now, e)
 	}
 	w.settle()
 }
@@ -80,7 +80,7 @@
 	w.left = Config{Faults: -1}
 	for range rounds {
 		w.deliver()
-		if w.broken != "" || w.core.Open() == 0 && w.core.Held() <= w.watching()+w.haunted() && !w.absent() && len(w.slow) == 0 && w.desk.Doomed() == 0 {
+		if w.broken != "" || w.core.OpenRequests() == 0 && w.core.SessionCount() <= w.watching()+w.haunted() && !w.absent() && len(w.slow) == 0 && w.desk.PendingTeardowns() == 0 {
 			break
 		}
 		w.pass()
--- a/internal/explore/attempts/faults.go
+++ b/internal/explore/attempts/faults.go
@@ -47,16 +47,16 @@
 // misheard applies a fault to an event for the core.
 func (w *world) misheard(e front.Event) []front.Event {
 	switch x := e.(type) {
-	case front.Began:
+	case front.AttemptStarted:
 		if w.cfg.Mutate == Twice && w.due {
-			return []front.Event{front.Ended{Session: x.Session, Attempt: x.Attempt, Status: policy.TimedOut}, x}
+			return []front.Event{front.AttemptEnded{Session: x.Session, Attempt: x.Attempt, Status: policy.TimedOut}, x}
 		}
-	case front.Ended:
+	case front.AttemptEnded:
 		if w.cfg.Mutate == NeverRan && x.Status != policy.OK {
 			x.Status = policy.NoConnect
 			return []front.Event{x}
 		}
-		if w.cfg.Mutate == NotCleared && x.Status == policy.CancelledSt {
+		if w.cfg.Mutate == NotCleared && x.Status == policy.Cancelled {
 			return nil
 		}
 	}
@@ -91,9 +91,9 @@
 	return func(set policy.Settings, boot int) front.Module {
 		switch {
 		case fault == ForgetsCold && boot > 0:
-			set.ColdSpan = 0
+			set.WarmupTime = 0
 		case fault == BudgetEdge:
-			set.BudgetSpan /= 2
+			set.RetryWindow /= 2
 		}
 		return &Faulty{Module: policy.New(set, 1), Fault: fault}
 	}
--- a/internal/explore/attempts/properties.go
+++ b/internal/explore/attempts/properties.go
@@ -55,12 +55,12 @@
 	}
 	w.watch.Attempts = append(w.watch.Attempts, r)
 	if n, most := w.crowd(l.server), w.coldMost(l.server); most > 0 && n > most {
-		w.fail("cold kept: %d set-ups within %d ms at server %d, which %d push over", n, w.set.FallSpan/policy.Millisecond, l.server, most+1)
+		w.fail("cold kept: %d set-ups within %d ms at server %d, which %d push over", n, w.set.OverloadWindow/policy.Millisecond, l.server, most+1)
 	}
 	if r.Attempt > 0 {
 		w.watch.Further = append(w.watch.Further, w.now)
-		if n, most := w.further(); w.set.Budgeted && float64(n) > most {
-			w.fail("budget kept: %d further attempts within %d ms", n, w.set.BudgetSpan/policy.Millisecond)
+		if n, most := w.further(); w.set.RetriesLimited && float64(n) > most {
+			w.fail("budget kept: %d further attempts within %d ms", n, w.set.RetryWindow/policy.Millisecond)
 		}
 	}
 	return len(w.watch.Attempts) - 1
@@ -81,7 +81,7 @@
 		}
 	}
 	for i := range w.watch.Attempts {
-		if o := &w.watch.Attempts[i]; o.Class == r.Class && o.Out && !held[o.Session] && w.desk.Out(o.Session, o.Attempt) {
+		if o := &w.watch.Attempts[i]; o.Class == r.Class && o.Out && !held[o.Session] && w.desk.HoldsAttempt(o.Session, o.Attempt) {
 			held[o.Session] = true
 			n++
 		}
@@ -90,22 +90,22 @@
 }
 
 // toreDown tells whether the front has said all it can to end a stream: its attempt is no longer held.
-func (w *world) toreDown(x stream) bool { return !w.desk.Out(x.session, x.attempt) }
+func (w *world) toreDown(x stream) bool { return !w.desk.HoldsAttempt(x.session, x.attempt) }
 
 // coldMost gives the most set-ups within a span that do not push a server over; 0: it is warm.
 func (w *world) coldMost(server uint32) int {
 	s := &w.servers[server-1]
-	if w.set.ColdSpan <= 0 || s.started == 0 || w.now-s.started >= w.set.ColdSpan {
+	if w.set.WarmupTime <= 0 || s.started == 0 || w.now-s.started >= w.set.WarmupTime {
 		return 0
 	}
-	perS := w.set.KindSlots[0] / (float64(w.set.ColdSpan) / float64(policy.Second)) * w.set.ColdFrom
-	return int(perS * w.set.ColdTimes * float64(w.set.FallSpan) / float64(policy.Second))
+	perS := w.set.KindSlots[0] / (float64(w.set.WarmupTime) / float64(policy.Second)) * w.set.ColdCapacity
+	return int(perS * w.set.OverloadFactor * float64(w.set.OverloadWindow) / float64(policy.Second))
 }
 
 // crowd counts the set-ups at a server within the last span.
 func (w *world) crowd(server uint32) (n int) {
 	for i := range w.watch.Attempts {
-		if o := &w.watch.Attempts[i]; o.Server == server && o.At > w.now-w.set.FallSpan {
+		if o := &w.watch.Attempts[i]; o.Server == server && o.At > w.now-w.set.OverloadWindow {
 			n++
 		}
 	}
@@ -115,16 +115,16 @@
 // further counts the further attempts within the last span, and gives how many may be.
 func (w *world) further() (n int, most float64) {
 	for _, at := range w.watch.Further {
-		if at > w.now-w.set.BudgetSpan {
+		if at > w.now-w.set.RetryWindow {
 			n++
 		}
 	}
 	for _, at := range w.watch.Taken {
-		if at > w.now-w.set.BudgetSpan {
-			most += w.set.Ratio
+		if at > w.now-w.set.RetryWindow {
+			most += w.set.RetryRatio
 		}
 	}
-	return n, most + w.set.SpareAttempts
+	return n, most + w.set.SpareRetries
 }
 
 // ended tells whether an attempt's end has reached the front: its session plays no more and waits for nothing.
@@ -134,7 +134,7 @@
 			return false
 		}
 	}
-	return !w.desk.Out(r.Session, r.Attempt)
+	return !w.desk.HoldsAttempt(r.Session, r.Attempt)
 }
 
 func (w *world) answered(player, session uint64, what string) {
@@ -174,14 +174,14 @@
 func (w *world) nothingLeft() {
 	for i := range w.servers {
 		for _, x := range w.servers[i].streams {
-			if !x.lone && !w.wanted(x.session) && w.desk.Doomed() == 0 { // else it is still to be torn down
+			if !x.lone && !w.wanted(x.session) && w.desk.PendingTeardowns() == 0 { // else it is still to be torn down
 
 				w.fail("nothing left: server %d plays a stream of a session that is over", i+1)
 			}
 		}
 	}
-	if w.core.Open() == 0 && w.core.Held() > w.watching()+w.haunted() {
-		w.fail("nothing left: the core holds %d sessions, %d are watched", w.core.Held(), w.watching())
+	if w.core.OpenRequests() == 0 && w.core.SessionCount() > w.watching()+w.haunted() {
+		w.fail("nothing left: the core holds %d sessions, %d are watched", w.core.SessionCount(), w.watching())
 	}
 }
 
@@ -192,13 +192,13 @@
 			w.fail("liveness: player %d has no answer though nothing goes wrong any more", i)
 		}
 	}
-	if w.core.Open() > 0 {
-		w.fail("liveness: the core still owes %d answers", w.core.Open())
+	if w.core.OpenRequests() > 0 {
+		w.fail("liveness: the core still owes %d answers", w.core.OpenRequests())
 	}
 	if !w.quiet() {
 		w.fail("liveness: connections never fall quiet")
 	}
-	if w.desk.Doomed() > 0 {
+	if w.desk.PendingTeardowns() > 0 {
 		w.fail("liveness: streams wait to be torn down for ever")
 	}
 	w.nothingLeft()
--- a/internal/explore/attempts/recover.go
+++ b/internal/explore/attempts/recover.go
@@ -17,12 +17,12 @@
 	for i := range w.players {
 		p := &w.players[i]
 		class := w.cfg.class(i)
-		s := recovery.Session{Ask: policy.Ask{ID: p.id, Title: 1, Copies: 1, Class: class, Viewer: uint64(i) + 1, Top: 1}, Server: w.desk.Server(p.id),
+		s := recovery.Session{Ask: policy.SessionSpec{ID: p.id, Title: 1, Copies: 1, Class: class, Viewer: uint64(i) + 1, Top: 1}, Server: w.desk.Server(p.id),
 			Attempt: w.desk.Attempt(p.id), Rung: w.set.Classes[class].Floor, At: w.now}
 		switch {
 		case !p.asked || p.left || s.Server == 0:
 		case p.playing:
-			s.Stage, s.Token, s.Stream = recovery.Plays, token(), w.desk.Stream(p.id)
+			s.Stage, s.Token, s.Stream = recovery.Playing, token(), w.desk.Stream(p.id)
 			list = append(list, s)
 		case p.answer == "" && w.set.Classes[class].Paid && w.sent(p.id):
 			list = append(list, s)
@@ -56,25 +56,25 @@
 func (w *world) takeUp(list []recovery.Session) {
 	for i := range list {
 		x := &list[i]
-		what, until := recovery.Judge(w.now, w.now, resumeFor, *x)
-		a := front.Adopt{Ask: front.Ask{Title: 1, Copies: 1, Class: x.Ask.Class, Viewer: x.Ask.Viewer, Top: 1, Token: x.Token}, ID: x.Ask.ID,
-			Server: x.Server, Attempt: x.Attempt, Rung: x.Rung, Until: until}
+		what, until := recovery.DecideSession(w.now, w.now, resumeFor, *x)
+		a := front.Restore{Request: front.Request{Title: 1, Copies: 1, Class: x.Ask.Class, Viewer: x.Ask.Viewer, Top: 1, Token: x.Token}, ID: x.Ask.ID,
+			Server: x.Server, Attempt: x.Attempt, Rung: x.Rung, ExpiresAt: until}
 		setup := front.Setup{Session: x.Ask.ID, Attempt: x.Attempt, Server: x.Server, Title: 1, Class: x.Ask.Class, Viewer: x.Ask.Viewer, Rung: x.Rung}
 		switch what {
-		case recovery.Adopt:
+		case recovery.Restore:
 			effects := append([]front.Effect(nil), w.core.Step(w.now, a)...)
-			w.desk.Adopt(w.now, setup, x.Stream)
+			w.desk.Restore(w.now, setup, x.Stream)
 			w.unorphan(x.Ask.ID)
 			w.carry(effects)
 			w.settle()
 		case recovery.TearDown:
-			w.desk.Doom(w.now, x.Server, x.Stream)
+			w.desk.TearDownOrphan(w.now, x.Server, x.Stream)
 			w.unorphan(x.Ask.ID)
 			w.settle()
-		case recovery.Haunt:
+		case recovery.CountSeat:
 			w.ghosts = append(w.ghosts, ghost{*x, until})
 			if w.cfg.Mutate != NoGhosts {
-				a.Ghost = true
+				a.Unconfirmed = true
 				w.step(a)
 			}
 		}
--- a/internal/explore/attempts/servers.go
+++ b/internal/explore/attempts/servers.go
@@ -80,7 +80,7 @@
 		begun = 0
 	}
 	w.gone(l)
-	w.desk.Lost(w.now, l.server, l.id, begun)
+	w.desk.ConnectionLost(w.now, l.server, l.id, begun)
 	w.settle()
 }
 
--- a/internal/explore/attempts/watch.go
+++ b/internal/explore/attempts/watch.go
@@ -28,14 +28,14 @@
 func (k *watch) forget(w *world) {
 	for i := range k.Attempts {
 		r := &k.Attempts[i]
-		if r.Out && !w.desk.Out(r.Session, r.Attempt) {
+		if r.Out && !w.desk.HoldsAttempt(r.Session, r.Attempt) {
 			r.Out = false
 		}
-		if r.At != 0 && (w.set.ColdSpan == 0 || r.At <= w.now-w.set.FallSpan) {
+		if r.At != 0 && (w.set.WarmupTime == 0 || r.At <= w.now-w.set.OverloadWindow) {
 			r.At = 0
 		}
 	}
-	old := func(at policy.Time) bool { return !w.set.Budgeted || at <= w.now-w.set.BudgetSpan }
+	old := func(at policy.Time) bool { return !w.set.RetriesLimited || at <= w.now-w.set.RetryWindow }
 	k.Further = slices.DeleteFunc(k.Further, old)
 	k.Taken = slices.DeleteFunc(k.Taken, old)
 	// Records of sessions that are over: their numbers stay as connections refer to them, what they hold does not.
--- a/internal/explore/attempts/world.go
+++ b/internal/explore/attempts/world.go
@@ -78,26 +78,26 @@
 	if cfg.Deadline > 0 {
 		wait = policy.Time(cfg.Deadline) * policy.Millisecond
 	}
-	s := policy.Settings{Fleet: 1, Classes: []policy.Class{
-		{Aim: policy.Second, Deadline: wait, Worth: 2, Scale: 1, Top: 1, Paid: true, Seats: 1},
-		{Aim: policy.Second, Deadline: wait, Worth: 1, Scale: 1, Floor: 1, Top: 1},
-		{Aim: policy.Second, Deadline: wait, Worth: 1, Scale: 1, Top: 1}},
+	s := policy.Settings{Fronts: 1, Classes: []policy.Class{
+		{SetupTarget: policy.Second, Deadline: wait, Worth: 2, Scale: 1, Top: 1, Paid: true, Seats: 1},
+		{SetupTarget: policy.Second, Deadline: wait, Worth: 1, Scale: 1, Floor: 1, Top: 1},
+		{SetupTarget: policy.Second, Deadline: wait, Worth: 1, Scale: 1, Top: 1}},
 		RungKB: []float64{100, 200}, RungWorth: []float64{0.5, 1}, FleetKB: 20000, RackKB: 20000, WeightKB: 10000, Racks: 1, Cells: 1,
-		KindSlots: []float64{40}, StallCost: 8, ChangeCost: 0.5, Join: 1, MaxAttempts: 3, RetryAfter: true,
-		MaxRetry: policy.Second, DrainGrace: policy.Second / 10, ConnectWait: policy.Second / 4}
+		KindSlots: []float64{40}, StallCost: 8, ChangeCost: 0.5, ExtraViewerCost: 1, MaxAttempts: 3, RetryAfter: true,
+		MaxRetryAfter: policy.Second, DrainGrace: policy.Second / 10, ConnectTimeout: policy.Second / 4}
 	if cfg.Probes {
 		s.MayProbe, s.Fields = true, []policy.Field{policy.FieldLink}
 	}
 	if cfg.Notes > 0 {
-		s.SeeLate, s.TellEvery = policy.Second/10, policy.Second
+		s.NoteDelay, s.NoteInterval = policy.Second/10, policy.Second
 	}
 	if cfg.Cold {
 		// A server just started takes 1 set-up a second; 2 within one push it not over, a third does.
-		s.KindSlots, s.ColdSpan, s.FallSpan, s.ColdFrom, s.ColdTimes = []float64{20}, 10*policy.Second, policy.Second, 0.5, 2
+		s.KindSlots, s.WarmupTime, s.OverloadWindow, s.ColdCapacity, s.OverloadFactor = []float64{20}, 10*policy.Second, policy.Second, 0.5, 2
 	}
 	if cfg.Budget {
 		// The module counts a connect's wait more; half of this and that wait is less than the idle step, the whole is not.
-		s.Budgeted, s.SpareAttempts, s.Ratio, s.BudgetSpan = true, 1, 0, 1800*policy.Millisecond
+		s.RetriesLimited, s.SpareRetries, s.RetryRatio, s.RetryWindow = true, 1, 0, 1800*policy.Millisecond
 	}
 	return s
 }
@@ -109,7 +109,7 @@
 	now     policy.Time
 	due     bool // the clock stands at an instant that matters, and what is due has not fallen due yet
 	core    *front.Core
-	desk    *exchange.Desk
+	desk    *exchange.Protocol
 	view    *members.View
 	index   uint64 // of the list service
 	conns   []*link
@@ -157,7 +157,7 @@
 	}
 	w.boot()
 	if cfg.Budget { // in its first window a front has nothing to spare: it has lived for one
-		w.now += w.set.BudgetSpan
+		w.now += w.set.RetryWindow
 		w.carry(w.core.Advance(w.now))
 	}
 	return w
@@ -173,11 +173,11 @@
 		module = w.cfg.Module(w.set, w.boots)
 	}
 	w.boots++
-	w.core = front.New(front.Config{Settings: w.set, Module: module, Token: token,
-		AnswerMargin: 60 * policy.Millisecond, LastLine: 30 * policy.Millisecond, MovedFor: policy.Second, MovedMost: 4,
-		ResumeFor: resumeFor, FirstID: uint64(w.boots-1) * 1000})
-	w.desk = exchange.New(exchange.Config{Front: "f", Fields: w.set.Fields, ProbeWait: policy.Second / 4, Stall: 60 * policy.Second,
-		KeepAlive: 3600 * policy.Second, Connect: w.set.ConnectWait, TitleName: titleName, Draw: draw,
+	w.core = front.New(front.Config{Settings: w.set, Module: module, NewToken: token,
+		AnswerMargin: 60 * policy.Millisecond, FailsafeMargin: 30 * policy.Millisecond, MoveTokenTTL: policy.Second, MaxMoveTokens: 4,
+		ResumeWindow: resumeFor, FirstID: uint64(w.boots-1) * 1000})
+	w.desk = exchange.New(exchange.Config{Front: "f", Fields: w.set.Fields, ProbeTimeout: policy.Second / 4, StallTimeout: 60 * policy.Second,
+		KeepAliveInterval: 3600 * policy.Second, ConnectTimeout: w.set.ConnectTimeout, TitleName: titleName, Random: draw,
 		Aims: []policy.Time{policy.Second, policy.Second, policy.Second}})
 	w.view = &members.View{}
 	w.listed(w.entries())
@@ -217,8 +217,8 @@
 
 // listed has the list service answer; what is believed of it goes to core and desk, as in the shell.
 func (w *world) listed(entries []policy.Entry) {
-	list, verdict := w.view.Take(w.now, members.Answer{Index: w.index, Entries: entries})
-	if verdict != members.Believed {
+	list, verdict := w.view.Apply(w.now, members.Response{Index: w.index, Entries: entries})
+	if verdict != members.Accepted {
 		return
 	}
 	for i := range w.servers {
@@ -235,13 +235,13 @@
 	w.step(front.Listed{List: policy.List{Kind: policy.ListFull, Entries: list}})
 	var known []exchange.Server
 	for _, e := range list {
-		s := exchange.Server{ID: e.Server, Addr: fmt.Sprintf("s%d:1", e.Server), Started: e.Started}
+		s := exchange.Server{ID: e.Server, Addr: fmt.Sprintf("s%d:1", e.Server), StartedAt: e.Started}
 		for k := range max(w.cfg.Ways, 1) {
 			s.Paths = append(s.Paths, paths.Path{Addr: fmt.Sprintf("s%d:%d", e.Server, k+1), Family: paths.IPv4})
 		}
 		known = append(known, s)
 	}
-	w.desk.Listed(w.now, known)
+	w.desk.SetServers(w.now, known)
 	w.settle()
 }
 
@@ -261,7 +261,7 @@
 	p.asked, p.asks = true, w.now
 	w.watch.Taken = append(w.watch.Taken, w.now)
 	before := w.core.LastID()
-	effects := w.core.Step(w.now, front.Ask{Player: uint64(i), Read: w.now, Title: 1, Copies: 1, Class: w.cfg.class(i), Viewer: uint64(i) + 1,
+	effects := w.core.Step(w.now, front.Request{Player: uint64(i), ReadAt: w.now, Title: 1, Copies: 1, Class: w.cfg.class(i), Viewer: uint64(i) + 1,
 		Top: 1, Again: p.again > 0})
 	if p.id = w.core.LastID(); p.id == before {
 		w.fail("a request was not taken")
@@ -293,7 +293,7 @@
 	}
 }
 
-func (w *world) act(a exchange.Act) {
+func (w *world) act(a exchange.Effect) {
 	l := w.conn(a.Conn)
 	switch {
 	case a.Dial != "":
@@ -336,7 +336,7 @@
 			w.players[e.Player%100].alone = false
 		case front.Unknown:
 			w.players[e.Player%100].left, w.players[e.Player%100].playing, w.players[e.Player%100].alone = true, false, false
-		case front.Over:
+		case front.SessionEnded:
 			w.stops(e.Session)
 		case front.Moved:
 			w.stops(e.Session)
@@ -344,7 +344,7 @@
 			w.fail("the core's last line: %s", e.Text)
 		default:
 			if e, ok := w.mutated(e); ok {
-				w.desk.Do(w.now, e)
+				w.desk.Apply(w.now, e)
 			}
 		}
 	}
@@ -355,7 +355,7 @@
 	p := printers.Get().(*deep.Printer)
 	defer printers.Put(p)
 	p.Begin(w.now)
-	essence := w.core.Essence()
+	essence := w.core.ComparisonState()
 	deep.Add(p, &essence)
 	deep.Add(p, w.desk)
 	deep.Add(p, w.view)
--- a/internal/fleet/core/core.go
+++ b/internal/fleet/core/core.go
@@ -35,7 +35,7 @@
 	Cluster string   // the fleet's name
 	Voters  []string // names of the fronts that vote, the same everywhere
 	Limits  upkeep.Limits
-	Times   upkeep.Times
+	Times   upkeep.Timeouts
 	// Stale is the age from which a front's report of its sessions is taken at its worst.
 	Stale  Time
 	RackKB float64
--- a/internal/fleet/core/follow.go
+++ b/internal/fleet/core/follow.go
@@ -59,7 +59,7 @@
 	for id, work := range servers {
 		switch w := c.state.Work(work); w.Phase {
 		case ledger.Granted: // draining begins by then, at the latest
-			until[id] = w.Until + c.cfg.Times.Drain
+			until[id] = w.Until + c.cfg.Times.DrainTimeout
 		case ledger.Draining:
 			until[id] = w.Until
 		default:
@@ -73,13 +73,13 @@
 // front that is cut off for good would never use the machines again. Harm: one whose work took longer than agreed gets
 // requests, at a pace for cold servers, from fronts that are cut off.
 func (c *Core) lapsed(w *ledger.Work) bool {
-	return !c.Fresh() && w.Phase.Kept() && c.now > w.Since+c.cfg.Times.Longest(w.Ask.For)
+	return !c.Fresh() && w.Phase.Kept() && c.now > w.Since+c.cfg.Times.MaxDuration(w.Ask.For)
 }
 
 // lapse looks at what has lapsed once in a while.
 func (c *Core) lapse() {
 	for _, w := range c.state.Works {
-		if over := w.Since + c.cfg.Times.Longest(w.Ask.For); w.Phase.Kept() && c.now > over && c.now <= over+TickEvery && c.lapsed(w) {
+		if over := w.Since + c.cfg.Times.MaxDuration(w.Ask.For); w.Phase.Kept() && c.now > over && c.now <= over+TickEvery && c.lapsed(w) {
 			c.note(fmt.Sprintf("work %d has lapsed: nothing was heard of its end", w.ID))
 			c.keeps()
 		}
--- a/internal/fleet/core/lead.go
+++ b/internal/fleet/core/lead.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		if w.Phase == ledger.Granted || w.Phase == ledger.Draining {
-			if why := upkeep.Broken(c.cfg.Limits, world, asks, w.ID); why != "" {
+			if why := upkeep.ExceededLimit(c.cfg.Limits, world, asks, w.ID); why != "" {
 				c.leader.steps[w.ID] = c.now
 				c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, Was: w.Phase, To: ledger.Asked, Why: "taken back: " + why})
 				continue
@@ -47,18 +47,18 @@
 	for _, a := range upkeep.Decide(c.now, c.cfg.Limits, world, asks) {
 		c.leader.why[a.ID] = a
 		switch a.Verdict {
-		case upkeep.Never:
+		case upkeep.Refuse:
 			if c.now-c.leader.steps[a.ID] >= askEvery {
 				c.leader.steps[a.ID] = c.now
 				c.propose(ledger.Entry{Kind: ledger.KindRefuse, ID: a.ID, Why: a.Limit + ": " + a.Why})
 			}
-		case upkeep.Go:
+		case upkeep.Grant:
 			// One at a time: the next is weighed against what this one takes, once it is agreed.
 			if c.leader.proposed == c.state.Granted && c.now-c.leader.at < askEvery && c.leader.at > 0 {
 				continue
 			}
 			c.leader.proposed, c.leader.at = c.state.Granted, c.now
-			c.propose(ledger.Entry{Kind: ledger.KindGrant, ID: a.ID, Basis: c.state.Granted, Until: c.now + c.cfg.Times.Hear, Why: "within every limit"})
+			c.propose(ledger.Entry{Kind: ledger.KindGrant, ID: a.ID, Basis: c.state.Granted, Until: c.now + c.cfg.Times.AckTimeout, Why: "within every limit"})
 		}
 	}
 }
@@ -66,13 +66,13 @@
 var phases = map[upkeep.Step]ledger.Phase{upkeep.Draining: ledger.Draining, upkeep.Out: ledger.Out, upkeep.Back: ledger.Back, upkeep.Done: ledger.Done}
 
 // asks gives all that is out and all that waits.
-func (c *Core) asks() (list []upkeep.Ask) {
+func (c *Core) asks() (list []upkeep.Request) {
 	for _, w := range c.state.Works {
 		if w.Phase.Ended() {
 			continue
 		}
-		a := upkeep.Ask{ID: w.ID, Asked: w.Asked, By: w.Ask.By, For: w.Ask.For, Fronts: w.Ask.Fronts, Out: w.Phase.Counts(),
-			Emptied: w.Phase == ledger.Out || w.Phase == ledger.Back}
+		a := upkeep.Request{ID: w.ID, RequestedAt: w.Asked, Deadline: w.Ask.By, WorkDuration: w.Ask.For, Fronts: w.Ask.Fronts, Granted: w.Phase.Counts(),
+			Drained: w.Phase == ledger.Out || w.Phase == ledger.Back}
 		for _, p := range w.Ask.Servers {
 			a.Servers = append(a.Servers, p.Server)
 		}
--- a/internal/fleet/core/parts.go
+++ b/internal/fleet/core/parts.go
@@ -138,8 +138,8 @@
 
 // world puts together what decide/upkeep rests on. Fronts that have not told lately are taken at the most that they told;
 // of one that is here and never told, nothing is known: nothing that holds servers may go.
-func (c *Core) world() *upkeep.World {
-	w := &upkeep.World{RackKB: c.cfg.RackKB, Groups: c.groups}
+func (c *Core) world() *upkeep.Fleet {
+	w := &upkeep.Fleet{RackKB: c.cfg.RackKB, Groups: c.groups}
 	here, gone := c.fronts()
 	total := map[uint32]Standing{}
 	sum := func(from map[uint32]Standing) {
@@ -167,14 +167,14 @@
 		w.Fronts = append(w.Fronts, upkeep.Front{Name: name, Failed: true})
 	}
 	if len(silent) > 0 {
-		w.Unsure = fmt.Sprintf("nothing is known yet of what stands at %d fronts, %s first", len(silent), silent[0])
+		w.UncertainReason = fmt.Sprintf("nothing is known yet of what stands at %d fronts, %s first", len(silent), silent[0])
 	}
 	listed := map[uint32]bool{}
 	for _, s := range c.servers {
 		_, failed := c.leader.failed[s.ID]
 		listed[s.ID] = true
 		t := total[s.ID]
-		w.Servers = append(w.Servers, upkeep.Server{ID: s.ID, Rack: s.Rack, Zone: s.Zone, KB: s.KB, Used: t.KB, Paid: t.Paid, Failed: failed})
+		w.Servers = append(w.Servers, upkeep.Server{ID: s.ID, Rack: s.Rack, Zone: s.Zone, LinkKB: s.KB, NeededKB: t.KB, Paid: t.Paid, Failed: failed})
 	}
 	for _, k := range c.state.Works { // what is out may be off the list: it counts where it stood
 		if !k.Phase.Counts() {
@@ -183,12 +183,12 @@
 		for _, p := range k.Ask.Servers {
 			if !listed[p.Server] {
 				listed[p.Server] = true
-				w.Servers = append(w.Servers, upkeep.Server{ID: p.Server, Rack: p.Rack, Zone: p.Zone, Used: total[p.Server].KB, Paid: total[p.Server].Paid})
+				w.Servers = append(w.Servers, upkeep.Server{ID: p.Server, Rack: p.Rack, Zone: p.Zone, NeededKB: total[p.Server].KB, Paid: total[p.Server].Paid})
 			}
 		}
 	}
 	slices.SortFunc(w.Servers, func(a, b upkeep.Server) int { return int(int64(a.ID) - int64(b.ID)) })
-	w.Held = c.held()
+	w.HoldReason = c.held()
 	return w
 }
 
@@ -223,8 +223,8 @@
 func (c *Core) gone(name string) bool { _, left := c.left[name]; return left }
 
 // course tells how work that was let go stands.
-func (c *Core) course(w *ledger.Work) upkeep.Course {
-	k := upkeep.Course{Since: w.Since, For: w.Ask.For}
+func (c *Core) course(w *ledger.Work) upkeep.Progress {
+	k := upkeep.Progress{Since: w.Since, WorkDuration: w.Ask.For}
 	switch w.Phase {
 	case ledger.Draining:
 		k.Step = upkeep.Draining
@@ -236,23 +236,23 @@
 	here, gone := c.fronts()
 	count := func(p *part) {
 		for _, s := range w.Ask.Servers {
-			k.Standing += p.Servers[s.Server].Sessions
+			k.RemainingSessions += p.Servers[s.Server].Sessions
 		}
 	}
 	for _, name := range w.Ask.Fronts { // what stands with viewers of a front's host, wherever it plays
 		if p := c.leader.parts[name]; p != nil && !c.gone(name) {
 			for _, s := range p.Servers {
-				k.Standing += s.Sessions
+				k.RemainingSessions += s.Sessions
 			}
 		}
 	}
 	for _, name := range here {
 		p := c.leader.parts[name]
 		if p == nil || p.Applied < w.Fence {
-			k.Unheard = append(k.Unheard, name)
+			k.Unacknowledged = append(k.Unacknowledged, name)
 		}
 		if p == nil || p.Applied < w.Fence || c.now-p.at >= c.cfg.Stale {
-			k.Unsaid = append(k.Unsaid, name)
+			k.Unreported = append(k.Unreported, name)
 		}
 		if p != nil {
 			count(p)
--- a/internal/fleet/fleetsim/fleetsim.go
+++ b/internal/fleet/fleetsim/fleetsim.go
@@ -32,7 +32,7 @@
 	Fronts, Voters int
 	Seed           int64
 	Limits         upkeep.Limits
-	Times          upkeep.Times
+	Times          upkeep.Timeouts
 	Loss           float64 // share of messages lost on lossy links
 	Lossy          float64 // share of links that are lossy
 	Suspect        Time    // until a front that can't be reached is told gone
--- a/internal/fleet/fleetsim/fleetsim_test.go
+++ b/internal/fleet/fleetsim/fleetsim_test.go
@@ -9,7 +9,7 @@
 	"tealledge/internal/fleet/ledger"
 )
 
-var times = upkeep.Times{Hear: 10 * Second, Drain: 60 * Second, Late: 30 * Second, Back: 5 * Second}
+var times = upkeep.Timeouts{AckTimeout: 10 * Second, DrainTimeout: 60 * Second, ReturnTimeout: 30 * Second, WarmUpTime: 5 * Second}
 
 func list(n, perRack int) (out []core.Server) {
 	for i := range n {
--- a/internal/fleet/fleetsim/scale_test.go
+++ b/internal/fleet/fleetsim/scale_test.go
@@ -18,7 +18,7 @@
 // big makes a fleet with 200 servers in 40 racks and 10 zones, sessions spread over the fronts.
 func big(b *testing.B, fronts int, loss float64) *Fleet {
 	f := New(Config{Fronts: fronts, Voters: 3, Seed: 9, Loss: loss, Lossy: 0.1, Suspect: 5 * Second,
-		Times:  upkeep.Times{Hear: 10 * Second, Drain: 60 * Second, Late: 60 * Second, Back: 12 * Second},
+		Times:  upkeep.Timeouts{AckTimeout: 10 * Second, DrainTimeout: 60 * Second, ReturnTimeout: 60 * Second, WarmUpTime: 12 * Second},
 		Limits: upkeep.Limits{Rack: 1, Zone: 3, Whole: 20, Fronts: 5, Holders: 1, Margin: 0.2, Paid: 1000, Patience: 60 * Second}})
 	var servers []core.Server
 	for i := range 200 {
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -35,7 +35,7 @@
 	Dir       string // "": nothing is kept, which a voter can't do without
 	Control   string // HOST:PORT of the commands; "": none
 	Limits    upkeep.Limits
-	Times     upkeep.Times
+	Times     upkeep.Timeouts
 	Stale     time.Duration
 	RackKB    float64
 	Skew      time.Duration // of this part's clock, for trials of clocks that stand apart
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -112,7 +112,7 @@
 	cfg := func(i int) Config {
 		return Config{Name: fmt.Sprintf("f%d", i+1), Cluster: "test", Listen: addrs[i], Join: seeds, Keys: [][]byte{key}, Voters: []string{"f1", "f2", "f3"},
 			Dir: t.TempDir(), Control: "127.0.0.1:0", Limits: upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1, Patience: 1e9},
-			Times: upkeep.Times{Hear: 3e9, Drain: 10e9, Late: 60e9, Back: 1e9}, Stale: 15 * time.Second}
+			Times: upkeep.Timeouts{AckTimeout: 3e9, DrainTimeout: 10e9, ReturnTimeout: 60e9, WarmUpTime: 1e9}, Stale: 15 * time.Second}
 	}
 	var fronts []*front
 	for i := range 4 {
--- a/internal/front/actions.go
+++ b/internal/front/actions.go
@@ -45,7 +45,7 @@
 		}
 	case policy.Cancel:
 		if s := c.sessions[a.ID]; s != nil && s.inFlight && !s.abandoned && s.attempts-1 == a.Attempt {
-			c.abandon(s, fate.Withdrawn)
+			c.abandon(s, fate.Cancelled)
 		}
 	case policy.Move:
 		c.move(c.sessions[a.ID])
@@ -56,7 +56,7 @@
 	case policy.Probe:
 		c.stats.Probes++
 		c.emit(Probe{a.Server})
-	case policy.Follow:
+	case policy.Subscribe:
 		c.emit(Follow{})
 	case policy.Log:
 		c.emit(Log{a.Text})
@@ -86,7 +86,7 @@
 	s.server = a.Server
 	if violation != "" {
 		c.fault("%s: session %d, server %d", violation, s.id, a.Server)
-		c.feed(policy.Outcome{ID: s.id, Attempt: s.attempts - 1, Server: a.Server, Status: policy.Moot})
+		c.feed(policy.Outcome{ID: s.id, Attempt: s.attempts - 1, Server: a.Server, Status: policy.NotSent})
 		return
 	}
 	c.stats.Attempts++
@@ -117,7 +117,7 @@
 	s.rung = rung
 	if s.playing {
 		c.emit(SetRung{s.id, s.attempts - 1, s.server, rung})
-		c.emit(RungTold{s.request.Player, s.id, rung})
+		c.emit(RungChanged{s.request.Player, s.id, rung})
 	}
 }
 
@@ -128,14 +128,14 @@
 	}
 	c.stats.Moves++
 	token := s.request.Viewer
-	if !c.cfg.KnownViewers {
-		token = c.cfg.Token()
+	if !c.cfg.TrustViewerIDs {
+		token = c.cfg.NewToken()
 	}
 	c.moveTokens.put(token, s.request.Viewer, c.now)
 	s.closed = true
 	c.emit(Stop{s.id, s.attempts - 1, s.server, true})
 	c.emit(Moved{s.request.Player, s.id, token})
-	c.finish(s, policy.CancelledSt, nil)
+	c.finish(s, policy.Cancelled, nil)
 }
 
 // Answers.
@@ -194,7 +194,7 @@
 		return
 	}
 	if !s.abandoned {
-		c.abandon(s, fate.Withdrawn)
+		c.abandon(s, fate.Cancelled)
 	}
 }
 
@@ -205,7 +205,7 @@
 		return
 	}
 	c.fault("no answer from the module in time: session %d", s.id)
-	c.feed(policy.Gone{ID: s.id})
+	c.feed(policy.ViewerLeft{ID: s.id})
 	c.fail(s)
 }
 
--- a/internal/front/api.go
+++ b/internal/front/api.go
@@ -29,26 +29,26 @@
 	Settings policy.Settings
 	Module   Module
 	FirstID  uint64        // session IDs count up from here; a restarted front must begin above its earlier IDs
-	Token    func() uint64 // generates a token that can't be guessed
+	NewToken func() uint64 // generates a token that can't be guessed
 
-	AnswerMargin Time // subtracted from the deadline that the module gets, so that its answer arrives in time
-	LastLine     Time // the core fails a request that is still unanswered this long before its deadline
-	MovedFor     Time // validity of a moved player's token
-	MovedMost    int  // maximum number of tokens kept
-	ResumeFor    Time // how long a session outlives its player's connection; 0: not at all
+	AnswerMargin   Time // subtracted from the deadline that the module gets, so that its answer arrives in time
+	FailsafeMargin Time // the core fails a request that is still unanswered this long before its deadline
+	MoveTokenTTL   Time // validity of a moved player's token
+	MaxMoveTokens  int  // maximum number of tokens kept
+	ResumeWindow   Time // how long a session outlives its player's connection; 0: not at all
 
 	// TrustViewerIDs makes the viewer ID alone identify a moved viewer when it asks again; no token is needed.
-	KnownViewers bool
+	TrustViewerIDs bool
 }
 
 // Event is an input of the core.
 type Event interface{}
 
 // Request is a player's request for a session.
-type Ask struct {
+type Request struct {
 	Player   uint64 // the shell's handle for the recipient of the answer; opaque to the core
-	Read     Time   // when the last byte of the request was read
-	Wait     Time   // how long the player waits from ReadAt; capped at the class's deadline
+	ReadAt   Time   // when the last byte of the request was read
+	Timeout  Time   // how long the player waits from ReadAt; capped at the class's deadline
 	Title    uint64
 	Home     int
 	Copies   int
@@ -71,7 +71,7 @@
 type Leave struct{ Session uint64 }
 
 // AttemptStarted reports that an attempt plays.
-type Began struct {
+type AttemptStarted struct {
 	Session uint64
 	Attempt int
 	Took    Time
@@ -80,7 +80,7 @@
 }
 
 // AttemptEnded reports that an attempt, or the stream that it started, ended. Exactly one follows each Setup.
-type Ended struct {
+type AttemptEnded struct {
 	Session uint64
 	Attempt int
 	Status  policy.Status
@@ -127,7 +127,7 @@
 	Rung    int
 	Name    string // title name; "": derived from the title number
 	Text    string // the player's description
-	Within  Time   // how long the front waits for the attempt
+	Timeout Time   // how long the front waits for the attempt
 }
 
 // Abandon stops waiting for an attempt in flight. The shell replies with its AttemptEnded and makes the server tear
@@ -177,9 +177,9 @@
 
 // Refused is the answer that rejects a request. RetryAfter is the delay before a retry, 0 for none.
 type Refused struct {
-	Player  uint64
-	Session uint64
-	After   Time
+	Player     uint64
+	Session    uint64
+	RetryAfter Time
 }
 
 // Failed is the answer to a request that failed; it does not say whether a set-up ran.
@@ -189,7 +189,7 @@
 }
 
 // RungChanged notifies a player of a new rung.
-type RungTold struct {
+type RungChanged struct {
 	Player, Session uint64
 	Rung            int
 }
@@ -198,20 +198,20 @@
 type Moved struct{ Player, Session, Token uint64 }
 
 // SessionEnded notifies a player that its stream ended.
-type Over struct {
+type SessionEnded struct {
 	Player, Session uint64
-	Why             Why
+	Reason          EndReason
 }
 
 // EndReason is the reason for which a stream ended.
-type Why string
+type EndReason string
 
 // Reasons for which streams end.
 const (
-	WhyEnd                Why = "end"     // the title finished
-	WhyLost               Why = "lost"    // the server or the connection to it is lost
-	EndReasonFrontLeaving Why = "leaving" // the front leaves service
-	WhyLeft               Why = "left"    // the player left, was disconnected too long, or made a new request
+	EndReasonFinished     EndReason = "end"     // the title finished
+	EndReasonLost         EndReason = "lost"    // the server or the connection to it is lost
+	EndReasonFrontLeaving EndReason = "leaving" // the front leaves service
+	EndReasonPlayerLeft   EndReason = "left"    // the player left, was disconnected too long, or made a new request
 )
 
 // Log is a line from the module for the operators' log.
--- a/internal/front/core.go
+++ b/internal/front/core.go
@@ -28,7 +28,7 @@
 // session is a request from its arrival until nothing of it remains here or at a server.
 type session struct {
 	id          uint64
-	request     Ask
+	request     Request
 	deadline    Time // of the player
 	answered    bool
 	closed      bool // the player left or was moved, or the request was refused or failed
@@ -48,17 +48,17 @@
 func New(cfg Config) *Core {
 	return &Core{cfg: cfg, nextID: cfg.FirstID,
 		sessions: map[uint64]*session{}, readyServers: map[uint32]bool{}, detached: map[uint64]uint64{},
-		moveTokens: moveTokens{byToken: map[uint64]moveToken{}, maxTokens: cfg.MovedMost, ttl: cfg.MovedFor}}
+		moveTokens: moveTokens{byToken: map[uint64]moveToken{}, maxTokens: cfg.MaxMoveTokens, ttl: cfg.MoveTokenTTL}}
 }
 
 // Stats returns the counters.
 func (c *Core) Stats() Stats { return c.stats }
 
 // OpenRequests returns the number of requests without an answer.
-func (c *Core) Open() int { return c.openRequests }
+func (c *Core) OpenRequests() int { return c.openRequests }
 
 // SessionCount returns the number of sessions held, including open requests and attempts that are being torn down.
-func (c *Core) Held() int { return len(c.sessions) }
+func (c *Core) SessionCount() int { return len(c.sessions) }
 
 // Step handles an event and returns the resulting effects in order. The slice is valid until the next call. Timers fire
 // in Advance only: after a pause of the process, a reply that arrived in time is handled before the timeout that it
@@ -92,7 +92,7 @@
 		}
 		switch t.kind {
 		case timerModule:
-			c.feed(policy.Alarm{Token: t.token})
+			c.feed(policy.TimerFired{Token: t.token})
 		case timerAttempt:
 			if s := c.sessions[t.session]; s != nil && s.inFlight && !s.abandoned && s.attempts-1 == t.attempt {
 				c.abandon(s, fate.Expired)
@@ -107,7 +107,7 @@
 
 func (c *Core) dispatch(event Event) {
 	switch e := event.(type) {
-	case Ask:
+	case Request:
 		c.handleRequest(e)
 	case Leave:
 		c.leave(c.sessions[e.Session])
@@ -115,11 +115,11 @@
 		c.detach(c.sessions[e.Session])
 	case Resume:
 		c.resume(e)
-	case Adopt:
+	case Restore:
 		c.restore(e)
-	case Began:
+	case AttemptStarted:
 		c.attemptStarted(e)
-	case Ended:
+	case AttemptEnded:
 		c.attemptEnded(e)
 	case Note:
 		if s := c.sessions[e.Session]; s != nil && s.playing && s.attempts-1 == e.Attempt {
@@ -138,10 +138,10 @@
 
 // handleRequest opens a session for a request. From here on the request gets exactly one answer, unless its player
 // leaves.
-func (c *Core) handleRequest(request Ask) {
+func (c *Core) handleRequest(request Request) {
 	c.supersede(request.Viewer)
 	c.nextID++
-	timeout := request.Wait
+	timeout := request.Timeout
 	if request.Class >= 0 && request.Class < len(c.cfg.Settings.Classes) {
 		// For a class without a deadline the player's own timeout applies.
 		if limit := c.cfg.Settings.Classes[request.Class].Deadline; timeout <= 0 || limit > 0 && timeout > limit {
@@ -150,15 +150,15 @@
 	}
 	id := c.nextID
 	if request.ID != 0 {
-		if id = request.ID; c.Known(id) { // the records of both sessions would mix
+		if id = request.ID; c.IDInUse(id) { // the records of both sessions would mix
 			c.fault("request with the ID of another session: %d", id)
 			return
 		}
 	}
-	if c.cfg.KnownViewers {
+	if c.cfg.TrustViewerIDs {
 		request.Token = request.Viewer
 	}
-	s := &session{id: id, request: request, deadline: request.Read + timeout}
+	s := &session{id: id, request: request, deadline: request.ReadAt + timeout}
 	if s.request.Class >= 0 && s.request.Class < len(c.cfg.Settings.Classes) {
 		s.rung = c.cfg.Settings.Classes[request.Class].Floor
 	}
@@ -166,22 +166,22 @@
 	c.stats.Taken++
 	c.openRequests++
 	if request.Draining {
-		c.refuse(s, c.cfg.Settings.MaxRetry)
+		c.refuse(s, c.cfg.Settings.MaxRetryAfter)
 		return
 	}
-	if admit.Late(c.now, s.deadline) {
+	if admit.PastDeadline(c.now, s.deadline) {
 		c.fail(s)
 		return
 	}
-	c.timers.set(timer{at: s.deadline - c.cfg.LastLine, kind: timerFailsafe, session: s.id})
-	ask := policy.Ask{ID: s.id, Title: request.Title, Viewer: request.Viewer, Class: request.Class,
+	c.timers.set(timer{at: s.deadline - c.cfg.FailsafeMargin, kind: timerFailsafe, session: s.id})
+	ask := policy.SessionSpec{ID: s.id, Title: request.Title, Viewer: request.Viewer, Class: request.Class,
 		Tenant: request.Tenant, Home: request.Home, Copies: request.Copies, Top: request.Top,
 		Deadline: s.deadline - c.cfg.AnswerMargin, Length: request.Length, Hinted: request.Hinted,
 		Again: request.Again, Holders: request.Holders}
 	if request.Token != 0 && c.moveTokens.redeem(request.Token, request.Viewer, c.now) {
 		ask.Moved, ask.Again = true, true
 	}
-	c.feed(policy.Request{Ask: ask})
+	c.feed(policy.Request{SessionSpec: ask})
 }
 
 func (c *Core) leave(s *session) {
@@ -197,19 +197,19 @@
 	case s.inFlight:
 		c.markAnswered(s)
 		c.stats.Left++
-		c.feed(policy.Gone{ID: s.id})
+		c.feed(policy.ViewerLeft{ID: s.id})
 		if !s.abandoned {
-			c.abandon(s, fate.Withdrawn)
+			c.abandon(s, fate.Cancelled)
 		}
 	default:
 		c.markAnswered(s)
 		c.stats.Left++
-		c.feed(policy.Gone{ID: s.id})
+		c.feed(policy.ViewerLeft{ID: s.id})
 		delete(c.sessions, s.id)
 	}
 }
 
-func (c *Core) attemptStarted(e Began) {
+func (c *Core) attemptStarted(e AttemptStarted) {
 	s := c.sessions[e.Session]
 	if s == nil || !s.inFlight || s.abandoned || s.closed || s.attempts-1 != e.Attempt {
 		return // the shell tears down abandoned attempts and reports their AttemptEnded
@@ -221,16 +221,16 @@
 	s.inFlight, s.playing = false, true
 	if !c.answer(s) {
 		c.emit(Stop{s.id, e.Attempt, s.server, false})
-		c.finish(s, policy.CancelledSt, e.Report)
+		c.finish(s, policy.Cancelled, e.Report)
 		return
 	}
 	c.stats.Plays++
-	if s.request.Text = ""; !c.cfg.KnownViewers {
-		s.token = c.cfg.Token()
+	if s.request.Text = ""; !c.cfg.TrustViewerIDs {
+		s.token = c.cfg.NewToken()
 	}
 	c.emit(Plays{s.request.Player, s.id, s.server, s.rung, s.token, e.Text})
 	c.feed(policy.Playing{ID: s.id, Attempt: e.Attempt, Server: s.server, Took: e.Took})
-	if c.cfg.Settings.Inline {
+	if c.cfg.Settings.InlineReports {
 		c.feedReport(s, e.Report)
 	}
 }
@@ -250,21 +250,21 @@
 	}
 }
 
-func (c *Core) attemptEnded(e Ended) {
+func (c *Core) attemptEnded(e AttemptEnded) {
 	s := c.sessions[e.Session]
 	if s == nil || s.attempts-1 != e.Attempt || !s.inFlight && !s.playing {
 		return
 	}
 	if s.playing {
 		c.stats.Lost += countIf(e.Status != policy.OK)
-		reason := WhyLost
+		reason := EndReasonLost
 		switch e.Status {
 		case policy.OK:
-			reason = WhyEnd
-		case policy.CancelledSt: // the player ended it at the server
-			reason = WhyLeft
+			reason = EndReasonFinished
+		case policy.Cancelled: // the player ended it at the server
+			reason = EndReasonPlayerLeft
 		}
-		c.emit(Over{s.request.Player, s.id, reason})
+		c.emit(SessionEnded{s.request.Player, s.id, reason})
 		c.finish(s, e.Status, e.Report)
 		return
 	}
@@ -323,13 +323,13 @@
 		}
 		if !s.answered {
 			if !s.mayHaveRun && !s.inFlight || !c.paid(s) {
-				c.refuse(s, c.cfg.Settings.MaxRetry)
+				c.refuse(s, c.cfg.Settings.MaxRetryAfter)
 			} else {
 				c.fail(s)
 			}
 		}
 		if s.playing {
-			c.emit(Over{s.request.Player, s.id, EndReasonFrontLeaving})
+			c.emit(SessionEnded{s.request.Player, s.id, EndReasonFrontLeaving})
 		}
 		c.leave(s)
 	}
@@ -344,7 +344,7 @@
 }
 
 // ActiveSessions calls fn with the server, class and rung of each session that plays or is being set up.
-func (c *Core) Standing(fn func(server uint32, class, rung int)) {
+func (c *Core) ActiveSessions(fn func(server uint32, class, rung int)) {
 	for _, s := range c.sessions {
 		if s.playing || s.inFlight {
 			fn(s.server, s.request.Class, s.rung)
@@ -353,13 +353,13 @@
 }
 
 // IDInUse reports whether an ID belongs to a session or to a set-up that is still being cancelled.
-func (c *Core) Known(id uint64) bool { return c.sessions[id] != nil }
+func (c *Core) IDInUse(id uint64) bool { return c.sessions[id] != nil }
 
 // LastID returns the highest session ID that the core assigned or restored.
 func (c *Core) LastID() uint64 { return c.nextID }
 
 // ReadyServers returns the number of servers listed as ready.
-func (c *Core) Ready() (n int) {
+func (c *Core) ReadyServers() (n int) {
 	for _, ready := range c.readyServers {
 		n += int(countIf(ready))
 	}
--- a/internal/front/core_test.go
+++ b/internal/front/core_test.go
@@ -16,14 +16,14 @@
 
 // settings returns settings for 3 servers that all hold all titles. Class 0 is safe, class 1 paid, class 2 has a floor.
 func settings() policy.Settings {
-	return policy.Settings{Fleet: 1, Classes: []policy.Class{
-		{Aim: policy.Second, Deadline: 4 * policy.Second, Worth: 1, Scale: 1, Top: 3},
-		{Aim: policy.Second, Deadline: 3 * policy.Second, Worth: 2, Scale: 1, Top: 3, Paid: true},
-		{Aim: policy.Second, Deadline: 3 * policy.Second, Worth: 2, Scale: 1, Floor: 1, Top: 3}},
+	return policy.Settings{Fronts: 1, Classes: []policy.Class{
+		{SetupTarget: policy.Second, Deadline: 4 * policy.Second, Worth: 1, Scale: 1, Top: 3},
+		{SetupTarget: policy.Second, Deadline: 3 * policy.Second, Worth: 2, Scale: 1, Top: 3, Paid: true},
+		{SetupTarget: policy.Second, Deadline: 3 * policy.Second, Worth: 2, Scale: 1, Floor: 1, Top: 3}},
 		RungKB: []float64{50, 100, 200, 400}, RungWorth: []float64{0.2, 0.5, 0.8, 1}, FleetKB: 4000, RackKB: 2000,
-		WeightKB: 1000, Racks: 1, Cells: 3, KindSlots: []float64{40}, StallCost: 8, ChangeCost: 0.5, Join: 1,
-		Fields: []policy.Field{policy.FieldLink, policy.FieldUplink}, Inline: true, MaxAttempts: 4, RetryAfter: true,
-		MaxRetry: 2 * policy.Second, DrainGrace: policy.Second / 4}
+		WeightKB: 1000, Racks: 1, Cells: 3, KindSlots: []float64{40}, StallCost: 8, ChangeCost: 0.5, ExtraViewerCost: 1,
+		Fields: []policy.Field{policy.FieldLink, policy.FieldUplink}, InlineReports: true, MaxAttempts: 4, RetryAfter: true,
+		MaxRetryAfter: 2 * policy.Second, DrainGrace: policy.Second / 4}
 }
 
 // harness drives a core step by step.
@@ -41,9 +41,9 @@
 	}
 	lastToken := uint64(1000)
 	newToken := func() uint64 { lastToken++; return lastToken }
-	r := &harness{t: t, now: start, core: New(Config{Settings: set, Module: module, Token: newToken,
-		AnswerMargin: 50 * ms, LastLine: 20 * ms, MovedFor: 10 * policy.Second, MovedMost: 2,
-		ResumeFor: 3 * policy.Second})}
+	r := &harness{t: t, now: start, core: New(Config{Settings: set, Module: module, NewToken: newToken,
+		AnswerMargin: 50 * ms, FailsafeMargin: 20 * ms, MoveTokenTTL: 10 * policy.Second, MaxMoveTokens: 2,
+		ResumeWindow: 3 * policy.Second})}
 	r.step(Listed{policy.List{Kind: policy.ListFull, Entries: entries(policy.Ready, 1, 2, 3)}})
 	return r
 }
@@ -61,7 +61,7 @@
 }
 
 func (r *harness) request(class int) []Effect {
-	return r.step(Ask{Player: 77, Read: r.now, Title: 5, Copies: 3, Class: class, Viewer: 9, Top: 3})
+	return r.step(Request{Player: 77, ReadAt: r.now, Title: 5, Copies: 3, Class: class, Viewer: 9, Top: 3})
 }
 
 // advance lets time pass, fires every timer at its time and returns all effects.
@@ -111,19 +111,19 @@
 		want   Effect // type of the answer, or Setup for another attempt
 	}{
 		"safe, never ran":     {0, policy.NoConnect, Setup{}},
-		"safe, may have run":  {0, policy.ResetConn, Setup{}},
+		"safe, may have run":  {0, policy.ConnReset, Setup{}},
 		"safe, error":         {0, policy.Errored, Setup{}},
 		"paid, never ran":     {1, policy.NoConnect, Setup{}},
 		"paid, full":          {1, policy.Full, Setup{}},
-		"paid, reset":         {1, policy.ResetConn, Failed{}},
+		"paid, reset":         {1, policy.ConnReset, Failed{}},
 		"paid, timed out":     {1, policy.TimedOut, Failed{}},
 		"paid, error":         {1, policy.Errored, Failed{}},
-		"paid, cancelled":     {1, policy.CancelledSt, Failed{}},
+		"paid, cancelled":     {1, policy.Cancelled, Failed{}},
 		"floor, may have run": {2, policy.TimedOut, Setup{}},
 	} {
 		r := newHarness(t, nil)
 		s := onlyEffect[Setup](t, r.request(c.class))
-		out := r.step(Ended{Session: s.Session, Attempt: s.Attempt, Status: c.status})
+		out := r.step(AttemptEnded{Session: s.Session, Attempt: s.Attempt, Status: c.status})
 		var got Effect
 		for _, e := range out {
 			if reflect.TypeOf(e) == reflect.TypeOf(c.want) {
@@ -151,10 +151,10 @@
 		t.Fatalf("%+v", out)
 	}
 	// A late reply does not answer the request; the shell tears the stream down.
-	if out := r.step(Began{Session: s.Session, Attempt: s.Attempt}); answers(out) > 0 {
+	if out := r.step(AttemptStarted{Session: s.Session, Attempt: s.Attempt}); answers(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	if next := onlyEffect[Setup](t, r.step(Ended{Session: s.Session, Status: policy.TimedOut})); next.Attempt != 1 {
+	if next := onlyEffect[Setup](t, r.step(AttemptEnded{Session: s.Session, Status: policy.TimedOut})); next.Attempt != 1 {
 		t.Fatal(next)
 	}
 }
@@ -163,7 +163,7 @@
 	r := newHarness(t, nil)
 	s := onlyEffect[Setup](t, r.request(0))
 	r.now += 2 * policy.Second // the process paused past the attempt's timeout, not past the player's deadline
-	if out := r.step(Began{Session: s.Session}); len(effectsOf[Plays](out)) != 1 {
+	if out := r.step(AttemptStarted{Session: s.Session}); len(effectsOf[Plays](out)) != 1 {
 		t.Fatalf("%+v", out)
 	}
 	if out := r.core.Advance(r.now); answers(out) > 0 || len(effectsOf[Abandon](out)) > 0 {
@@ -175,13 +175,13 @@
 	r := newHarness(t, nil)
 	s := onlyEffect[Setup](t, r.request(1))
 	r.now += 3 * policy.Second
-	out := r.step(Began{Session: s.Session})
+	out := r.step(AttemptStarted{Session: s.Session})
 	if answers(out) > 0 || len(effectsOf[Abandon](out)) != 1 {
 		t.Fatalf("%+v", out)
 	}
-	out = r.step(Ended{Session: s.Session, Status: policy.TimedOut})
+	out = r.step(AttemptEnded{Session: s.Session, Status: policy.TimedOut})
 	onlyEffect[Failed](t, out)
-	if r.core.Open() != 0 {
+	if r.core.OpenRequests() != 0 {
 		t.Fatal("the request is still open")
 	}
 }
@@ -195,8 +195,8 @@
 	out := r.advance(2 * ms)
 	onlyEffect[Failed](t, out)
 	onlyEffect[Fault](t, out)
-	if r.core.Held() != 0 || r.core.Stats().Faults != 1 {
-		t.Fatal(r.core.Held(), r.core.Stats())
+	if r.core.SessionCount() != 0 || r.core.Stats().Faults != 1 {
+		t.Fatal(r.core.SessionCount(), r.core.Stats())
 	}
 }
 
@@ -214,7 +214,7 @@
 	case policy.Request:
 		return m.onRequest(e.ID)
 	case policy.Outcome:
-		if m.onOutcome != nil && e.Status != policy.Moot {
+		if m.onOutcome != nil && e.Status != policy.NotSent {
 			return m.onOutcome(e.ID)
 		}
 	}
@@ -241,7 +241,7 @@
 		}}, 0, 0, 0},
 		"paid again": {1, scriptedModule{
 			onRequest: func(id uint64) []policy.Action { return []policy.Action{send(id, 1)} },
-			onOutcome: func(id uint64) []policy.Action { return []policy.Action{send(id, 2)} }}, policy.ResetConn, 1, 0},
+			onOutcome: func(id uint64) []policy.Action { return []policy.Action{send(id, 2)} }}, policy.ConnReset, 1, 0},
 		"paid refused": {1, scriptedModule{
 			onRequest: func(id uint64) []policy.Action { return []policy.Action{send(id, 1)} },
 			onOutcome: func(id uint64) []policy.Action { return []policy.Action{policy.Refuse{ID: id}} }},
@@ -250,7 +250,7 @@
 		r := newHarness(t, c.m)
 		all := append([]Effect(nil), r.request(c.class)...)
 		if s := effectsOf[Setup](all); len(s) > 0 && c.outcome != 0 {
-			all = append(all, r.step(Ended{Session: s[0].Session, Status: c.outcome})...)
+			all = append(all, r.step(AttemptEnded{Session: s[0].Session, Status: c.outcome})...)
 		}
 		if len(effectsOf[Setup](all)) != c.setups || answers(all) != c.answers || r.core.Stats().Faults != 1 {
 			t.Errorf("%s: %+v, faults %d", name, all, r.core.Stats().Faults)
@@ -260,9 +260,9 @@
 		}
 		all = append(all, r.advance(5*policy.Second)...)
 		for _, a := range effectsOf[Abandon](all) {
-			all = append(all, r.step(Ended{Session: a.Session, Attempt: a.Attempt, Status: policy.TimedOut})...)
+			all = append(all, r.step(AttemptEnded{Session: a.Session, Attempt: a.Attempt, Status: policy.TimedOut})...)
 		}
-		if answers(all) != 1 || r.core.Open() != 0 {
+		if answers(all) != 1 || r.core.OpenRequests() != 0 {
 			t.Errorf("%s: %d answers in total, want 1", name, answers(all))
 		}
 	}
@@ -276,27 +276,27 @@
 	r.step(Listed{policy.List{Kind: policy.ListFull}})
 	r.request(0)
 	r.step(Leave{1})
-	if r.core.Held() != 0 || answers(r.advance(5*policy.Second)) > 0 {
+	if r.core.SessionCount() != 0 || answers(r.advance(5*policy.Second)) > 0 {
 		t.Fatal("the request is still held or was answered after its player left")
 	}
 	// While an attempt is in flight.
 	r = newHarness(t, nil)
 	s := onlyEffect[Setup](t, r.request(0))
-	if a := onlyEffect[Abandon](t, r.step(Leave{s.Session})); a.Cause != fate.Withdrawn {
+	if a := onlyEffect[Abandon](t, r.step(Leave{s.Session})); a.Cause != fate.Cancelled {
 		t.Fatal(a)
 	}
-	if out := r.step(Ended{Session: s.Session, Status: policy.CancelledSt}); answers(out)+len(effectsOf[Setup](out)) > 0 {
+	if out := r.step(AttemptEnded{Session: s.Session, Status: policy.Cancelled}); answers(out)+len(effectsOf[Setup](out)) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	if r.core.Held() != 0 {
+	if r.core.SessionCount() != 0 {
 		t.Fatal("still held")
 	}
 	// While the session plays.
 	r = newHarness(t, nil)
 	s = onlyEffect[Setup](t, r.request(0))
-	r.step(Began{Session: s.Session})
+	r.step(AttemptStarted{Session: s.Session})
 	onlyEffect[Stop](t, r.step(Leave{s.Session}))
-	if r.core.Held() != 0 {
+	if r.core.SessionCount() != 0 {
 		t.Fatal("still held")
 	}
 }
@@ -308,7 +308,7 @@
 	if w := onlyEffect[Withdraw](t, out); w.Server != s.Server {
 		t.Fatal(w)
 	}
-	next := onlyEffect[Setup](t, r.step(Ended{Session: s.Session, Status: policy.Moot}))
+	next := onlyEffect[Setup](t, r.step(AttemptEnded{Session: s.Session, Status: policy.NotSent}))
 	if next.Server == s.Server {
 		t.Fatal("the next attempt went to a draining server")
 	}
@@ -331,11 +331,11 @@
 	}}
 	r := newHarness(t, requestRecorder{sender, &requests})
 	s := onlyEffect[Setup](t, r.request(0))
-	r.step(Began{Session: s.Session})
+	r.step(AttemptStarted{Session: s.Session})
 	r.core.move(r.core.sessions[s.Session])
 	token := r.core.moveTokens.order[0]
 	moved := func(viewer, token uint64) bool {
-		r.step(Ask{Player: 1, Read: r.now, Viewer: viewer, Token: token, Copies: 3})
+		r.step(Request{Player: 1, ReadAt: r.now, Viewer: viewer, Token: token, Copies: 3})
 		return requests[len(requests)-1].Moved
 	}
 	if moved(8, token) {
@@ -372,28 +372,28 @@
 func TestLeavingFrontAnswersAllRequests(t *testing.T) {
 	r := newHarness(t, nil)
 	playing := onlyEffect[Setup](t, r.request(0))
-	r.step(Began{Session: playing.Session})
+	r.step(AttemptStarted{Session: playing.Session})
 	r.request(0)
 	r.request(1)
-	out := r.step(Ask{Player: 1, Read: r.now, Copies: 3, Draining: true})
+	out := r.step(Request{Player: 1, ReadAt: r.now, Copies: 3, Draining: true})
 	onlyEffect[Refused](t, out)
 	out = r.step(CloseAll{})
-	if len(effectsOf[Refused](out)) != 1 || len(effectsOf[Failed](out)) != 1 || len(effectsOf[Over](out)) != 1 ||
+	if len(effectsOf[Refused](out)) != 1 || len(effectsOf[Failed](out)) != 1 || len(effectsOf[SessionEnded](out)) != 1 ||
 		len(effectsOf[Stop](out)) != 1 {
 		t.Fatalf("%+v", out)
 	}
 	for _, a := range effectsOf[Abandon](out) {
-		r.step(Ended{Session: a.Session, Attempt: a.Attempt, Status: policy.CancelledSt})
+		r.step(AttemptEnded{Session: a.Session, Attempt: a.Attempt, Status: policy.Cancelled})
 	}
-	if r.core.Held() != 0 || r.core.Open() != 0 {
-		t.Fatal(r.core.Held(), r.core.Open())
+	if r.core.SessionCount() != 0 || r.core.OpenRequests() != 0 {
+		t.Fatal(r.core.SessionCount(), r.core.OpenRequests())
 	}
 }
 
 func TestResumesSessionAfterLostConnection(t *testing.T) {
 	r := newHarness(t, nil)
 	s := onlyEffect[Setup](t, r.request(0))
-	p := onlyEffect[Plays](t, r.step(Began{Session: s.Session}))
+	p := onlyEffect[Plays](t, r.step(AttemptStarted{Session: s.Session}))
 	if out := r.step(Detach{s.Session}); len(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
@@ -410,23 +410,23 @@
 	out := r.advance(3100 * ms)
 	onlyEffect[Stop](t, out)
 	onlyEffect[Unknown](t, r.step(Resume{s.Session, p.Token, 89}))
-	if r.core.Held() != 0 || answers(out) > 0 || r.core.Stats().Attempts != 1 {
-		t.Fatal(r.core.Held(), out, r.core.Stats())
+	if r.core.SessionCount() != 0 || answers(out) > 0 || r.core.Stats().Attempts != 1 {
+		t.Fatal(r.core.SessionCount(), out, r.core.Stats())
 	}
 }
 
 func TestNewRequestEndsDetachedSession(t *testing.T) {
 	r := newHarness(t, nil)
 	s := onlyEffect[Setup](t, r.request(0))
-	r.step(Began{Session: s.Session})
+	r.step(AttemptStarted{Session: s.Session})
 	r.step(Detach{s.Session})
 	out := r.request(0)
-	if stop := onlyEffect[Stop](t, out); stop.Session != s.Session || onlyEffect[Over](t, out).Why != WhyLeft ||
+	if stop := onlyEffect[Stop](t, out); stop.Session != s.Session || onlyEffect[SessionEnded](t, out).Reason != EndReasonPlayerLeft ||
 		onlyEffect[Setup](t, out).Session == s.Session {
 		t.Fatalf("%+v", out)
 	}
-	if r.core.Held() != 1 || len(r.core.detached) != 0 {
-		t.Fatal(r.core.Held(), r.core.detached)
+	if r.core.SessionCount() != 1 || len(r.core.detached) != 0 {
+		t.Fatal(r.core.SessionCount(), r.core.detached)
 	}
 }
 
@@ -435,14 +435,14 @@
 	s := onlyEffect[Setup](t, r.request(1))
 	onlyEffect[Abandon](t, r.step(Detach{s.Session}))
 	onlyEffect[Unknown](t, r.step(Resume{s.Session, 0, 88})) // no token was issued
-	if out := r.step(Began{Session: s.Session}); answers(out) > 0 {
+	if out := r.step(AttemptStarted{Session: s.Session}); answers(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
 }
 
 func TestFailsRequestReadPastDeadline(t *testing.T) {
 	r := newHarness(t, nil)
-	out := r.step(Ask{Player: 1, Read: r.now - 4*policy.Second, Copies: 3})
+	out := r.step(Request{Player: 1, ReadAt: r.now - 4*policy.Second, Copies: 3})
 	onlyEffect[Failed](t, out)
 	if len(effectsOf[Setup](out)) > 0 {
 		t.Fatalf("%+v", out)
@@ -456,9 +456,9 @@
 			for _, s := range effectsOf[Setup](r.request(i % 3)) {
 				trace = append(trace, strings.Repeat("s", int(s.Server)))
 				if i%4 == 0 {
-					r.step(Ended{Session: s.Session, Attempt: s.Attempt, Status: policy.ResetConn})
+					r.step(AttemptEnded{Session: s.Session, Attempt: s.Attempt, Status: policy.ConnReset})
 				} else {
-					r.step(Began{Session: s.Session, Attempt: s.Attempt, Report: []float64{0.5, 0.2}})
+					r.step(AttemptStarted{Session: s.Session, Attempt: s.Attempt, Report: []float64{0.5, 0.2}})
 				}
 			}
 			r.advance(37 * ms)
@@ -474,9 +474,9 @@
 // without their token, or stay forever when nobody resumes them. They count as held from the first.
 func TestRestoredSessionIsResumedOrEnds(t *testing.T) {
 	r := newHarness(t, nil)
-	request := Ask{Title: 5, Copies: 3, Class: 1, Viewer: 9, Top: 3, Token: 321}
-	all := r.step(Adopt{Ask: request, ID: 500, Server: 2, Attempt: 1, Rung: 2, Until: r.now + 3*policy.Second})
-	if len(effectsOf[Setup](all))+answers(all) > 0 || r.core.Held() != 1 || r.core.Open() != 0 {
+	request := Request{Title: 5, Copies: 3, Class: 1, Viewer: 9, Top: 3, Token: 321}
+	all := r.step(Restore{Request: request, ID: 500, Server: 2, Attempt: 1, Rung: 2, ExpiresAt: r.now + 3*policy.Second})
+	if len(effectsOf[Setup](all))+answers(all) > 0 || r.core.SessionCount() != 1 || r.core.OpenRequests() != 0 {
 		t.Fatalf("%+v", all)
 	}
 	onlyEffect[Unknown](t, r.step(Resume{Session: 500, Token: 322, Player: 1}))
@@ -490,16 +490,16 @@
 		t.Error("a session ID was assigned twice:", s.Session)
 	}
 	r = newHarness(t, nil)
-	r.step(Adopt{Ask: request, ID: 500, Server: 2, Until: r.now + 3*policy.Second})
+	r.step(Restore{Request: request, ID: 500, Server: 2, ExpiresAt: r.now + 3*policy.Second})
 	onlyEffect[Stop](t, r.advance(4*policy.Second))
 	onlyEffect[Unknown](t, r.step(Resume{Session: 500, Token: 321, Player: 2}))
 	// The server no longer knows the stream.
 	r = newHarness(t, nil)
-	r.step(Adopt{Ask: request, ID: 500, Server: 2, Until: r.now + 3*policy.Second})
-	r.step(Ended{Session: 500, Status: policy.ResetConn})
+	r.step(Restore{Request: request, ID: 500, Server: 2, ExpiresAt: r.now + 3*policy.Second})
+	r.step(AttemptEnded{Session: 500, Status: policy.ConnReset})
 	onlyEffect[Unknown](t, r.step(Resume{Session: 500, Token: 321, Player: 2}))
-	if r.core.Held() != 0 || r.core.Stats().Faults > 0 {
-		t.Error(r.core.Held(), r.core.Stats())
+	if r.core.SessionCount() != 0 || r.core.Stats().Faults > 0 {
+		t.Error(r.core.SessionCount(), r.core.Stats())
 	}
 }
 
@@ -510,10 +510,10 @@
 	set := settings()
 	set.Classes[1].Seats = 1
 	r := &harness{t: t, now: start, core: New(Config{Settings: set, Module: policy.New(set, 1),
-		Token: func() uint64 { return 4 }, AnswerMargin: 50 * ms, LastLine: 20 * ms, ResumeFor: 3 * policy.Second})}
+		NewToken: func() uint64 { return 4 }, AnswerMargin: 50 * ms, FailsafeMargin: 20 * ms, ResumeWindow: 3 * policy.Second})}
 	r.step(Listed{policy.List{Kind: policy.ListFull, Entries: entries(policy.Ready, 1, 2, 3)}})
-	r.step(Adopt{Ask: Ask{Title: 5, Copies: 3, Class: 1, Viewer: 9}, ID: 500, Server: 2,
-		Until: r.now + 20*policy.Second, Ghost: true})
+	r.step(Restore{Request: Request{Title: 5, Copies: 3, Class: 1, Viewer: 9}, ID: 500, Server: 2,
+		ExpiresAt: r.now + 20*policy.Second, Unconfirmed: true})
 	onlyEffect[Unknown](t, r.step(Resume{Session: 500, Token: 0, Player: 1}))
 	if all := append(r.request(1), r.advance(5*policy.Second)...); len(effectsOf[Setup](all)) > 0 {
 		t.Fatalf("its seat was assigned to another session: %+v", all)
--- a/internal/front/platform_test.go
+++ b/internal/front/platform_test.go
@@ -12,13 +12,13 @@
 func newTrustingHarness(t *testing.T) *harness {
 	set := settings()
 	r := &harness{t: t, now: start, core: New(Config{Settings: set, Module: policy.New(set, 1), AnswerMargin: 50 * ms,
-		LastLine: 20 * ms, MovedFor: 10 * policy.Second, MovedMost: 2, KnownViewers: true})}
+		FailsafeMargin: 20 * ms, MoveTokenTTL: 10 * policy.Second, MaxMoveTokens: 2, TrustViewerIDs: true})}
 	r.step(Listed{policy.List{Kind: policy.ListFull, Entries: entries(policy.Ready, 1, 2, 3)}})
 	return r
 }
 
 func (r *harness) requestWithID(id, viewer uint64) []Effect {
-	return r.step(Ask{ID: id, Player: 77, Read: r.now, Wait: 900 * ms, Title: 5, Copies: 3, Class: 1, Viewer: viewer,
+	return r.step(Request{ID: id, Player: 77, ReadAt: r.now, Timeout: 900 * ms, Title: 5, Copies: 3, Class: 1, Viewer: viewer,
 		Top: 3, Text: "who"})
 }
 
@@ -26,13 +26,13 @@
 	r := newTrustingHarness(t)
 	const id = 0xfedcba9876543210
 	s := onlyEffect[Setup](t, r.requestWithID(id, 9))
-	if s.Session != id || s.Text != "who" || s.Within <= 0 || s.Within > 900*ms {
+	if s.Session != id || s.Text != "who" || s.Timeout <= 0 || s.Timeout > 900*ms {
 		t.Fatalf("%+v", s)
 	}
-	if !r.core.Known(id) || r.core.Known(id+1) {
+	if !r.core.IDInUse(id) || r.core.IDInUse(id+1) {
 		t.Error("IDInUse is wrong")
 	}
-	p := onlyEffect[Plays](t, r.step(Began{Session: id, Text: "mine"}))
+	p := onlyEffect[Plays](t, r.step(AttemptStarted{Session: id, Text: "mine"}))
 	if p.Session != id || p.Text != "mine" || p.Player != 77 {
 		t.Errorf("%+v", p)
 	}
@@ -42,19 +42,19 @@
 	if out := r.requestWithID(id, 10); len(effectsOf[Setup](out)) != 0 || onlyEffect[Fault](t, out).Text == "" {
 		t.Errorf("a second request with the same ID: %+v", out)
 	}
-	over := onlyEffect[Over](t, r.step(Ended{Session: id, Status: policy.CancelledSt}))
-	if over.Why != WhyLeft || r.core.Known(id) {
+	over := onlyEffect[SessionEnded](t, r.step(AttemptEnded{Session: id, Status: policy.Cancelled}))
+	if over.Reason != EndReasonPlayerLeft || r.core.IDInUse(id) {
 		t.Errorf("%+v", over)
 	}
 }
 
 // movingModule moves a session at each note and records the requests.
-type movingModule struct{ requests []policy.Ask }
+type movingModule struct{ requests []policy.SessionSpec }
 
 func (m *movingModule) Handle(now Time, e policy.Event) []policy.Action {
 	switch e := e.(type) {
 	case policy.Request:
-		m.requests = append(m.requests, e.Ask)
+		m.requests = append(m.requests, e.SessionSpec)
 		return []policy.Action{policy.Send{ID: e.ID, Server: 1}}
 	case policy.Note:
 		return []policy.Action{policy.Move{ID: e.ID}}
@@ -67,7 +67,7 @@
 	m := &movingModule{}
 	r.core.cfg.Module = m
 	r.requestWithID(1, 9)
-	r.step(Began{Session: 1})
+	r.step(AttemptStarted{Session: 1})
 	out := r.step(Note{Session: 1, Kind: policy.NoteShare, Value: 0.1})
 	if !onlyEffect[Stop](t, out).Moved || len(effectsOf[Moved](out)) != 1 {
 		t.Fatalf("%+v", out)
@@ -86,17 +86,17 @@
 // connected and therefore never resumes it.
 func TestKeepsRestoredSessionWithConnectedViewer(t *testing.T) {
 	r := newTrustingHarness(t)
-	r.step(Adopt{ID: 5, Server: 1, Held: true,
-		Ask: Ask{Player: 77, Title: 5, Copies: 3, Class: 1, Viewer: 9, Top: 3, Text: "who"}})
+	r.step(Restore{ID: 5, Server: 1, HeldByPlayer: true,
+		Request: Request{Player: 77, Title: 5, Copies: 3, Class: 1, Viewer: 9, Top: 3, Text: "who"}})
 	r.advance(30 * policy.Second) // it needs no resume
-	if !r.core.Holds(5) {
+	if !r.core.HoldsSession(5) {
 		t.Fatal("the session ended")
 	}
 	r.requestWithID(6, 9) // another request of its viewer does not end it
-	if !r.core.Holds(5) {
+	if !r.core.HoldsSession(5) {
 		t.Fatal("the session was superseded")
 	}
-	if s := onlyEffect[Stop](t, r.step(Leave{Session: 5})); s.Session != 5 || s.Server != 1 || r.core.Known(5) {
+	if s := onlyEffect[Stop](t, r.step(Leave{Session: 5})); s.Session != 5 || s.Server != 1 || r.core.IDInUse(5) {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/front/resume.go
+++ b/internal/front/resume.go
@@ -31,13 +31,13 @@
 func (c *Core) detach(s *session) {
 	switch {
 	case s == nil || s.closed:
-	case !s.playing || c.cfg.ResumeFor <= 0 || c.closing:
+	case !s.playing || c.cfg.ResumeWindow <= 0 || c.closing:
 		c.leave(s)
 	default:
 		s.detachCount++
 		s.detached = true
 		c.detached[s.request.Viewer] = s.id
-		c.timers.set(timer{at: c.now + c.cfg.ResumeFor, kind: timerResume, session: s.id, attempt: s.detachCount})
+		c.timers.set(timer{at: c.now + c.cfg.ResumeWindow, kind: timerResume, session: s.id, attempt: s.detachCount})
 	}
 }
 
@@ -50,7 +50,7 @@
 
 // endDetached ends a session that its player did not resume.
 func (c *Core) endDetached(s *session) {
-	c.emit(Over{s.request.Player, s.id, WhyLeft})
+	c.emit(SessionEnded{s.request.Player, s.id, EndReasonPlayerLeft})
 	c.leave(s)
 }
 
@@ -71,7 +71,7 @@
 }
 
 // HoldsSession reports whether a session is held for its player.
-func (c *Core) Holds(id uint64) bool {
+func (c *Core) HoldsSession(id uint64) bool {
 	s := c.sessions[id]
 	return s != nil && !s.closed
 }
--- a/internal/front/timers.go
+++ b/internal/front/timers.go
@@ -47,7 +47,7 @@
 
 // ComparisonState returns all state that affects the core's future behaviour, so that two states can be compared:
 // sessions, readiness of servers, tokens, the module and the pending timers. Counters are left out.
-func (c *Core) Essence() any {
+func (c *Core) ComparisonState() any {
 	var pending []wheel.PendingTimer[timer]
 	if c.timers.queue != nil {
 		pending = c.timers.queue.All()
@@ -68,7 +68,7 @@
 
 // NextSessionTimer returns the time of the core's own next timer: for an attempt in flight, an unanswered request or a
 // detached session. The module's timers and timers without effect on their session any more do not count.
-func (c *Core) NextOwn() (at Time, ok bool) {
+func (c *Core) NextSessionTimer() (at Time, ok bool) {
 	if c.timers.queue == nil {
 		return 0, false
 	}
--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -39,7 +39,7 @@
 		if q.closed {
 			return false
 		}
-		switch admit.Enter(kind, len(q.events)+len(q.requests), q.maxItems) {
+		switch admit.Admit(kind, len(q.events)+len(q.requests), q.maxItems) {
 		case admit.Refuse:
 			q.rejected++
 			return false
@@ -47,7 +47,7 @@
 			q.notFull.Wait()
 			continue
 		}
-		if kind == admit.Ask {
+		if kind == admit.Request {
 			q.requests = append(q.requests, item)
 			q.signal()
 		} else {
