--- a/internal/manifest/hub.go
+++ b/internal/manifest/hub.go
@@ -35,7 +35,7 @@
 // Owner is the front that decides.
 type Owner interface {
 	Now() front.Time
-	Open(c *Call, ask front.Ask)
+	Open(c *Call, ask front.Request)
 	End(session uint64)
 	Number(name string) (uint64, bool)
 	MovedToken(v any) uint64
@@ -135,7 +135,7 @@
 		var dead []*session
 		for _, s := range h.byKey {
 			s.mu.Lock()
-			if s.state == over || s.state != opening && now >= life.Ends(s.opened, s.heard, s.list) {
+			if s.state == over || s.state != opening && now >= life.ExpiresAt(s.opened, s.heard, s.list) {
 				dead = append(dead, s)
 			}
 			s.mu.Unlock()
@@ -168,12 +168,12 @@
 }
 
 // wish turns claims into what the core is asked.
-func (h *Hub) wish(c seal.Claims) (a front.Ask, ok bool) {
+func (h *Hub) wish(c seal.Claims) (a front.Request, ok bool) {
 	t, ok := h.cfg.Place(c.Title, c.Class)
 	if !ok || c.Class < 0 || c.Class >= len(h.cfg.Classes) {
 		return a, false
 	}
-	return front.Ask{Read: h.owner.Now(), Title: t.Number, Home: t.Home, Copies: t.Copies, Holders: t.Holders, Name: t.Name, Class: c.Class, Tenant: c.Tenant,
+	return front.Request{ReadAt: h.owner.Now(), Title: t.Number, Home: t.Home, Copies: t.Copies, Holders: t.Holders, Name: t.Name, Class: c.Class, Tenant: c.Tenant,
 		Viewer: c.Viewer, Top: min(c.Top, len(h.cfg.Service.RungKB)-1)}, true
 }
 
@@ -238,7 +238,7 @@
 			viewer, carried = k.Value, k.Value != ""
 		}
 	}
-	named = life.Claim(carried, viewer != "")
+	named = life.OwnsSession(carried, viewer != "")
 	if viewer == "" { // told from all others, also from itself if this answer is lost
 		var b [12]byte
 		rand.Read(b[:])
@@ -367,7 +367,7 @@
 // find gives the session of a token. One that this front does not know, as after its restart or at another front, is
 // placed anew, once for all requests that carry its token.
 func (h *Hub) find(w http.ResponseWriter, token string) *session {
-	c, err := h.keys.Open(token, time.Now().Unix())
+	c, err := h.keys.Verify(token, time.Now().Unix())
 	switch {
 	case errors.Is(err, seal.ErrExpired):
 		http.Error(w, "the address has expired: open the title anew", http.StatusGone)
@@ -423,8 +423,8 @@
 		return
 	}
 	s.mu.Lock()
-	if now := h.owner.Now(); life.TooFast(now, s.told, s.list) {
-		if s.fast++; life.Turned(s.fast) {
+	if now := h.owner.Now(); life.ReloadsTooFast(now, s.told, s.list) {
+		if s.fast++; life.ThrottlesReload(s.fast) {
 			s.heard = now
 			s.mu.Unlock()
 			w.Header().Set("Retry-After", "1")
@@ -458,7 +458,7 @@
 		v.next = max(v.next, next)
 		s.told = now
 		m := lists[effective]
-		s.list = life.List{Target: front.Time(m.Target), Total: front.Time(m.Total()), Ended: m.Ended}
+		s.list = life.Playlist{TargetDuration: front.Time(m.Target), TotalDuration: front.Time(m.Total()), Ended: m.Ended}
 	}
 	s.mu.Unlock()
 	if !ok {
@@ -470,7 +470,7 @@
 
 // closed ends a session at its player's word.
 func (h *Hub) closed(w http.ResponseWriter, token string) {
-	c, err := h.keys.Open(token, time.Now().Unix())
+	c, err := h.keys.Verify(token, time.Now().Unix())
 	if err != nil {
 		http.Error(w, "not an address of ours", http.StatusForbidden)
 		return
--- a/internal/manifest/origin.go
+++ b/internal/manifest/origin.go
@@ -57,11 +57,11 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-func (e *entry) list() life.List {
+func (e *entry) list() life.Playlist {
 	if e.media == nil {
-		return life.List{Ended: true} // a multivariant playlist does not change
+		return life.Playlist{Ended: true} // a multivariant playlist does not change
 	}
-	return life.List{Target: front.Time(e.media.Target), Total: front.Time(e.media.Total()), Ended: e.media.Ended}
+	return life.Playlist{TargetDuration: front.Time(e.media.Target), TotalDuration: front.Time(e.media.Total()), Ended: e.media.Ended}
 }
 
 // get gives a playlist, from the server at an address if it is not at hand. The error is the fetch's if nothing usable
--- a/internal/manifest/session.go
+++ b/internal/manifest/session.go
@@ -31,7 +31,7 @@
 	moved  uint64 // token of a move, for the next request
 	opened front.Time
 	heard  front.Time
-	list   life.List
+	list   life.Playlist
 	told   front.Time // when it was told a playlist last: too fast counts from there, so that waiting ends it
 	fast   int        // reloads in a row that came too fast
 	views  []*view    // by rung asked for
@@ -133,7 +133,7 @@
 		s.state = adrift
 	case "session.ended":
 		s.state = adrift
-		if why, _ := p["reason"].(front.Why); why == front.WhyEnd {
+		if why, _ := p["reason"].(front.EndReason); why == front.EndReasonFinished {
 			s.state = over
 		}
 	}
--- a/internal/media/media.go
+++ b/internal/media/media.go
@@ -24,41 +24,41 @@
 type Links struct {
 	sink  Sink
 	wait  time.Duration
-	links *pipe.Links
+	links *pipe.Conns
 	dials atomic.Int64
 }
 
 // New makes an empty set: a dial may take wait, a write writeWait, and most bytes may wait on one connection.
 func New(sink Sink, wait, writeWait time.Duration, most int) *Links {
-	return &Links{sink: sink, wait: wait, links: pipe.NewLinks(most, writeWait)}
+	return &Links{sink: sink, wait: wait, links: pipe.NewConns(most, writeWait)}
 }
 
 // Do carries out an act of the desk. It never waits.
-func (l *Links) Do(a exchange.Act) {
+func (l *Links) Do(a exchange.Effect) {
 	switch {
 	case a.Dial != "":
 		l.dials.Add(1)
 		l.dial(a)
 	case a.Close:
-		l.links.Shut(a.Conn)
+		l.links.CloseConn(a.Conn)
 	default:
 		l.links.Send(a.Conn, a.Bytes)
 	}
 }
 
-func (l *Links) dial(a exchange.Act) {
+func (l *Links) dial(a exchange.Effect) {
 	var d rtsp.Decoder
-	l.links.Dial(a.Conn, func() (net.Conn, error) { return connect(a.Dial, min(l.wait, time.Duration(a.Within))) }, pipe.Handler{
+	l.links.Dial(a.Conn, func() (net.Conn, error) { return connect(a.Dial, min(l.wait, time.Duration(a.Timeout))) }, pipe.Handler{
 		Connected: func() { l.sink.Connected(a.Server, a.Conn) },
 		Failed:    func(err error) { l.sink.DialFailed(a.Server, a.Conn, err) },
-		Lost:      func(begun uint64) { l.sink.Lost(a.Server, a.Conn, begun) },
+		Closed:    func(begun uint64) { l.sink.Lost(a.Server, a.Conn, begun) },
 		Read: func(b []byte) {
 			d.Feed(b)
 			var list []*rtsp.Message
 			for {
 				m, err := d.Next()
 				if err != nil { // what follows can't be told apart: the connection is of no more use
-					l.links.Shut(a.Conn)
+					l.links.CloseConn(a.Conn)
 				}
 				if m == nil {
 					break
--- a/internal/pipe/conns.go
+++ b/internal/pipe/conns.go
@@ -11,11 +11,11 @@
 )
 
 // Conns holds the connections that this side dials, by numbers chosen by the caller.
-type Links struct {
+type Conns struct {
 	maxQueuedBytes int
 	writeTimeout   time.Duration
 	mu             sync.Mutex
-	writers        map[uint64]*Pipe
+	writers        map[uint64]*Writer
 	closed         bool
 	running        sync.WaitGroup
 }
@@ -26,17 +26,17 @@
 	Connected func()
 	Failed    func(error)
 	Read      func(b []byte) // b is valid until Read returns
-	Lost      func(begun uint64)
+	Closed    func(begun uint64)
 }
 
 // NewConns returns an empty set. Each connection queues at most maxQueuedBytes and is closed if its peer accepts
 // nothing for writeTimeout.
-func NewLinks(maxQueuedBytes int, writeTimeout time.Duration) *Links {
-	return &Links{maxQueuedBytes: maxQueuedBytes, writeTimeout: writeTimeout, writers: map[uint64]*Pipe{}}
+func NewConns(maxQueuedBytes int, writeTimeout time.Duration) *Conns {
+	return &Conns{maxQueuedBytes: maxQueuedBytes, writeTimeout: writeTimeout, writers: map[uint64]*Writer{}}
 }
 
 // Dial opens a connection in its own goroutine.
-func (s *Links) Dial(conn uint64, connect func() (net.Conn, error), h Handler) {
+func (s *Conns) Dial(conn uint64, connect func() (net.Conn, error), h Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.closed {
@@ -46,14 +46,14 @@
 }
 
 // run opens a connection and reads it until it closes.
-func (s *Links) run(conn uint64, connect func() (net.Conn, error), h Handler) {
+func (s *Conns) run(conn uint64, connect func() (net.Conn, error), h Handler) {
 	defer s.running.Done()
 	c, err := connect()
 	if err != nil {
 		h.Failed(err)
 		return
 	}
-	w := New(c, s.maxQueuedBytes, s.writeTimeout)
+	w := NewWriter(c, s.maxQueuedBytes, s.writeTimeout)
 	s.mu.Lock()
 	if s.closed {
 		s.mu.Unlock()
@@ -75,7 +75,7 @@
 	s.mu.Unlock()
 	submitted := w.Stop()
 	c.Close()
-	h.Lost(submitted)
+	h.Closed(submitted)
 }
 
 // readBufferBytes is the size of the read buffer that each open connection keeps.
@@ -83,7 +83,7 @@
 
 // OnClose calls closed when a connection has closed, by either side and after all its input was read. netpoll's
 // OnDisconnect is called before that: the last messages of a player would arrive after the event that it has left.
-func OnEnd(c netpoll.Connection, closed func()) {
+func OnClose(c netpoll.Connection, closed func()) {
 	c.AddCloseCallback(func(netpoll.Connection) error {
 		closed()
 		return nil
@@ -91,14 +91,14 @@
 }
 
 // writer returns the writer of an open connection, or nil.
-func (s *Links) writer(conn uint64) *Pipe {
+func (s *Conns) writer(conn uint64) *Writer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writers[conn]
 }
 
 // Send queues bytes, see Writer.Send. Bytes for a closed connection are dropped.
-func (s *Links) Send(conn uint64, b []byte) {
+func (s *Conns) Send(conn uint64, b []byte) {
 	if w := s.writer(conn); w != nil {
 		w.Send(b)
 	}
@@ -106,37 +106,37 @@
 
 // SendInline writes on the calling goroutine, see Writer.SendInline: bytes for one peer have left before the next
 // peer is sent any.
-func (s *Links) SendInline(conn uint64, b []byte) {
+func (s *Conns) SendInline(conn uint64, b []byte) {
 	if w := s.writer(conn); w != nil {
-		w.SendHere(b)
+		w.SendInline(b)
 	}
 }
 
 // CloseWriteAfterFlush closes the write side, see Writer.CloseWriteAfterFlush: bytes on their way here are still read.
-func (s *Links) CloseWriteAfterFlush(conn uint64) {
+func (s *Conns) CloseWriteAfterFlush(conn uint64) {
 	if w := s.writer(conn); w != nil {
 		w.CloseWriteAfterFlush()
 	}
 }
 
 // CloseConn closes one connection at once.
-func (s *Links) Shut(conn uint64) {
+func (s *Conns) CloseConn(conn uint64) {
 	if w := s.writer(conn); w != nil {
 		w.Close()
 	}
 }
 
 // Close closes each connection once its queue is written. It waits until all have closed and no dial is in progress.
-func (s *Links) Close() {
+func (s *Conns) Close() {
 	s.mu.Lock()
 	s.closed = true
-	all := make([]*Pipe, 0, len(s.writers))
+	all := make([]*Writer, 0, len(s.writers))
 	for _, w := range s.writers {
 		all = append(all, w)
 	}
 	s.mu.Unlock()
 	for _, w := range all {
-		w.Finish()
+		w.CloseAfterFlush()
 	}
 	s.running.Wait()
 }
--- a/internal/pipe/conns_test.go
+++ b/internal/pipe/conns_test.go
@@ -39,7 +39,7 @@
 			c.Close()
 		}
 	}()
-	conns := NewLinks(1<<16, time.Second)
+	conns := NewConns(1<<16, time.Second)
 	defer conns.Close()
 	for conn := range uint64(200) {
 		var got []byte
@@ -47,7 +47,7 @@
 		done := make(chan struct{})
 		conns.Dial(conn, dialer(ln.Addr().String()), Handler{Connected: func() { time.Sleep(time.Millisecond) },
 			Failed: func(err error) { t.Error(err); close(done) }, Read: func(b []byte) { got = append(got, b...) },
-			Lost: func(uint64) {
+			Closed: func(uint64) {
 				if closes.Add(1) == 1 {
 					close(done)
 				}
@@ -73,12 +73,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, send := range map[string]func(*Links, uint64, []byte){"queued": (*Links).Send, "here": (*Links).SendInline} {
-		conns := NewLinks(1<<16, 50*time.Millisecond)
+	for name, send := range map[string]func(*Conns, uint64, []byte){"queued": (*Conns).Send, "here": (*Conns).SendInline} {
+		conns := NewConns(1<<16, 50*time.Millisecond)
 		connected, closed, everQueued := make(chan struct{}), make(chan uint64, 1), false
 		conns.Dial(1, dialer(ln.Addr().String()), Handler{Connected: func() { close(connected) },
 			Failed: func(err error) { t.Error(err) },
-			Read:   func([]byte) {}, Lost: func(submitted uint64) { closed <- submitted }})
+			Read:   func([]byte) {}, Closed: func(submitted uint64) { closed <- submitted }})
 		<-connected
 		sent := uint64(0)
 		w := conns.writer(1)
@@ -109,7 +109,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	conns := NewLinks(1<<16, time.Second)
+	conns := NewConns(1<<16, time.Second)
 	failed := make(chan error, 1)
 	conns.Dial(1, dialer(addr), Handler{Connected: func() { t.Error("connected") },
 		Failed: func(err error) { failed <- err }})
@@ -155,12 +155,12 @@
 		time.Sleep(20 * time.Millisecond) // half of the reply is in flight
 		c.Write([]byte(reply[8:]))
 	}()
-	conns := NewLinks(1<<20, time.Second)
+	conns := NewConns(1<<20, time.Second)
 	var got []byte
 	connected, closed := make(chan struct{}), make(chan uint64, 2)
 	conns.Dial(1, dialer(ln.Addr().String()), Handler{Connected: func() { close(connected) },
 		Failed: func(err error) { t.Error(err) },
-		Read:   func(b []byte) { got = append(got, b...) }, Lost: func(submitted uint64) { closed <- submitted }})
+		Read:   func(b []byte) { got = append(got, b...) }, Closed: func(submitted uint64) { closed <- submitted }})
 	<-connected
 	conns.Send(1, make([]byte, sentBytes))
 	conns.CloseWriteAfterFlush(1)
@@ -194,11 +194,11 @@
 			received <- int(n)
 		}
 	}()
-	conns := NewLinks(1<<16, time.Nanosecond) // over before any write starts
+	conns := NewConns(1<<16, time.Nanosecond) // over before any write starts
 	connected := make(chan struct{})
 	conns.Dial(1, dialer(ln.Addr().String()), Handler{Connected: func() { close(connected) },
 		Failed: func(err error) { t.Error(err) },
-		Read:   func([]byte) {}, Lost: func(uint64) {}})
+		Read:   func([]byte) {}, Closed: func(uint64) {}})
 	<-connected
 	for range 20 {
 		conns.SendInline(1, make([]byte, 100))
--- a/internal/pipe/poll.go
+++ b/internal/pipe/poll.go
@@ -34,7 +34,7 @@
 
 // IsClosed reports whether either side has closed a connection, so that bytes written to it now may never be read. A
 // write side closed by the peer counts.
-func (s *Links) IsClosed(conn uint64) bool {
+func (s *Conns) IsClosed(conn uint64) bool {
 	w := s.writer(conn)
 	if w == nil {
 		return true
--- a/internal/pipe/writer.go
+++ b/internal/pipe/writer.go
@@ -20,7 +20,7 @@
 // Writer writes to a connection without blocking the caller. Bytes are kept in a bounded queue, and a goroutine runs
 // only while there is something to write. It keeps an upper bound of the bytes handed to the kernel, which tells a
 // set-up that provably never left this machine from one that may have run.
-type Pipe struct {
+type Writer struct {
 	conn                 Conn
 	raw                  syscall.RawConn // nil for a netpoll connection
 	writeTimeout         time.Duration   // for a write that the kernel does not accept at once
@@ -37,8 +37,8 @@
 
 // NewWriter returns a writer that queues at most maxQueuedBytes. A write that the peer does not accept within
 // writeTimeout closes the connection.
-func New(conn Conn, maxQueuedBytes int, writeTimeout time.Duration) *Pipe {
-	w := &Pipe{conn: conn, maxQueuedBytes: maxQueuedBytes, writeTimeout: writeTimeout}
+func NewWriter(conn Conn, maxQueuedBytes int, writeTimeout time.Duration) *Writer {
+	w := &Writer{conn: conn, maxQueuedBytes: maxQueuedBytes, writeTimeout: writeTimeout}
 	switch c := conn.(type) {
 	case interface{ SetWriteTimeout(time.Duration) error }:
 		c.SetWriteTimeout(writeTimeout)
@@ -50,7 +50,7 @@
 
 // Send queues bytes. If the queue would exceed its limit, because the peer reads too slowly or not at all, it closes
 // the connection and returns false.
-func (w *Pipe) Send(b []byte) bool {
+func (w *Writer) Send(b []byte) bool {
 	start, ok := w.enqueue(b)
 	if start {
 		go w.writeQueued()
@@ -60,7 +60,7 @@
 
 // SendInline queues bytes like Send and writes them on the calling goroutine, unless another goroutine is writing
 // already. It may block, so it is for callers that may wait.
-func (w *Pipe) SendHere(b []byte) bool {
+func (w *Writer) SendInline(b []byte) bool {
 	start, ok := w.enqueue(b)
 	if start {
 		w.writeQueued()
@@ -69,7 +69,7 @@
 }
 
 // enqueue adds bytes to the queue. If start is true, no goroutine is writing and the caller must call writeQueued.
-func (w *Pipe) enqueue(b []byte) (start, ok bool) {
+func (w *Writer) enqueue(b []byte) (start, ok bool) {
 	w.mu.Lock()
 	if w.closed || w.closeAfterFlush || w.closeWriteAfterFlush {
 		w.mu.Unlock()
@@ -89,7 +89,7 @@
 }
 
 // CloseAfterFlush closes the connection once the queue is written.
-func (w *Pipe) Finish() {
+func (w *Writer) CloseAfterFlush() {
 	w.mu.Lock()
 	w.closeAfterFlush = true
 	idle := !w.writing && !w.closed
@@ -101,7 +101,7 @@
 
 // CloseWriteAfterFlush closes the write side once the queue is written. Reading goes on until the peer closes its own
 // side.
-func (w *Pipe) CloseWriteAfterFlush() {
+func (w *Writer) CloseWriteAfterFlush() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.closeWriteAfterFlush && !w.writing && !w.closed {
@@ -111,14 +111,14 @@
 }
 
 // closeWrite closes the write side. An error means that the connection has closed, which its reader reports.
-func (w *Pipe) closeWrite() {
+func (w *Writer) closeWrite() {
 	if c, ok := w.conn.(interface{ CloseWrite() error }); ok {
 		c.CloseWrite()
 	}
 }
 
 // Close closes the connection at once.
-func (w *Pipe) Close() {
+func (w *Writer) Close() {
 	w.mu.Lock()
 	w.closed, w.queued = true, nil
 	w.mu.Unlock()
@@ -126,7 +126,7 @@
 }
 
 // Idle reports whether all queued bytes have been handed to the kernel or dropped.
-func (w *Pipe) Idle() bool {
+func (w *Writer) Idle() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.closed || !w.writing && len(w.queued) == 0
@@ -134,13 +134,13 @@
 
 // SubmittedBytes returns an upper bound of the number of bytes handed to the kernel. Bytes past it never left this
 // machine.
-func (w *Pipe) SubmittedBytes() uint64 { return w.submitted.Load() }
+func (w *Writer) SubmittedBytes() uint64 { return w.submitted.Load() }
 
 // maxSpareBytes is the largest buffer that an idle writer keeps.
 const maxSpareBytes = 4 << 10
 
 // writeQueued writes until the queue is empty, then closes the connection or its write side if that was requested.
-func (w *Pipe) writeQueued() {
+func (w *Writer) writeQueued() {
 	for {
 		w.mu.Lock()
 		if w.closed || len(w.queued) == 0 {
@@ -175,7 +175,7 @@
 // writeBytes writes bytes and waits for the peer only if the kernel accepts no more of them. The first write has no
 // deadline: if the core stalls for a moment, a deadline set before a write may have passed by the time the write
 // starts. The write would then fail untried, and the connection would be lost with all sessions and requests on it.
-func (w *Pipe) writeBytes(b []byte) error {
+func (w *Writer) writeBytes(b []byte) error {
 	if w.raw == nil { // netpoll does the same itself; Write, unlike netpoll's Writer, may race with the close of the connection
 		_, err := w.conn.Write(b)
 		return err
@@ -205,7 +205,7 @@
 
 // Stop stops the writer without closing the connection and returns the final SubmittedBytes: no more bytes are handed
 // to the kernel after it.
-func (w *Pipe) Stop() uint64 {
+func (w *Writer) Stop() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.closed, w.queued = true, nil
--- a/internal/platform/node/bench_test.go
+++ b/internal/platform/node/bench_test.go
@@ -46,7 +46,7 @@
 func newListedNodeWithLimit(tb testing.TB, n, sockets int) *Node {
 	list := &wire.Hosts{Seq: 1, Whole: true}
 	for i := range n {
-		list.Hosts = append(list.Hosts, wire.Host{Name: fmt.Sprintf("s-%08x", i+1), Dial: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: "z",
+		list.Hosts = append(list.Hosts, wire.Host{Name: fmt.Sprintf("s-%08x", i+1), Address: fmt.Sprintf("127.0.0.1:%d", 20000+i), Zone: "z",
 			Kind: "k", Health: wire.HostReady, Share: 1})
 	}
 	cfg, err := Parse(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":%d},
--- a/internal/platform/node/client_gone_test.go
+++ b/internal/platform/node/client_gone_test.go
@@ -185,7 +185,7 @@
 
 func (s blockingReceiver) accepted(uint64) {}
 func (s blockingReceiver) closed(uint64)   {}
-func (s blockingReceiver) received(k *client, _ []viewers.In, _ error, _ bool) {
+func (s blockingReceiver) received(k *client, _ []viewers.Input, _ error, _ bool) {
 	s.arrived <- k
 	<-s.proceed
 }
--- a/internal/platform/node/clients.go
+++ b/internal/platform/node/clients.go
@@ -38,7 +38,7 @@
 // clientEvents receives the events of viewers' connections. Its methods are called from many goroutines.
 type clientEvents interface {
 	accepted(conn uint64)
-	received(k *client, list []viewers.In, readErr error, partial bool)
+	received(k *client, list []viewers.Input, readErr error, partial bool)
 	closed(conn uint64)
 }
 
@@ -46,7 +46,7 @@
 type client struct {
 	id          uint64
 	conn        netpoll.Connection
-	writer      *pipe.Pipe
+	writer      *pipe.Writer
 	closing     atomic.Bool  // being closed: further input is read and dropped
 	unprocessed atomic.Int32 // reads that the owner goroutine has not processed yet
 	mu          sync.Mutex
@@ -156,7 +156,7 @@
 
 // onPrepare is called by the event loop before any other callback of an accepted connection.
 func (c *clients) onPrepare(nc netpoll.Connection) context.Context {
-	pipe.OnEnd(nc, func() {
+	pipe.OnClose(nc, func() {
 		c.openConns.Add(-1)
 		select {
 		case c.slotFreed <- struct{}{}:
@@ -169,13 +169,13 @@
 // onConnect registers a new connection.
 func (c *clients) onConnect(ctx context.Context, nc netpoll.Connection) context.Context {
 	pipe.SetTCPOptions(nc)
-	k := &client{id: c.lastID.Add(1), conn: nc, writer: pipe.New(nc, maxClientQueueBytes, clientWriteTimeout),
+	k := &client{id: c.lastID.Add(1), conn: nc, writer: pipe.NewWriter(nc, maxClientQueueBytes, clientWriteTimeout),
 		splitter: wire.NewSplitter(wire.MaxMessage)}
 	c.mu.Lock()
 	c.conns[k.id] = k
 	c.mu.Unlock()
 	c.events.accepted(k.id) // before its closed event
-	pipe.OnEnd(nc, func() { c.onClose(k) })
+	pipe.OnClose(nc, func() { c.onClose(k) })
 	return context.WithValue(ctx, clientKey{}, k)
 }
 
@@ -210,7 +210,7 @@
 }
 
 // parse splits input into lines. It records withdrawn sessions at once, because the owner goroutine may be behind.
-func (k *client) parse(b []byte) (list []viewers.In, readErr error, partial, ok bool) {
+func (k *client) parse(b []byte) (list []viewers.Input, readErr error, partial, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.unreadable {
@@ -227,7 +227,7 @@
 		if line == nil {
 			break
 		}
-		var in viewers.In
+		var in viewers.Input
 		in.Line, in.Err = wire.ParseLine(line)
 		if in.Line.Msg == wire.LineClose && in.Line.Sid != 0 {
 			if k.withdrawn == nil {
@@ -241,7 +241,7 @@
 }
 
 // processed records that the owner goroutine has handled a result of parse.
-func (k *client) processed(list []viewers.In) {
+func (k *client) processed(list []viewers.Input) {
 	k.unprocessed.Add(-1)
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -313,7 +313,7 @@
 		c.peekBuffer = make([]byte, wire.MaxMessage)
 	}
 	n := pipe.Peek(k.conn.(netpoll.Conn).Fd(), c.peekBuffer)
-	return !k.splitter.TakesBack(c.peekBuffer[:n], session)
+	return !k.splitter.ContainsClose(c.peekBuffer[:n], session)
 }
 
 // send queues bytes without blocking the owner goroutine. The connection of a viewer that reads too slowly is closed.
@@ -330,11 +330,11 @@
 		return
 	}
 	if len(last) == 0 {
-		k.writer.Finish()
+		k.writer.CloseAfterFlush()
 		return
 	}
 	k.writer.Send(last)
-	time.AfterFunc(closeDelay, k.writer.Finish)
+	time.AfterFunc(closeDelay, k.writer.CloseAfterFlush)
 }
 
 // drained reports whether all output is written, all input is processed and no connection is waiting to be accepted.
@@ -360,7 +360,7 @@
 	}
 	c.mu.Unlock()
 	for _, k := range all {
-		k.writer.Finish()
+		k.writer.CloseAfterFlush()
 	}
 	c.loop.Shutdown(ctx)
 }
--- a/internal/platform/node/clients_test.go
+++ b/internal/platform/node/clients_test.go
@@ -15,9 +15,9 @@
 func TestDescriptorLimitsLeaveViewersAThirdAndServersTheRest(t *testing.T) {
 	for _, n := range []int{10, 200, 1200} {
 		x := newListedNode(t, n)
-		conns, links := x.viewers.Limits(), x.servers.Limits()
-		if conns < 608/3 || conns+links > 608-reservedDescriptors || links < min(2*n, 608-reservedDescriptors-608/3) || x.serverIDs.len() != n || x.core.Ready() != n {
-			t.Errorf("%d servers: %d connections of viewers, %d to servers, %d listed, %d ready", n, conns, links, x.serverIDs.len(), x.core.Ready())
+		conns, links := x.viewers.MaxConns(), x.servers.MaxConns()
+		if conns < 608/3 || conns+links > 608-reservedDescriptors || links < min(2*n, 608-reservedDescriptors-608/3) || x.serverIDs.len() != n || x.core.ReadyServers() != n {
+			t.Errorf("%d servers: %d connections of viewers, %d to servers, %d listed, %d ready", n, conns, links, x.serverIDs.len(), x.core.ReadyServers())
 		}
 		x.clients.close(context.Background())
 	}
@@ -26,7 +26,7 @@
 // With 64 descriptors, the full reserve would leave one connection for all servers together.
 func TestSmallDescriptorLimitLeavesServersConnections(t *testing.T) {
 	x := newListedNodeWithLimit(t, 8, 64)
-	if conns, links := x.viewers.Limits(), x.servers.Limits(); conns < 64/3 || links < 2*8 || conns+links > 64-12 {
+	if conns, links := x.viewers.MaxConns(), x.servers.MaxConns(); conns < 64/3 || links < 2*8 || conns+links > 64-12 {
 		t.Errorf("%d connections of viewers, %d to servers", conns, links)
 	}
 	x.clients.close(context.Background())
--- a/internal/platform/node/config.go
+++ b/internal/platform/node/config.go
@@ -141,13 +141,13 @@
 }
 
 // RuntimeLimits returns GOMAXPROCS and the memory limit in bytes for the Go runtime; a memory limit of 0 means none.
-func (c *Config) Limits() (procs int, memory int64) {
+func (c *Config) RuntimeLimits() (procs int, memory int64) {
 	procs = max(int(c.Cores+0.5), 1)
 	return procs, int64(c.MemoryMB) << 20
 }
 
 // CheckEnvironment compares the configuration with the environment variables.
-func (c *Config) Check() error {
+func (c *Config) CheckEnvironment() error {
 	if name := os.Getenv("NODE_NAME"); name != "" && name != c.Name {
 		return fmt.Errorf("NODE_NAME is %q, the configuration is for %q", name, c.Name)
 	}
--- a/internal/platform/node/config_test.go
+++ b/internal/platform/node/config_test.go
@@ -17,7 +17,7 @@
 		c.Settings.Classes[0].Deadline != 3_000_000_000 || c.Settings.Cells != 3 || len(c.Settings.Tenants) != 0 {
 		t.Fatalf("%+v %v", c, err)
 	}
-	if procs, memory := c.Limits(); procs != 1 || memory != 64<<20 {
+	if procs, memory := c.RuntimeLimits(); procs != 1 || memory != 64<<20 {
 		t.Error(procs, memory)
 	}
 	ids := newServerIDs(c.Names.Zones, c.Names.Kinds)
@@ -25,8 +25,8 @@
 		list[0].Addr != "a:1" {
 		t.Errorf("%+v %+v %v", entries, list, invalid)
 	}
-	next := &wire.Hosts{Whole: true, Hosts: []wire.Host{{Name: "other", Dial: "a:1", Zone: "nowhere", Kind: "k", Health: wire.HostReady}}}
-	if entries, list, invalid := ids.apply(next); len(entries) != 1 || len(list) != 2 || list[1].ID != 5 || !list[1].Gone || ids.len() != 1 || len(invalid) != 1 {
+	next := &wire.Hosts{Whole: true, Hosts: []wire.Host{{Name: "other", Address: "a:1", Zone: "nowhere", Kind: "k", Health: wire.HostReady}}}
+	if entries, list, invalid := ids.apply(next); len(entries) != 1 || len(list) != 2 || list[1].ID != 5 || !list[1].Unlisted || ids.len() != 1 || len(invalid) != 1 {
 		t.Errorf("full list without a known server: %+v %+v %v", entries, list, invalid)
 	}
 	for name, change := range map[string][2]string{
@@ -51,7 +51,7 @@
 		}
 	}
 	t.Setenv("NODE_NAME", "n4")
-	if c.Check() == nil {
+	if c.CheckEnvironment() == nil {
 		t.Error("the configuration of another front passes the check")
 	}
 }
--- a/internal/platform/node/limit_listener_test.go
+++ b/internal/platform/node/limit_listener_test.go
@@ -23,7 +23,7 @@
 	r.mu.Unlock()
 }
 
-func (r *eventRecorder) received(k *client, list []viewers.In, _ error, _ bool) {
+func (r *eventRecorder) received(k *client, list []viewers.Input, _ error, _ bool) {
 	k.processed(list)
 	r.mu.Lock()
 	r.messages[k.id] += len(list)
--- a/internal/platform/node/malformed_replies_test.go
+++ b/internal/platform/node/malformed_replies_test.go
@@ -140,7 +140,7 @@
 			c.Write(encoded((&wire.Message{Type: wire.Release, Session: s}).AddCause(wire.CauseFull)))
 		}, "ready"},
 		"moot": {func(c net.Conn, s uint64) {
-			c.Write(encoded((&wire.Message{Type: wire.Release, Session: s}).AddCause(wire.CauseMoot)))
+			c.Write(encoded((&wire.Message{Type: wire.Release, Session: s}).AddCause(wire.CauseNotRun)))
 		}, "ready"},
 		"answer for another session first": {func(c net.Conn, s uint64) { c.Write(append(readyMessage(s^1<<40), readyMessage(s)...)) }, "ready"},
 		"answer sent twice":                {func(c net.Conn, s uint64) { c.Write(append(readyMessage(s), readyMessage(s)...)) }, "ready"},
@@ -163,8 +163,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				x.journal.List(false, wire.Host{Name: "scripted", Dial: scripted.listener.Addr().String(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10},
-					wire.Host{Name: good.Name(), Dial: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10})
+				x.journal.List(false, wire.Host{Name: "scripted", Address: scripted.listener.Addr().String(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10},
+					wire.Host{Name: good.Name(), Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10})
 				x.waitFor("listed", func() bool { s := x.snapshot(); return s.Ready == 5 && s.Held == 1 })
 				for n := 0; n < 60 && scripted.setUpCount() == 0; n++ { // the module may pick either of the two
 					sid := x.newID()
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -51,11 +51,11 @@
 	log            zerolog.Logger
 	startedAt      time.Time
 	core           *front.Core
-	servers        *servers.Desk
-	viewers        *viewers.Desk
-	follower       *watch.Watch
-	serverConns    *pipe.Links
-	journalConns   *pipe.Links
+	servers        *servers.Protocol
+	viewers        *viewers.Protocol
+	follower       *watch.Follower
+	serverConns    *pipe.Conns
+	journalConns   *pipe.Conns
 	clients        *clients
 	queue          *inbox.Queue
 	serverIDs      serverIDs
@@ -75,17 +75,17 @@
 	for _, text := range cfg.Invalid {
 		log.Warn().Str("from", "configuration").Msg(text)
 	}
-	n.core = front.New(front.Config{Settings: cfg.Settings, Module: policy.New(cfg.Settings, cfg.Seed), KnownViewers: true,
-		AnswerMargin: answerMargin, LastLine: unansweredMargin, MovedFor: movedTTL, MovedMost: 10_000})
-	connectTimeout := max(cfg.Settings.ConnectWait, 50*policy.Millisecond)
-	n.servers = servers.New(servers.Config{Classes: cfg.Names.Classes, Fields: cfg.Names.Fields, Connect: connectTimeout,
-		ProbeWait: connectTimeout, Waits: n.clientWaits, Ended: func(conn uint64) bool { return n.serverConns.IsClosed(conn) }})
-	n.viewers = viewers.New(viewers.Config{Settings: cfg.Settings, Classes: cfg.Names.Classes, Host: n.serverIDs.lookup,
-		OpenMost: maxOpenPerConn, Silent: silentTimeout, Half: partialLineTimeout, Idle: idleTimeout,
-		Quiet: func(conn uint64) bool { return n.clients.inputDrained(conn) }})
+	n.core = front.New(front.Config{Settings: cfg.Settings, Module: policy.New(cfg.Settings, cfg.Seed), TrustViewerIDs: true,
+		AnswerMargin: answerMargin, FailsafeMargin: unansweredMargin, MoveTokenTTL: movedTTL, MaxMoveTokens: 10_000})
+	connectTimeout := max(cfg.Settings.ConnectTimeout, 50*policy.Millisecond)
+	n.servers = servers.New(servers.Config{Classes: cfg.Names.Classes, Fields: cfg.Names.Fields, ConnectTimeout: connectTimeout,
+		ProbeTimeout: connectTimeout, ClientWaiting: n.clientWaits, Ended: func(conn uint64) bool { return n.serverConns.IsClosed(conn) }})
+	n.viewers = viewers.New(viewers.Config{Settings: cfg.Settings, Classes: cfg.Names.Classes, ServerID: n.serverIDs.lookup,
+		MaxOpenRequests: maxOpenPerConn, Silent: silentTimeout, PartialLineTimeout: partialLineTimeout, Idle: idleTimeout,
+		NoPendingInput: func(conn uint64) bool { return n.clients.inputDrained(conn) }})
 	n.follower = watch.New(cfg.Journal, cfg.JournalPos, rand.Float64)
-	n.serverConns, n.journalConns = pipe.NewLinks(maxServerQueueBytes, serverWriteTimeout),
-		pipe.NewLinks(maxServerQueueBytes, serverWriteTimeout)
+	n.serverConns, n.journalConns = pipe.NewConns(maxServerQueueBytes, serverWriteTimeout),
+		pipe.NewConns(maxServerQueueBytes, serverWriteTimeout)
 	var err error
 	n.clients, err = listen(cfg.Listen, eventQueue{n})
 	if err != nil {
@@ -109,8 +109,8 @@
 		viewerConns = max(available-2*max(n.serverIDs.len(), minServers), n.cfg.Sockets/3, 1)
 		serverConns = max(available-viewerConns, 1)
 	}
-	n.viewers.Limit(viewerConns)
-	n.servers.Limit(serverConns)
+	n.viewers.SetMaxConns(viewerConns)
+	n.servers.SetMaxConns(serverConns)
 	if n.cfg.Sockets > 0 { // a burst may exceed the owner's limit by part of the reserve, but not this limit
 		n.clients.maxConns.Store(int64(viewerConns + reserved/2))
 	}
@@ -118,7 +118,7 @@
 
 // clientWaits reports whether the client of a request is still waiting. It is called just before a set-up is sent.
 func (n *Node) clientWaits(session uint64) bool {
-	conn, ok := n.viewers.Conn(session)
+	conn, ok := n.viewers.RequestConn(session)
 	return ok && n.clients.clientWaits(conn, session)
 }
 
@@ -141,7 +141,7 @@
 }
 
 // Shutdown starts a graceful shutdown: the front serves on until no request can be pending any more.
-func (n *Node) Leave() { n.queue.Force(shutdownRequested{}) }
+func (n *Node) Shutdown() { n.queue.Force(shutdownRequested{}) }
 
 // sortedNames returns the keys in order.
 func sortedNames(m map[string]uint32) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/platform/node/owner.go
+++ b/internal/platform/node/owner.go
@@ -25,7 +25,7 @@
 	statsAt = last + statsInterval
 	for {
 		now := n.now()
-		if wait := admit.Standstill(now - last); wait > 0 {
+		if wait := admit.ReadWindowAfterStall(now - last); wait > 0 {
 			readUntil = now + wait
 			n.log.Warn().Int64("ms", (now-last)/policy.Millisecond).Msg("owner goroutine stalled")
 		}
@@ -83,12 +83,12 @@
 		return false
 	}
 	// Sessions may play forever; requests have a deadline.
-	if now >= n.shutdownAt+shutdownTimeout && n.core.Open() == 0 {
+	if now >= n.shutdownAt+shutdownTimeout && n.core.OpenRequests() == 0 {
 		return true
 	}
 	waiting, _, _ := n.queue.Stats()
-	return n.core.Open() == 0 && n.core.Held() == 0 && waiting == 0 && now >= n.clientActiveAt+shutdownQuietWindow &&
-		!n.viewers.Halves() && n.clients.drained()
+	return n.core.OpenRequests() == 0 && n.core.SessionCount() == 0 && waiting == 0 && now >= n.clientActiveAt+shutdownQuietWindow &&
+		!n.viewers.HasPartialLine() && n.clients.drained()
 }
 
 // handle processes one item of the queue.
@@ -102,7 +102,7 @@
 	case clientReceived:
 		n.clientActiveAt = now
 		e.from.processed(e.list)
-		n.viewers.Received(now, e.readAt, e.from.id, e.list, e.readErr, e.partial, n.core.Known)
+		n.viewers.Received(now, e.readAt, e.from.id, e.list, e.readErr, e.partial, n.core.IDInUse)
 	case clientClosed:
 		n.viewers.Lost(now, e.conn)
 	case serverConnected:
@@ -128,7 +128,7 @@
 	case shutdownRequested:
 		if n.shutdownAt == 0 {
 			n.shutdownAt = now
-			n.log.Info().Int("open", n.core.Open()).Int("held", n.core.Held()).Msg("leaving")
+			n.log.Info().Int("open", n.core.OpenRequests()).Int("held", n.core.SessionCount()).Msg("leaving")
 		}
 	case snapshotRequested:
 		e.reply <- n.takeSnapshot()
@@ -143,9 +143,9 @@
 		for _, a := range journalEffects {
 			switch {
 			case a.Dial != "":
-				n.dialJournal(a.Conn, a.Dial, time.Duration(a.Within))
+				n.dialJournal(a.Conn, a.Dial, time.Duration(a.Timeout))
 			case a.Close:
-				n.journalConns.Shut(a.Conn)
+				n.journalConns.CloseConn(a.Conn)
 			default:
 				n.journalConns.SendInline(a.Conn, a.Bytes)
 			}
@@ -158,11 +158,11 @@
 			switch {
 			case a.Dial != "":
 				n.serverByConn[a.Conn] = a.Server
-				n.dialServer(a.Conn, a.Dial, time.Duration(a.Within))
-			case a.Finish:
+				n.dialServer(a.Conn, a.Dial, time.Duration(a.Timeout))
+			case a.CloseWrite:
 				n.serverConns.CloseWriteAfterFlush(a.Conn)
 			case a.Close:
-				n.serverConns.Shut(a.Conn)
+				n.serverConns.CloseConn(a.Conn)
 			default:
 				n.serverConns.SendInline(a.Conn, a.Bytes)
 			}
@@ -189,11 +189,11 @@
 func (n *Node) step(e front.Event) {
 	now := n.now()
 	n.trace(e)
-	if a, ok := e.(front.Adopt); ok {
-		if !n.servers.Adopt(now, front.Setup{Session: a.ID, Server: a.Server, Title: a.Title, Class: a.Class,
+	if a, ok := e.(front.Restore); ok {
+		if !n.servers.Restore(now, front.Setup{Session: a.ID, Server: a.Server, Title: a.Title, Class: a.Class,
 			Viewer: a.Viewer, Name: a.Name}) {
 			n.log.Warn().Str("session", wire.Sid(a.ID)).Msg("restored session names an unknown server; ending it")
-			n.viewers.Do(now, front.Over{Session: a.ID, Why: front.WhyLost}) // otherwise its client would hold it forever
+			n.viewers.Apply(now, front.SessionEnded{Session: a.ID, Reason: front.EndReasonLost}) // otherwise its client would hold it forever
 			return
 		}
 	}
@@ -216,13 +216,13 @@
 			n.log.Error().Msg("fault: " + e.Text)
 		case front.Follow: // the journal is always followed
 		case front.Plays:
-			if !n.viewers.Do(now, e) {
+			if !n.viewers.Apply(now, e) {
 				ended = append(ended, e.Session)
 			}
-		case front.Refused, front.Failed, front.Moved, front.Over:
-			n.viewers.Do(now, e)
+		case front.Refused, front.Failed, front.Moved, front.SessionEnded:
+			n.viewers.Apply(now, e)
 		default:
-			n.servers.Do(now, e)
+			n.servers.Apply(now, e)
 		}
 	}
 	for _, id := range ended {
@@ -246,7 +246,7 @@
 	if n.log.GetLevel() <= zerolog.DebugLevel {
 		for _, server := range serverList {
 			n.log.Debug().Str("server", fmt.Sprintf("%08x", server.ID)).Str("addr", server.Addr).
-				Bool("drains", server.Drains).Bool("gone", server.Gone).Msg("listed")
+				Bool("drains", server.Drains).Bool("gone", server.Unlisted).Msg("listed")
 		}
 	}
 	n.servers.Listed(now, serverList)
--- a/internal/platform/node/reload.go
+++ b/internal/platform/node/reload.go
@@ -58,5 +58,5 @@
 		return
 	}
 	n.log.Info().Str("journal", e.cfg.Journal).Msg("configuration read again")
-	n.follower.Moved(now, e.cfg.Journal)
+	n.follower.AddressChanged(now, e.cfg.Journal)
 }
--- a/internal/platform/node/server_changes_test.go
+++ b/internal/platform/node/server_changes_test.go
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(done)
-	host = wire.Host{Name: "slow", Dial: addr, Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10}
+	host = wire.Host{Name: "slow", Address: addr, Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10}
 	x.journal.List(false, host)
 	x.waitFor("listed", func() bool { return x.snapshot().Ready == 4 })
 	v, sid = x.viewer(), x.newID()
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	host.Dial = good.Addr()
+	host.Address = good.Addr()
 	x.journal.List(false, host)
 	if l := x.lineFor(v, sid); l.Msg != wire.LineReady {
 		t.Errorf("%+v", l)
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := wire.Host{Name: "old", Dial: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10}
+	old := wire.Host{Name: "old", Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10}
 	next := old
 	next.Name, next.Cell = good.Name(), 60
 	x.journal.List(false, old)
--- a/internal/platform/node/server_faults_test.go
+++ b/internal/platform/node/server_faults_test.go
@@ -79,7 +79,7 @@
 			t.Error("set up on a draining server")
 		}
 	}
-	x.journal.Tell(false, wire.HostGone, x.servers[0])
+	x.journal.Tell(false, wire.HostRemoved, x.servers[0])
 	x.waitFor("removed server forgotten", func() bool { return x.snapshot().Hosts == 2 })
 	v.Close()
 	x.closeAndAudit()
--- a/internal/platform/node/server_ids.go
+++ b/internal/platform/node/server_ids.go
@@ -69,7 +69,7 @@
 // apply applies a list event and translates it for the module and for the servers' protocol. invalid describes values
 // of the event that could not be used.
 func (h *serverIDs) apply(e *wire.Hosts) (entries []policy.Entry, serverList []servers.Server, invalid []string) {
-	health := map[string]policy.Health{wire.HostReady: policy.Ready, wire.HostDraining: policy.Draining, wire.HostGone: policy.Removed}
+	health := map[string]policy.Health{wire.HostReady: policy.Ready, wire.HostDraining: policy.Draining, wire.HostRemoved: policy.Removed}
 	listed := map[string]bool{}
 	for _, host := range e.Hosts {
 		listed[host.Name] = true
@@ -81,15 +81,15 @@
 		if !ok && len(h.kinds) > 0 {
 			invalid = append(invalid, fmt.Sprintf("%s: unknown kind %.32q", host.Name, host.Kind))
 		}
-		if _, known := h.byName[host.Name]; !known && host.Health == wire.HostGone {
+		if _, known := h.byName[host.Name]; !known && host.Health == wire.HostRemoved {
 			continue
 		}
 		id := h.assign(host.Name)
 		entry := policy.Entry{Server: id, Zone: zone, Kind: kind, Cell: host.Cell, Health: health[host.Health], Size: host.Share,
 			Started: host.Started * policy.Millisecond}
 		entries = append(entries, entry)
-		serverList = append(serverList, servers.Server{ID: id, Addr: host.Dial, Started: entry.Started, Drains: entry.Health != policy.Ready,
-			Gone: entry.Health == policy.Removed})
+		serverList = append(serverList, servers.Server{ID: id, Addr: host.Address, Started: entry.Started, Drains: entry.Health != policy.Ready,
+			Unlisted: entry.Health == policy.Removed})
 		if entry.Health == policy.Removed {
 			h.remove(host.Name)
 		}
@@ -97,7 +97,7 @@
 	if e.Whole {
 		for _, name := range sortedNames(h.byName) {
 			if !listed[name] {
-				serverList = append(serverList, servers.Server{ID: h.byName[name], Drains: true, Gone: true})
+				serverList = append(serverList, servers.Server{ID: h.byName[name], Drains: true, Unlisted: true})
 				h.remove(name)
 			}
 		}
--- a/internal/platform/node/shutdown_test.go
+++ b/internal/platform/node/shutdown_test.go
@@ -32,7 +32,7 @@
 		s.Fault(platformsim.Faults{Delay: 100 * time.Millisecond})
 	}
 	v := x.viewer()
-	time.AfterFunc(200*time.Millisecond, x.node.Leave)
+	time.AfterFunc(200*time.Millisecond, x.node.Shutdown)
 	for sid := range x.openMany(v, 30, 20*time.Millisecond) {
 		v.GiveUp(sid)
 	}
@@ -47,7 +47,7 @@
 	v := x.viewer()
 	sid := x.newID()
 	text := platformsim.Form(sid, "safe", 1500*time.Millisecond, "")
-	x.node.Leave()
+	x.node.Shutdown()
 	time.Sleep(time.Duration(shutdownDelay) - 300*time.Millisecond)
 	for part := range slices.Chunk([]byte(text), len(text)/5+1) { // parts arrive until after shutdownDelay
 		if err := v.Write(string(part)); err != nil {
@@ -70,13 +70,13 @@
 	n := newListedNode(t, 3)
 	defer n.clients.close(context.Background())
 	now := n.now()
-	in := viewers.In{}
+	in := viewers.Input{}
 	in.Line, in.Err = wire.ParseLine([]byte(strings.TrimSuffix(platformsim.Form(7, "safe", 10*time.Minute, ""), "\n")))
 	n.viewers.Accepted(now, 1)
-	n.viewers.Received(now, now, 1, []viewers.In{in}, nil, false, n.core.Known)
+	n.viewers.Received(now, now, 1, []viewers.Input{in}, nil, false, n.core.IDInUse)
 	n.processEffects()
-	if n.core.Open() != 1 {
-		t.Fatalf("%d open", n.core.Open())
+	if n.core.OpenRequests() != 1 {
+		t.Fatalf("%d open", n.core.OpenRequests())
 	}
 	n.shutdownAt = now
 	late := now + shutdownTimeout + policy.Second
@@ -85,7 +85,7 @@
 	}
 	n.step(front.Leave{Session: 7})
 	n.processEffects()
-	if n.core.Open() != 0 || !n.finished(late) {
-		t.Errorf("%d requests open, or the front does not end without any", n.core.Open())
+	if n.core.OpenRequests() != 0 || !n.finished(late) {
+		t.Errorf("%d requests open, or the front does not end without any", n.core.OpenRequests())
 	}
 }
--- a/internal/platform/node/slow_connect_test.go
+++ b/internal/platform/node/slow_connect_test.go
@@ -24,8 +24,8 @@
 				t.Fatal(err)
 			}
 			defer done()
-			x.journal.List(false, wire.Host{Name: "slow", Dial: slow, Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10},
-				wire.Host{Name: good.Name(), Dial: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10})
+			x.journal.List(false, wire.Host{Name: "slow", Address: slow, Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10},
+				wire.Host{Name: good.Name(), Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10})
 			x.waitFor("listed", func() bool { return x.snapshot().Ready == 5 })
 			v, other := x.viewer(), x.viewer()
 			for n := 0; n < 60 && x.snapshot().Servers.Unanswered == 0; n++ { // the module may pick either of the two
--- a/internal/platform/node/snapshot.go
+++ b/internal/platform/node/snapshot.go
@@ -27,7 +27,7 @@
 
 // takeSnapshot returns the current state. It runs on the owner goroutine.
 func (n *Node) takeSnapshot() (s Snapshot) {
-	s.Stats, s.Open, s.Held, s.Ready = n.core.Stats(), n.core.Open(), n.core.Held(), n.core.Ready()
+	s.Stats, s.Open, s.Held, s.Ready = n.core.Stats(), n.core.OpenRequests(), n.core.SessionCount(), n.core.ReadyServers()
 	s.Attempts, s.Lines, s.Links = n.servers.Counts()
 	s.Conns, s.Sessions, s.Recent, s.Owed = n.viewers.Counts()
 	s.Hosts, s.Owners, s.Pos = n.serverIDs.len(), len(n.serverByConn), n.follower.Pos()
--- a/internal/platform/node/sockets.go
+++ b/internal/platform/node/sockets.go
@@ -21,7 +21,7 @@
 	clientReceived struct {
 		from    *client
 		readAt  front.Time
-		list    []viewers.In
+		list    []viewers.Input
 		readErr error
 		partial bool
 	}
@@ -54,9 +54,9 @@
 
 func (s eventQueue) closed(conn uint64) { s.node.queue.Force(clientClosed{conn}) }
 
-func (s eventQueue) received(from *client, list []viewers.In, readErr error, partial bool) {
+func (s eventQueue) received(from *client, list []viewers.Input, readErr error, partial bool) {
 	// Lines of one connection must keep their order: a request must not be overtaken by its withdrawal.
-	s.node.queue.Put(admit.News, clientReceived{from, s.node.now(), list, readErr, partial})
+	s.node.queue.Put(admit.Outcome, clientReceived{from, s.node.now(), list, readErr, partial})
 }
 
 // dialServer opens a connection to a server.
@@ -64,8 +64,8 @@
 	n.serverConns.Dial(conn, dialer(addr, timeout), pipe.Handler{
 		Connected: func() { n.queue.Force(serverConnected{conn}) },
 		Failed:    func(err error) { n.queue.Force(serverDialFailed{conn, classifyDialError(err)}) },
-		Read:      func(b []byte) { n.queue.Put(admit.News, serverReceived{conn, bytes.Clone(b)}) },
-		Lost:      func(submitted uint64) { n.queue.Force(serverClosed{conn, submitted}) }})
+		Read:      func(b []byte) { n.queue.Put(admit.Outcome, serverReceived{conn, bytes.Clone(b)}) },
+		Closed:    func(submitted uint64) { n.queue.Force(serverClosed{conn, submitted}) }})
 }
 
 // classifyDialError returns the kind of failure that a connect error proves.
@@ -75,9 +75,9 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return servers.Refused
 	case errors.As(err, &timeout) && timeout.Timeout(), errors.Is(err, syscall.EHOSTUNREACH), errors.Is(err, syscall.ENETUNREACH):
-		return servers.Unanswered
+		return servers.TimedOut
 	}
-	return servers.Broke
+	return servers.OtherFailure
 }
 
 // dialJournal opens a connection to the journal service.
@@ -86,7 +86,7 @@
 	n.journalConns.Dial(conn, dialer(addr, timeout), pipe.Handler{
 		Connected: func() { n.queue.Force(journalConnected{conn}) },
 		Failed:    func(error) { n.queue.Force(journalClosed{conn}) },
-		Lost:      func(uint64) { n.queue.Force(journalClosed{conn}) },
+		Closed:    func(uint64) { n.queue.Force(journalClosed{conn}) },
 		Read: func(b []byte) {
 			message := journalReceived{conn: conn}
 			splitter.Feed(b)
@@ -98,7 +98,7 @@
 				}
 				message.lines = append(message.lines, bytes.Clone(line))
 			}
-			n.queue.Put(admit.News, message)
+			n.queue.Put(admit.Outcome, message)
 		}})
 }
 
--- a/internal/platform/node/trace.go
+++ b/internal/platform/node/trace.go
@@ -29,18 +29,18 @@
 	}
 	ms := func(t front.Time) int64 { return t / policy.Millisecond }
 	switch e := item.(type) {
-	case front.Ask:
-		entry(e.ID, 0).Int("class", e.Class).Int64("left", ms(e.Wait)).Msg("ask")
-	case front.Adopt:
+	case front.Request:
+		entry(e.ID, 0).Int("class", e.Class).Int64("left", ms(e.Timeout)).Msg("ask")
+	case front.Restore:
 		entry(e.ID, e.Server).Msg("session restored")
 	case front.Leave:
 		entry(e.Session, 0).Msg("viewer left")
-	case front.Began:
+	case front.AttemptStarted:
 		entry(e.Session, 0).Int64("took", ms(e.Took)).Msg("began")
-	case front.Ended:
+	case front.AttemptEnded:
 		entry(e.Session, 0).Int64("took", ms(e.Took)).Int("status", int(e.Status)).Msg("ended")
 	case front.Setup:
-		entry(e.Session, e.Server).Int64("within", ms(e.Within)).Msg("set-up")
+		entry(e.Session, e.Server).Int64("within", ms(e.Timeout)).Msg("set-up")
 	case front.Abandon:
 		entry(e.Session, e.Server).Int("cause", int(e.Cause)).Msg("abandoned")
 	case front.Stop:
@@ -48,13 +48,13 @@
 	case front.Plays:
 		entry(e.Session, e.Server).Msg("plays")
 	case front.Refused:
-		entry(e.Session, 0).Int64("after", ms(e.After)).Msg("refused")
+		entry(e.Session, 0).Int64("after", ms(e.RetryAfter)).Msg("refused")
 	case front.Failed:
 		entry(e.Session, 0).Msg("failed")
 	case front.Moved:
 		entry(e.Session, 0).Msg("moved")
-	case front.Over:
-		entry(e.Session, 0).Str("why", string(e.Why)).Msg("over")
+	case front.SessionEnded:
+		entry(e.Session, 0).Str("why", string(e.Reason)).Msg("over")
 	case front.Probe:
 		entry(0, e.Server).Msg("test")
 	case front.Probed:
--- a/internal/platform/servers/address_test.go
+++ b/internal/platform/servers/address_test.go
@@ -40,16 +40,16 @@
 	r.setup(5)
 	r.p.Listed(r.now, []Server{{ID: 3, Addr: "a:1", Started: r.now}})
 	r.setup(6)
-	r.checkEnded(6, policy.Moot)
-	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Gone: true}})
+	r.checkEnded(6, policy.NotSent)
+	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true}})
 	r.take()
 	r.events = nil
-	r.do(front.Setup{Session: 7, Server: 3, Class: 1, Name: "7f3a9c21e0b4d655", Text: "who", Within: 900 * ms})
+	r.do(front.Setup{Session: 7, Server: 3, Class: 1, Name: "7f3a9c21e0b4d655", Text: "who", Timeout: 900 * ms})
 	r.checkWritten(r.connect(), wire.SetUp)
-	r.p.Listed(r.now, []Server{{ID: 3, Gone: true, Drains: true}, {ID: 4, Addr: "a:1"}}) // once more
-	r.do(front.Setup{Session: 8, Server: 4, Class: 1, Name: "7f3a9c21e0b4d655", Text: "who", Within: 900 * ms})
+	r.p.Listed(r.now, []Server{{ID: 3, Unlisted: true, Drains: true}, {ID: 4, Addr: "a:1"}}) // once more
+	r.do(front.Setup{Session: 8, Server: 4, Class: 1, Name: "7f3a9c21e0b4d655", Text: "who", Timeout: 900 * ms})
 	r.checkWritten(r.connect(), wire.SetUp)
-	r.p.Listed(r.now, []Server{{ID: 4, Gone: true, Drains: true}})
+	r.p.Listed(r.now, []Server{{ID: 4, Unlisted: true, Drains: true}})
 	if len(r.p.byAddr) != 1 { // that of server 2
 		t.Errorf("addresses held: %v, want 1", r.p.byAddr)
 	}
@@ -67,7 +67,7 @@
 	second := r.connect()
 	r.checkWritten(second, wire.SetUp)
 	r.serverSends(second, ready(5))
-	if _, ok := r.events[len(r.events)-1].(front.Began); !ok {
+	if _, ok := r.events[len(r.events)-1].(front.AttemptStarted); !ok {
 		t.Errorf("%+v", r.events)
 	}
 	ended[second] = true // the set-up is retried once; after that the end of the connection is handled as usual
@@ -87,7 +87,7 @@
 	r.setup(5)
 	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true}})
 	r.checkWritten(r.connect())
-	r.checkEnded(5, policy.Moot)
+	r.checkEnded(5, policy.NotSent)
 }
 
 // Several set-ups and a probe wait for a connection that its server ends as it opens: after the first set-up had
--- a/internal/platform/servers/connections.go
+++ b/internal/platform/servers/connections.go
@@ -10,7 +10,7 @@
 // Connections: opened on demand, replaced, and evicted when descriptors run out.
 
 // retire marks a connection so that it takes nothing new.
-func (p *Desk) retire(remote *peer, c *conn) {
+func (p *Protocol) retire(remote *peer, c *conn) {
 	c.retired = true
 	if remote.current == c {
 		remote.current = nil
@@ -19,7 +19,7 @@
 }
 
 // ensureConn opens a connection if there is anything to send or receive.
-func (p *Desk) ensureConn(remote *peer) {
+func (p *Protocol) ensureConn(remote *peer) {
 	if remote.current == nil && (len(remote.unsent) > 0 || len(remote.sessions) > 0 ||
 		len(remote.pendingReleases) > 0 ||
 		remote.probePending) {
@@ -28,7 +28,7 @@
 }
 
 // dial opens a connection, unless one is being opened. With immediate set it skips the delay after a failure.
-func (p *Desk) dial(remote *peer, immediate bool) {
+func (p *Protocol) dial(remote *peer, immediate bool) {
 	if remote.dialing != 0 || !immediate && p.now < remote.redialAt {
 		return
 	}
@@ -41,10 +41,10 @@
 		p.Stats.Crowded++
 		p.giveTurn(remote)
 		remote.redialAt = p.now + minRedialDelay
-		p.failUnsent(remote, fate.Withdrawn)
+		p.failUnsent(remote, fate.Cancelled)
 		if remote.probePending {
 			remote.probePending = false
-			p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.Moot})
+			p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.NotSent})
 		}
 		return
 	}
@@ -52,13 +52,13 @@
 	p.Stats.Dialed++
 	remote.dialing = p.Stats.Dialed
 	p.effects = append(p.effects, Effect{Server: remote.server, Conn: remote.dialing, Dial: remote.addr,
-		Within: p.cfg.Connect})
+		Timeout: p.cfg.ConnectTimeout})
 }
 
 // evictConn closes the least useful connection: one with nothing open on it and without sessions or, if the request is
 // urgent, with the fewest sessions; among equals the one silent for longest. It opens none: the descriptor is for the
 // caller. The cost: messages of the evicted server about its sessions wait for its next connection.
-func (p *Desk) evictConn(except *peer, urgent bool) bool {
+func (p *Protocol) evictConn(except *peer, urgent bool) bool {
 	var victim *conn
 	var owner *peer
 	for _, remote := range p.peers { // half-closed ones go first: at once if urgent, else after a short wait
@@ -98,7 +98,7 @@
 }
 
 // Connected handles the opening of a connection.
-func (p *Desk) Connected(now Time, server uint32, connID uint64) {
+func (p *Protocol) Connected(now Time, server uint32, connID uint64) {
 	p.now = now
 	remote := p.peers[server]
 	if remote == nil || remote.dialing != connID {
@@ -115,7 +115,7 @@
 		previous.retired = true
 	}
 	for _, id := range sorted(remote.pendingReleases) {
-		p.send(remote, c, (&wire.Message{Type: wire.Release, Session: id}).AddCause(wire.CauseGivenUp))
+		p.send(remote, c, (&wire.Message{Type: wire.Release, Session: id}).AddCause(wire.CauseEnded))
 	}
 	clear(remote.pendingReleases)
 	for _, id := range sorted(remote.sessions) {
@@ -139,13 +139,13 @@
 
 // Reasons of failed connects.
 const (
-	Unanswered Failure = iota
-	Refused            // the machine answered: no process listens there, or it accepts no more connections
-	Broke              // any other failure, also a connection that ended at once: it proves nothing
+	TimedOut     Failure = iota
+	Refused              // the machine answered: no process listens there, or it accepts no more connections
+	OtherFailure         // any other failure, also a connection that ended at once: it proves nothing
 )
 
 // DialFailed handles a failed connect.
-func (p *Desk) DialFailed(now Time, server uint32, connID uint64, why Failure) {
+func (p *Protocol) DialFailed(now Time, server uint32, connID uint64, why Failure) {
 	p.now = now
 	remote := p.peers[server]
 	p.openConns--
@@ -157,15 +157,15 @@
 	case Refused:
 		p.Stats.Refused++
 		remote.refusedDials, remote.timedOutDials = remote.refusedDials+1, 0
-	case Unanswered:
+	case TimedOut:
 		p.Stats.Unanswered++
 		remote.timedOutDials, remote.refusedDials = remote.timedOutDials+1, 0
-	case Broke:
+	case OtherFailure:
 		p.Stats.Broke++
 	}
 	remote.redialAt = now + min(minRedialDelay<<min(max(remote.refusedDials, remote.timedOutDials,
 		maxTimedOutDials)-maxTimedOutDials, 8), maxRedialDelay)
-	p.failUnsent(remote, fate.DialRefused)
+	p.failUnsent(remote, fate.DialFailed)
 	if remote.probePending {
 		remote.probePending = false
 		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect,
@@ -184,7 +184,7 @@
 }
 
 // Lost handles the end of a connection. begun is an upper bound of the bytes handed to the kernel.
-func (p *Desk) Lost(now Time, server uint32, connID uint64, begun uint64) {
+func (p *Protocol) Lost(now Time, server uint32, connID uint64, begun uint64) {
 	p.now = now
 	remote := p.peers[server]
 	if remote == nil {
@@ -200,9 +200,9 @@
 // closes its side. A full close would lose messages that the server is just sending there, and only there, about
 // established sessions; their viewers would never be notified. The cost: the descriptor is held for up to
 // halfCloseTimeout.
-func (p *Desk) closeWrite(remote *peer, c *conn) {
+func (p *Protocol) closeWrite(remote *peer, c *conn) {
 	c.writeClosedAt = p.now
-	p.effects = append(p.effects, Effect{Server: remote.server, Conn: c.id, Finish: true})
+	p.effects = append(p.effects, Effect{Server: remote.server, Conn: c.id, CloseWrite: true})
 }
 
 // eachConn iterates over the connections in order of their numbers. The loop body may close connections of the same
@@ -216,13 +216,13 @@
 }
 
 // dropConn closes a connection, ends what was open on it, and opens another if one is needed.
-func (p *Desk) dropConn(remote *peer, c *conn, begun uint64) {
+func (p *Protocol) dropConn(remote *peer, c *conn, begun uint64) {
 	p.removeConn(remote, c, begun)
 	p.ensureConn(remote)
 }
 
 // removeConn closes a connection and ends what was open on it.
-func (p *Desk) removeConn(remote *peer, c *conn, begun uint64) {
+func (p *Protocol) removeConn(remote *peer, c *conn, begun uint64) {
 	delete(remote.conns, c.id)
 	p.openConns--
 	if remote.current == c {
@@ -240,13 +240,13 @@
 			a.retried, a.conn = true, nil
 			remote.unsent = append(remote.unsent, a)
 		case begun < a.end:
-			p.end(a, fate.Of(fate.Partly, fate.Broke, 0), nil)
+			p.end(a, fate.StatusOf(fate.PartlyWritten, fate.ConnectionLost, 0), nil)
 		default:
-			p.end(a, fate.Of(fate.Written, fate.Broke, 0), nil)
+			p.end(a, fate.StatusOf(fate.Written, fate.ConnectionLost, 0), nil)
 		}
 	}
 	for _, id := range sorted(c.probes) {
-		p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.ResetConn,
+		p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.ConnReset,
 			Took: p.now - c.probes[id]})
 	}
 	clear(c.probes)
@@ -255,7 +255,7 @@
 	}
 	if len(remote.sessions) > 0 && p.addressReused(remote) { // the server at its address now does not know them
 		for _, id := range sorted(remote.sessions) {
-			p.end(remote.sessions[id], policy.ResetConn, nil)
+			p.end(remote.sessions[id], policy.ConnReset, nil)
 		}
 	}
 }
--- a/internal/platform/servers/connections_test.go
+++ b/internal/platform/servers/connections_test.go
@@ -97,20 +97,20 @@
 
 func TestRestoresSession(t *testing.T) {
 	r := newRig(t)
-	if !r.p.Adopt(r.now, front.Setup{Session: 5, Server: 1}) || r.p.Adopt(r.now, front.Setup{Session: 6, Server: 9}) {
+	if !r.p.Restore(r.now, front.Setup{Session: 5, Server: 1}) || r.p.Restore(r.now, front.Setup{Session: 6, Server: 9}) {
 		t.Fatal("want the session restored at the listed server, and refused at the unknown one")
 	}
 	r.take()
 	conn := r.connect() // its messages arrive on any connection
 	r.serverSends(conn, (&wire.Message{Type: wire.Note, Session: 5}).Add(wire.ParamNote,
-		"profile").Add(wire.ParamFigure, "3"))
+		"profile").Add(wire.ParamNoteValue, "3"))
 	if want := []front.Event{front.Note{Session: 5, Kind: policy.NoteRung, Value: 3}}; !reflect.DeepEqual(r.events,
 		want) {
 		t.Fatalf("%+v", r.events)
 	}
 	r.events = nil
 	r.serverSends(conn, release(5, 31))
-	r.checkEnded(5, policy.CancelledSt)
+	r.checkEnded(5, policy.Cancelled)
 }
 
 // With more servers than descriptors a set-up gets a connection by closing a less useful one: no set-up fails for
@@ -122,11 +122,11 @@
 		list = append(list, Server{ID: id + 1, Addr: "a:" + strconv.Itoa(int(id))})
 	}
 	r.p.Listed(r.now, list)
-	r.p.Limit(20)
+	r.p.SetMaxConns(20)
 	open, most := map[uint64]bool{}, 0
 	for id := range uint32(1200) {
 		r.do(front.Setup{Session: uint64(id) + 1, Server: id + 1, Name: "7f3a9c21e0b4d655", Text: "who",
-			Within: 900 * ms})
+			Timeout: 900 * ms})
 		conn := r.connect()
 		open[conn] = true
 		for c := range r.closed {
@@ -146,13 +146,13 @@
 		t.Errorf("%d connections at a time, %d set-ups without a connection", most, r.p.Stats.Crowded)
 	}
 	r = newRig(t) // all connections are in use: the next set-up is reported as never run
-	r.p.Limit(1)
+	r.p.SetMaxConns(1)
 	r.setup(1)
 	conn := r.connect()
-	r.do(front.Setup{Session: 2, Server: 2, Name: "7f3a9c21e0b4d655", Text: "who", Within: 900 * ms})
-	r.checkEnded(2, policy.Moot)
+	r.do(front.Setup{Session: 2, Server: 2, Name: "7f3a9c21e0b4d655", Text: "who", Timeout: 900 * ms})
+	r.checkEnded(2, policy.NotSent)
 	r.do(front.Probe{Server: 2}) // nor is a probe sent; it does not count as failed by the server
-	if p, ok := r.events[len(r.events)-1].(front.Probed); !ok || p.Server != 2 || p.Status != policy.Moot ||
+	if p, ok := r.events[len(r.events)-1].(front.Probed); !ok || p.Server != 2 || p.Status != policy.NotSent ||
 		r.p.Stats.Crowded != 2 {
 		t.Errorf("events %+v; %d times without a connection, want 2", r.events, r.p.Stats.Crowded)
 	}
@@ -160,13 +160,13 @@
 		t.Error("the connection of an open set-up was closed, or another connect was started")
 	}
 	r = newRig(t) // a half-closed connection is evicted first
-	r.p.Limit(2)
+	r.p.SetMaxConns(2)
 	old := r.startSession(5)
 	r.advance(silenceTimeout)
 	next := r.connect()
 	r.advance(50 * ms)
 	r.serverSends(old, &wire.Message{Type: wire.Trying, Session: 5}) // although data arrived there last
-	r.do(front.Setup{Session: 6, Server: 2, Name: "7f3a9c21e0b4d655", Text: "who", Within: 900 * ms})
+	r.do(front.Setup{Session: 6, Server: 2, Name: "7f3a9c21e0b4d655", Text: "who", Timeout: 900 * ms})
 	if !r.halfClosed[old] || !r.closed[old] || r.closed[next] || len(r.dials) != 1 {
 		t.Errorf("closed %v, half-closed %v, dials %v", r.closed, r.halfClosed, r.dials)
 	}
--- a/internal/platform/servers/invariants_test.go
+++ b/internal/platform/servers/invariants_test.go
@@ -14,7 +14,7 @@
 // simulation plays shell, core, server list and servers in any order of events, and checks what the Protocol does.
 type simulation struct {
 	*rapid.T
-	p           *Desk
+	p           *Protocol
 	now         Time
 	maxConns    int
 	open        int // connections counted here: being opened or not closed by the Protocol
@@ -49,9 +49,9 @@
 func newSimulation(t *rapid.T) *simulation {
 	o := &simulation{T: t, now: start, maxConns: 1 << 30, connections: map[uint64]*simulatedConn{},
 		listed: map[uint32]Server{}, requests: map[uint64]*simulatedAttempt{}, clientGone: map[uint64]bool{}}
-	o.p = New(Config{Classes: []string{"safe", "paid"}, Fields: []string{"x0"}, Connect: 250 * ms, ProbeWait: 250 * ms,
-		Waits: func(session uint64) bool { return !o.clientGone[session] },
-		Ended: func(conn uint64) bool { k := o.connections[conn]; return k == nil || k.ended || k.lost }})
+	o.p = New(Config{Classes: []string{"safe", "paid"}, Fields: []string{"x0"}, ConnectTimeout: 250 * ms, ProbeTimeout: 250 * ms,
+		ClientWaiting: func(session uint64) bool { return !o.clientGone[session] },
+		Ended:         func(conn uint64) bool { k := o.connections[conn]; return k == nil || k.ended || k.lost }})
 	for id := range uint32(4) {
 		o.list(Server{ID: id + 1, Addr: fmt.Sprint("a:", id)})
 	}
@@ -78,7 +78,7 @@
 			}
 		case a.Close:
 			c.closed = true
-		case a.Finish:
+		case a.CloseWrite:
 			c.writeClosed = true
 		case c.closed || c.writeClosed || c.lost:
 			o.Fatalf("write to closed connection %d: %+v", a.Conn, *c)
@@ -89,13 +89,13 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case front.Began:
+		case front.AttemptStarted:
 			sim := o.requests[e.Session]
 			if sim == nil || !sim.pending || sim.established || sim.setup.Attempt != e.Attempt || sim.sent == 0 {
 				o.Fatalf("%+v of %+v", e, sim)
 			}
 			sim.established = true
-		case front.Ended:
+		case front.AttemptEnded:
 			sim := o.requests[e.Session]
 			if sim == nil || !sim.pending || sim.setup.Attempt != e.Attempt {
 				o.Fatalf("%+v of %+v", e, sim)
@@ -125,12 +125,12 @@
 		return
 	}
 	sim, s := o.requests[m.Session], o.listed[a.Server]
-	if sim == nil || !sim.pending || sim.setup.Server != a.Server || s.Drains || s.Gone || o.clientGone[m.Session] ||
+	if sim == nil || !sim.pending || sim.setup.Server != a.Server || s.Drains || s.Unlisted || o.clientGone[m.Session] ||
 		o.connections[a.Conn].server != a.Server {
 		o.Fatalf("set-up of %+v sent to %+v; client has left: %v", sim, s, o.clientGone[m.Session])
 	}
 	for id, other := range o.listed {
-		if id != a.Server && other.Addr == s.Addr && !other.Gone && o.p.byAddr[s.Addr] == id {
+		if id != a.Server && other.Addr == s.Addr && !other.Unlisted && o.p.byAddr[s.Addr] == id {
 			o.Fatalf("set-up for server %d sent to the address of server %d", a.Server, id)
 		}
 	}
@@ -151,9 +151,9 @@
 
 func (o *simulation) setup(id uint64, attempt int) {
 	sim := &simulatedAttempt{setup: front.Setup{Session: id, Attempt: attempt, Server: o.server(), Class: 1,
-		Name: "7f3a9c21e0b4d655", Text: "who", Within: 900 * ms}, pending: true}
+		Name: "7f3a9c21e0b4d655", Text: "who", Timeout: 900 * ms}, pending: true}
 	o.requests[id] = sim
-	o.p.Do(o.now, sim.setup)
+	o.p.Apply(o.now, sim.setup)
 }
 
 // step plays one random event.
@@ -183,20 +183,20 @@
 	case n == 7 && haveSession && sim.pending && !sim.established:
 		cause := fate.Expired
 		if rapid.Bool().Draw(o.T, "left") {
-			cause, o.clientGone[session] = fate.Withdrawn, true
+			cause, o.clientGone[session] = fate.Cancelled, true
 		}
-		o.p.Do(o.now, front.Abandon{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server,
+		o.p.Apply(o.now, front.Abandon{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server,
 			Cause: cause})
 	case n == 8 && haveSession && sim.established && sim.pending:
 		sim.pending = false // a Stop gets no Ended event
-		o.p.Do(o.now, front.Stop{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server,
+		o.p.Apply(o.now, front.Stop{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server,
 			Moved: rapid.Bool().Draw(o.T, "moved")})
 	case n == 9 && haveSession:
-		o.p.Do(o.now, front.SetRung{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server, Rung: 1})
+		o.p.Apply(o.now, front.SetRung{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server, Rung: 1})
 	case n == 10:
-		o.p.Do(o.now, front.Probe{Server: o.server()})
+		o.p.Apply(o.now, front.Probe{Server: o.server()})
 	case n == 11:
-		o.p.Do(o.now, front.Withdraw{Server: o.server()})
+		o.p.Apply(o.now, front.Withdraw{Server: o.server()})
 	case n == 12:
 		id := o.server()
 		s, ok := o.listed[id]
@@ -207,9 +207,9 @@
 		case 0:
 			s.Drains = true
 		case 1:
-			s.Drains, s.Gone = true, true
+			s.Drains, s.Unlisted = true, true
 		case 2:
-			s.Drains, s.Gone = false, false
+			s.Drains, s.Unlisted = false, false
 		case 3:
 			s.Started = o.now
 		case 4:
@@ -218,7 +218,7 @@
 		o.list(s)
 	case n == 13:
 		o.maxConns = rapid.IntRange(1, 8).Draw(o.T, "most")
-		o.p.Limit(o.maxConns)
+		o.p.SetMaxConns(o.maxConns)
 	case n == 14 && haveSession && sim.pending && !sim.established:
 		o.clientGone[session] = true
 	case n == 15 && haveConn && !c.lost:
--- a/internal/platform/servers/limits_test.go
+++ b/internal/platform/servers/limits_test.go
@@ -18,7 +18,7 @@
 	if !r.halfClosed[ending] || r.halfClosed[old] || r.closed[ending] || r.closed[old] || r.p.openConns != 3 {
 		t.Fatalf("half-closed %v, closed %v, %d open, want 3", r.halfClosed, r.closed, r.p.openConns)
 	}
-	r.p.Limit(1)
+	r.p.SetMaxConns(1)
 	b, err := release(9, 16).Append(nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/servers/liveness.go
+++ b/internal/platform/servers/liveness.go
@@ -8,12 +8,12 @@
 // sessions.
 
 // Listed applies new and changed entries of the server list.
-func (p *Desk) Listed(now Time, list []Server) {
+func (p *Protocol) Listed(now Time, list []Server) {
 	p.now = now
 	for _, s := range list {
 		remote := p.peers[s.ID]
 		if remote == nil {
-			if s.Gone {
+			if s.Unlisted {
 				continue
 			}
 			remote = &peer{server: s.ID, addr: s.Addr, started: s.Started,
@@ -23,15 +23,15 @@
 			p.peerIDs = nil
 			p.byAddr[s.Addr] = s.ID
 		}
-		remote.draining, remote.removed = s.Drains, s.Gone
-		if s.Gone && p.byAddr[remote.addr] == s.ID {
+		remote.draining, remote.removed = s.Drains, s.Unlisted
+		if s.Unlisted && p.byAddr[remote.addr] == s.ID {
 			delete(p.byAddr, remote.addr)
 		}
 		if s.Started > remote.started { // the process restarted: sessions of the old process have ended
 			remote.started = s.Started
 			for _, id := range sorted(remote.sessions) {
 				if a := remote.sessions[id]; a.startedAt < s.Started {
-					p.end(a, policy.ResetConn, nil)
+					p.end(a, policy.ConnReset, nil)
 				}
 			}
 			for c := range remote.eachConn {
@@ -46,7 +46,7 @@
 				delete(p.byAddr, remote.addr)
 			}
 			remote.addr = s.Addr
-			if !s.Gone {
+			if !s.Unlisted {
 				p.byAddr[remote.addr] = s.ID
 			}
 			for c := range remote.eachConn {
@@ -62,7 +62,7 @@
 }
 
 // isSilent reports whether nothing was read from a server for checkTimeout.
-func (p *Desk) isSilent(remote *peer) bool {
+func (p *Protocol) isSilent(remote *peer) bool {
 	for _, c := range remote.conns {
 		if p.now-c.lastReadAt < checkTimeout {
 			return false
@@ -72,7 +72,7 @@
 }
 
 // addressReused reports whether a server removed from the list has lost its address to another one.
-func (p *Desk) addressReused(remote *peer) bool {
+func (p *Protocol) addressReused(remote *peer) bool {
 	if !remote.removed {
 		return false
 	}
@@ -86,16 +86,16 @@
 
 // displaced reports whether a server that is still listed has lost its address to one listed later: its removal is not
 // received yet, and the other one answers at the address.
-func (p *Desk) displaced(remote *peer) bool {
+func (p *Protocol) displaced(remote *peer) bool {
 	id, ok := p.byAddr[remote.addr]
 	return ok && id != remote.server
 }
 
 // endSessions ends the sessions of a server whose process or machine is considered down. In case the server still plays
 // them, for no viewer, their release is sent as soon as a connection opens.
-func (p *Desk) endSessions(remote *peer) {
+func (p *Protocol) endSessions(remote *peer) {
 	for _, id := range sorted(remote.sessions) {
-		p.end(remote.sessions[id], policy.ResetConn, nil)
+		p.end(remote.sessions[id], policy.ConnReset, nil)
 		if len(remote.pendingReleases) < maxPendingReleases {
 			remote.pendingReleases[id] = p.now + pendingReleaseTTL
 		}
--- a/internal/platform/servers/liveness_test.go
+++ b/internal/platform/servers/liveness_test.go
@@ -18,7 +18,7 @@
 	}
 	r.advance(minRedialDelay + 50*ms)
 	r.failDial(Refused)
-	r.checkEnded(5, policy.ResetConn)
+	r.checkEnded(5, policy.ConnReset)
 	r.advance(policy.Second)
 	r.checkWritten(r.connect(), wire.Release) // in case the server was only at its connection limit
 	r.checkEmpty()
@@ -27,7 +27,7 @@
 	conn = r.startSession(5)
 	r.loseConn(conn, r.bytes[conn])
 	for range 6 {
-		r.failDial(Broke)
+		r.failDial(OtherFailure)
 		r.advance(minRedialDelay + 50*ms)
 	}
 	if len(r.events) != 0 {
@@ -54,10 +54,10 @@
 		r.advance(25 * ms)
 		if len(r.dials) > 0 {
 			r.now += 250 * ms
-			r.failDial(Unanswered)
+			r.failDial(TimedOut)
 		}
 	}
-	r.checkEnded(5, policy.ResetConn)
+	r.checkEnded(5, policy.ConnReset)
 	if !r.closed[conn] || r.now-began > 7*policy.Second { // its viewer is to be notified within 8 s
 		t.Error("connection not closed, or the end detected too late: after", (r.now-began)/ms, "ms")
 	}
@@ -67,7 +67,7 @@
 // The end of a process does not always show on its open connections. Its sessions have ended nevertheless, and their
 // viewers must be notified within 8 s.
 func TestDetectsProcessEndWithoutReset(t *testing.T) {
-	gone := []Server{{ID: 1, Addr: "a:1", Drains: true, Gone: true}}
+	gone := []Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true}}
 	for name, c := range map[string]struct {
 		listed []Server
 		at     Time // when the list reports the removal
@@ -76,9 +76,9 @@
 		"removed from the list first": {gone, 100 * ms, Refused},
 		"refusing connects first":     {gone, 3500 * ms, Refused},
 		"never removed from the list": {nil, 0, Refused},
-		"address reused by another": {[]Server{{ID: 1, Addr: "a:1", Drains: true, Gone: true},
+		"address reused by another": {[]Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true},
 			{ID: 3, Addr: "a:1", Started: start}},
-			100 * ms, Broke},
+			100 * ms, OtherFailure},
 	} {
 		r := newRig(t)
 		conn := r.startSession(5)
@@ -94,7 +94,7 @@
 				r.failDial(c.dials)
 			}
 		}
-		r.checkEnded(5, policy.ResetConn)
+		r.checkEnded(5, policy.ConnReset)
 		if r.now-began > 7*policy.Second || !r.closed[conn] {
 			t.Errorf("%s: detected after %d ms, want at most 7000 ms; connection closed: %v", name, (r.now-began)/ms,
 				r.closed[conn])
@@ -105,12 +105,12 @@
 func TestEndsSessionsWhenAddressIsReused(t *testing.T) {
 	r := newRig(t)
 	conn := r.startSession(5)
-	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Gone: true}, {ID: 3, Addr: "a:1"}})
+	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true}, {ID: 3, Addr: "a:1"}})
 	if len(r.events) != 0 {
 		t.Error("session ended before its connection:", r.events)
 	}
 	r.loseConn(conn, r.bytes[conn])
-	r.checkEnded(5, policy.ResetConn)
+	r.checkEnded(5, policy.ConnReset)
 	r.advance(policy.Second)
 	if _, peers, _ := r.p.Counts(); peers != 2 || len(r.dials) != 0 {
 		t.Error("the old server is still held or dialled:", peers, r.dials)
@@ -120,13 +120,13 @@
 	r.now += policy.Second
 	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Started: r.now - ms}})
 	r.take()
-	r.checkEnded(5, policy.ResetConn)
+	r.checkEnded(5, policy.ConnReset)
 }
 
 func TestForgetsRemovedServer(t *testing.T) {
 	r := newRig(t)
 	conn := r.startSession(5)
-	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Gone: true}})
+	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true}})
 	r.advance(500 * ms)
 	if _, peers, _ := r.p.Counts(); peers != 2 {
 		t.Fatal("server forgotten while a session is established")
--- a/internal/platform/servers/probes.go
+++ b/internal/platform/servers/probes.go
@@ -9,7 +9,7 @@
 // Probes of servers, each answered in time or failed.
 
 // probe sends a probe to a server, now or on its next connection.
-func (p *Desk) probe(server uint32) {
+func (p *Protocol) probe(server uint32) {
 	remote := p.peers[server]
 	if remote == nil {
 		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect})
@@ -24,7 +24,7 @@
 }
 
 // sendProbe sends a probe on the current connection.
-func (p *Desk) sendProbe(remote *peer) {
+func (p *Protocol) sendProbe(remote *peer) {
 	p.Stats.Tests++
 	remote.current.probes[p.Stats.Tests] = p.now
 	p.send(remote, remote.current, (&wire.Message{Type: wire.Test, Session: p.Stats.Tests}).AddCause(wire.CauseReport))
--- a/internal/platform/servers/receive.go
+++ b/internal/platform/servers/receive.go
@@ -11,7 +11,7 @@
 // Messages received from servers.
 
 // Received handles bytes read from a connection.
-func (p *Desk) Received(now Time, server uint32, connID uint64, b []byte) {
+func (p *Protocol) Received(now Time, server uint32, connID uint64, b []byte) {
 	p.now = now
 	remote := p.peers[server]
 	if remote == nil {
@@ -51,7 +51,7 @@
 func (e protocolError) Error() string { return string(e) }
 
 // handle handles a message. After an error the connection is unusable.
-func (p *Desk) handle(remote *peer, c *conn, m *wire.Message) error {
+func (p *Protocol) handle(remote *peer, c *conn, m *wire.Message) error {
 	switch m.Type {
 	case wire.Ready:
 		return p.handleReady(remote, c, m)
@@ -79,7 +79,7 @@
 }
 
 // report returns the load report that a message carries, or nil.
-func (p *Desk) report(m *wire.Message) []float64 {
+func (p *Protocol) report(m *wire.Message) []float64 {
 	v, _ := m.Get(wire.ParamReport)
 	report := wire.ParseReport(string(v), p.cfg.Fields)
 	if report != nil {
@@ -89,7 +89,7 @@
 }
 
 // handleReady handles the answer to a set-up.
-func (p *Desk) handleReady(remote *peer, c *conn, m *wire.Message) error {
+func (p *Protocol) handleReady(remote *peer, c *conn, m *wire.Message) error {
 	a := p.attempts[m.Session]
 	if a == nil || a.conn != c || a.playing {
 		if _, late := remote.abandoned[m.Session]; late && a == nil { // the answer crossed the release
@@ -113,7 +113,7 @@
 	a.playing = true
 	remote.sessions[m.Session] = a
 	a.setup.Text = ""
-	p.events = append(p.events, front.Began{Session: m.Session, Attempt: a.setup.Attempt, Took: p.now - a.startedAt,
+	p.events = append(p.events, front.AttemptStarted{Session: m.Session, Attempt: a.setup.Attempt, Took: p.now - a.startedAt,
 		Report: p.report(m), Text: string(text)})
 	return nil
 }
@@ -129,7 +129,7 @@
 }
 
 // handleRelease handles a refusal or the end of a session.
-func (p *Desk) handleRelease(remote *peer, c *conn, m *wire.Message) {
+func (p *Protocol) handleRelease(remote *peer, c *conn, m *wire.Message) {
 	delete(remote.moving, m.Session)
 	delete(remote.pendingReleases, m.Session)
 	cause, _ := m.Cause()
@@ -145,19 +145,19 @@
 			p.send(remote, target, &wire.Message{Type: wire.Released, Session: m.Session})
 		}
 	}
-	status := policy.ResetConn
+	status := policy.ConnReset
 	switch {
-	case a.playing && cause == wire.CauseGivenUp:
+	case a.playing && cause == wire.CauseEnded:
 		status = policy.OK
 	case a.playing && cause == wire.CauseCancelled:
-		status = policy.CancelledSt
+		status = policy.Cancelled
 	case a.playing:
 	case cause == wire.CauseFull:
 		status = policy.Full
 	case cause == wire.CauseError:
 		status = policy.Errored
-	case cause == wire.CauseMoot:
-		status = policy.Moot
+	case cause == wire.CauseNotRun:
+		status = policy.NotSent
 	}
 	p.end(a, status, p.report(m))
 }
@@ -167,13 +167,13 @@
 	"nic": policy.NoteLink, "tor": policy.NoteUplink}
 
 // handleNote passes a note on an established session to the core.
-func (p *Desk) handleNote(remote *peer, m *wire.Message) {
+func (p *Protocol) handleNote(remote *peer, m *wire.Message) {
 	a := p.attempts[m.Session]
 	if a == nil || !a.playing || a.setup.Server != remote.server {
 		return
 	}
 	name, _ := m.Get(wire.ParamNote)
-	valueText, _ := m.Get(wire.ParamFigure)
+	valueText, _ := m.Get(wire.ParamNoteValue)
 	kind, ok := noteKinds[string(name)]
 	value, valueOK := wire.ParseNumber(string(valueText))
 	if ok && valueOK {
--- a/internal/platform/servers/reconnect_test.go
+++ b/internal/platform/servers/reconnect_test.go
@@ -50,7 +50,7 @@
 func (x *network) settle() {
 	x.take()
 	for _, e := range x.events {
-		if e, ok := e.(front.Ended); ok {
+		if e, ok := e.(front.AttemptEnded); ok {
 			x.endCount[e.Session]++
 			x.endedAt[e.Session] = x.now
 		}
@@ -127,7 +127,7 @@
 // endSession ends a session at the server: the release is sent on the connection of its set-up, else on another, else
 // on the next.
 func (x *network) endSession(session uint64, of int) {
-	m := release(session, wire.CauseGivenUp)
+	m := release(session, wire.CauseEnded)
 	if of < len(x.conns) && x.conns[of].open {
 		x.transmit(x.conns[of], m)
 		return
--- a/internal/platform/servers/rotation.go
+++ b/internal/platform/servers/rotation.go
@@ -14,7 +14,7 @@
 // front and no connection for maxDisconnectedTime. Otherwise the end of those sessions would never be received, and
 // their viewers would keep them for ever. The cost: one connection each time, and messages of servers without a
 // connection arrive up to some seconds late.
-func (p *Desk) giveTurn(target *peer) {
+func (p *Protocol) giveTurn(target *peer) {
 	if len(target.sessions) == 0 || len(target.conns) > 0 || p.now-target.lastConnectedAt < maxDisconnectedTime {
 		return
 	}
--- a/internal/platform/servers/rotation_test.go
+++ b/internal/platform/servers/rotation_test.go
@@ -19,9 +19,9 @@
 		}
 		r.p.Listed(r.now, list)
 		const maxConns = 4
-		r.p.Limit(maxConns)
+		r.p.SetMaxConns(maxConns)
 		for id := range servers {
-			r.p.Adopt(r.now, front.Setup{Session: 100 + uint64(id), Server: id + 1})
+			r.p.Restore(r.now, front.Setup{Session: 100 + uint64(id), Server: id + 1})
 		}
 		open := map[uint64]uint32{} // open connections, with their servers
 		began, reportedAt, ended := r.now, map[uint64]Time{}, map[uint32]bool{}
@@ -54,7 +54,7 @@
 				t.Fatalf("%d servers: %d connections, limit %d", servers, len(open), maxConns)
 			}
 			for _, e := range r.events {
-				if e, ok := e.(front.Ended); ok {
+				if e, ok := e.(front.AttemptEnded); ok {
 					reportedAt[e.Session] = r.now - began
 				}
 			}
--- a/internal/platform/servers/servers.go
+++ b/internal/platform/servers/servers.go
@@ -24,13 +24,13 @@
 
 // Config holds the parameters of a Protocol.
 type Config struct {
-	Classes   []string // class names, by the module's class numbers
-	Fields    []string // names of the values in a report, in the module's order
-	Connect   Time     // time limit for opening a connection
-	ProbeWait Time     // a probe unanswered for this long has failed
+	Classes        []string // class names, by the module's class numbers
+	Fields         []string // names of the values in a report, in the module's order
+	ConnectTimeout Time     // time limit for opening a connection
+	ProbeTimeout   Time     // a probe unanswered for this long has failed
 
-	Waits func(session uint64) bool // whether the client of a request is still connected; nil: it always is
-	Ended func(conn uint64) bool    // whether the server has ended a connection, read or not; nil: it never has
+	ClientWaiting func(session uint64) bool // whether the client of a request is still connected; nil: it always is
+	Ended         func(conn uint64) bool    // whether the server has ended a connection, read or not; nil: it never has
 }
 
 // Timeouts and limits of the protocol. They only decide when a connection is no longer usable and when the requests and
@@ -52,26 +52,26 @@
 
 // Effect is an operation that the shell carries out on a connection: dial, write, close its writing side or close it.
 type Effect struct {
-	Server uint32
-	Conn   uint64
-	Dial   string // address to connect to; empty: no dial
-	Within Time   // time limit of a dial
-	Finish bool   // close the writing side; incoming data is still read
-	Close  bool
-	Bytes  []byte
+	Server     uint32
+	Conn       uint64
+	Dial       string // address to connect to; empty: no dial
+	Timeout    Time   // time limit of a dial
+	CloseWrite bool   // close the writing side; incoming data is still read
+	Close      bool
+	Bytes      []byte
 }
 
 // Server is an entry of the server list.
 type Server struct {
-	ID      uint32
-	Addr    string
-	Started Time
-	Drains  bool // it takes nothing new
-	Gone    bool // it was removed from the list
+	ID       uint32
+	Addr     string
+	Started  Time
+	Drains   bool // it takes nothing new
+	Unlisted bool // it was removed from the list
 }
 
 // Protocol holds the protocol state of all servers.
-type Desk struct {
+type Protocol struct {
 	cfg       Config
 	now       Time
 	peers     map[uint32]*peer
@@ -146,27 +146,27 @@
 }
 
 // New returns a Protocol without servers.
-func New(cfg Config) *Desk {
-	return &Desk{cfg: cfg, peers: map[uint32]*peer{}, byAddr: map[string]uint32{}, attempts: map[uint64]*attempt{},
+func New(cfg Config) *Protocol {
+	return &Protocol{cfg: cfg, peers: map[uint32]*peer{}, byAddr: map[string]uint32{}, attempts: map[uint64]*attempt{},
 		maxConns: math.MaxInt}
 }
 
 // Take returns the effects and events since the last call. The shell carries out the effects in order, before it hands
 // on the events: the server must be sent the release of an abandoned set-up before the next set-up is sent.
-func (p *Desk) Take() ([]Effect, []front.Event) {
+func (p *Protocol) Take() ([]Effect, []front.Event) {
 	effects, events := p.effects, p.events
 	p.effects, p.events = nil, nil
 	return effects, events
 }
 
 // SetMaxConns sets how many connections may be open or being opened at a time.
-func (p *Desk) Limit(conns int) { p.maxConns = conns }
+func (p *Protocol) SetMaxConns(conns int) { p.maxConns = conns }
 
 // MaxConns returns the limit set by SetMaxConns.
-func (p *Desk) Limits() int { return p.maxConns }
+func (p *Protocol) MaxConns() int { return p.maxConns }
 
 // Apply carries out an effect of the core. Effects that do not concern servers are ignored.
-func (p *Desk) Do(now Time, effect front.Effect) {
+func (p *Protocol) Apply(now Time, effect front.Effect) {
 	p.now = now
 	switch e := effect.(type) {
 	case front.Setup:
@@ -175,7 +175,7 @@
 		p.abandon(e)
 	case front.Withdraw:
 		if remote := p.peers[e.Server]; remote != nil {
-			p.failUnsent(remote, fate.Withdrawn)
+			p.failUnsent(remote, fate.Cancelled)
 		}
 	case front.Stop:
 		p.stop(e)
@@ -187,7 +187,7 @@
 }
 
 // send writes a message. It returns false if the message can't be encoded, which no message built here should cause.
-func (p *Desk) send(remote *peer, c *conn, m *wire.Message) bool {
+func (p *Protocol) send(remote *peer, c *conn, m *wire.Message) bool {
 	b, err := m.Append(nil)
 	if err != nil {
 		return false
@@ -198,7 +198,7 @@
 }
 
 // Counts returns the numbers of attempts (sessions included), servers and connections held.
-func (p *Desk) Counts() (attempts, peers, conns int) {
+func (p *Protocol) Counts() (attempts, peers, conns int) {
 	for _, remote := range p.peers {
 		conns += len(remote.conns)
 	}
--- a/internal/platform/servers/servers_test.go
+++ b/internal/platform/servers/servers_test.go
@@ -17,7 +17,7 @@
 // rig plays the shell and servers 1 and 2.
 type rig struct {
 	t          *testing.T
-	p          *Desk
+	p          *Protocol
 	now        Time
 	dials      []Effect
 	written    map[uint64][]*wire.Message // by connection
@@ -30,8 +30,8 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, now: start, written: map[uint64][]*wire.Message{}, bytes: map[uint64]uint64{},
 		closed: map[uint64]bool{}, halfClosed: map[uint64]bool{},
-		p: New(Config{Classes: []string{"safe", "paid"}, Fields: []string{"x0", "x1"}, Connect: 250 * ms,
-			ProbeWait: 250 * ms})}
+		p: New(Config{Classes: []string{"safe", "paid"}, Fields: []string{"x0", "x1"}, ConnectTimeout: 250 * ms,
+			ProbeTimeout: 250 * ms})}
 	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1"}, {ID: 2, Addr: "a:2"}})
 	return r
 }
@@ -42,7 +42,7 @@
 		switch {
 		case a.Dial != "":
 			r.dials = append(r.dials, a)
-		case a.Finish:
+		case a.CloseWrite:
 			r.halfClosed[a.Conn] = true
 		case a.Close:
 			r.closed[a.Conn] = true
@@ -63,11 +63,11 @@
 	r.events = append(r.events, events...)
 }
 
-func (r *rig) do(e front.Effect) { r.p.Do(r.now, e); r.take() }
+func (r *rig) do(e front.Effect) { r.p.Apply(r.now, e); r.take() }
 
 func (r *rig) setup(session uint64) {
 	r.do(front.Setup{Session: session, Server: 1, Class: 1, Rung: 2, Name: "7f3a9c21e0b4d655", Text: "who",
-		Within: 900 * ms})
+		Timeout: 900 * ms})
 }
 
 // connect lets the most recent connect succeed and returns its connection.
@@ -127,7 +127,7 @@
 	r.t.Helper()
 	var got []policy.Status
 	for _, n := range r.events {
-		if e, ok := n.(front.Ended); ok && e.Session == session {
+		if e, ok := n.(front.AttemptEnded); ok && e.Session == session {
 			got = append(got, e.Status)
 		}
 	}
--- a/internal/platform/servers/sessions.go
+++ b/internal/platform/servers/sessions.go
@@ -11,13 +11,13 @@
 // connection.
 
 // release ends a session at its server, now or on the next connection.
-func (p *Desk) release(remote *peer, session uint64) {
+func (p *Protocol) release(remote *peer, session uint64) {
 	if remote == nil {
 		return
 	}
 	if remote.current != nil {
 		p.send(remote, remote.current, (&wire.Message{Type: wire.Release,
-			Session: session}).AddCause(wire.CauseGivenUp))
+			Session: session}).AddCause(wire.CauseEnded))
 		return
 	}
 	if len(remote.pendingReleases) < maxPendingReleases {
@@ -27,7 +27,7 @@
 }
 
 // stop ends a session that the core has ended or moved.
-func (p *Desk) stop(e front.Stop) {
+func (p *Protocol) stop(e front.Stop) {
 	a := p.attempts[e.Session]
 	if a == nil || a.setup.Attempt != e.Attempt {
 		return
@@ -42,7 +42,7 @@
 }
 
 // setRung sends a session's new rung, now or on the next connection.
-func (p *Desk) setRung(e front.SetRung) {
+func (p *Protocol) setRung(e front.SetRung) {
 	a := p.attempts[e.Session]
 	if a == nil || !a.playing || a.setup.Attempt != e.Attempt {
 		return
@@ -54,14 +54,14 @@
 }
 
 // sendRung sends the rung of a session on the current connection.
-func (p *Desk) sendRung(remote *peer, a *attempt) {
+func (p *Protocol) sendRung(remote *peer, a *attempt) {
 	a.rungPending = false
 	p.send(remote, remote.current, (&wire.Message{Type: wire.Level, Session: a.setup.Session}).Add(wire.ParamRung,
 		strconv.Itoa(a.setup.Rung)))
 }
 
 // Restore takes over a session that already plays at a server.
-func (p *Desk) Adopt(now Time, e front.Setup) bool {
+func (p *Protocol) Restore(now Time, e front.Setup) bool {
 	p.now = now
 	remote := p.peers[e.Server]
 	if remote == nil || p.attempts[e.Session] != nil {
--- a/internal/platform/servers/setups.go
+++ b/internal/platform/servers/setups.go
@@ -13,7 +13,7 @@
 // Set-ups: written, waiting for a connection, abandoned. Those that were provably never sent get a status of their own.
 
 // setup starts an attempt: it is sent now, or waits for a connection.
-func (p *Desk) setup(e front.Setup) {
+func (p *Protocol) setup(e front.Setup) {
 	a := &attempt{setup: e, startedAt: p.now}
 	remote := p.peers[e.Server]
 	if remote == nil {
@@ -31,20 +31,20 @@
 
 // sendSetup sends a set-up on the current connection. The conditions that forbid it are checked here, just before the
 // write: they may have changed since the server was chosen.
-func (p *Desk) sendSetup(remote *peer, a *attempt) {
+func (p *Protocol) sendSetup(remote *peer, a *attempt) {
 	e := &a.setup
 	switch {
 	case remote.draining || remote.removed || p.displaced(remote):
 		// Sent after the drain grace, it would be new work for a server that is leaving, or reach another server at its
 		// address.
-		p.end(a, fate.Of(fate.Unsent, fate.Withdrawn, 0), nil)
+		p.end(a, fate.StatusOf(fate.Unsent, fate.Cancelled, 0), nil)
 		return
-	case p.cfg.Waits != nil && !p.cfg.Waits(e.Session):
+	case p.cfg.ClientWaiting != nil && !p.cfg.ClientWaiting(e.Session):
 		// The client has left, but that event is still queued or unread at the owner: the server would play for no
 		// viewer, which the operators count. The core gets the client's leave before the end of the attempt.
 		p.Stats.Left++
 		p.events = append(p.events, front.Leave{Session: e.Session})
-		p.end(a, fate.Of(fate.Unsent, fate.Withdrawn, 0), nil)
+		p.end(a, fate.StatusOf(fate.Unsent, fate.Cancelled, 0), nil)
 		return
 	case remote.current == nil: // an earlier unsent set-up found that the connection has ended
 		remote.unsent = append(remote.unsent, a)
@@ -63,12 +63,12 @@
 	if e.Class >= 0 && e.Class < len(p.cfg.Classes) {
 		m.Add(wire.ParamClass, p.cfg.Classes[e.Class])
 	}
-	within := max((e.Within-(p.now-a.startedAt))/policy.Millisecond, 1)
+	within := max((e.Timeout-(p.now-a.startedAt))/policy.Millisecond, 1)
 	m.Add(wire.ParamTimeout, strconv.FormatInt(within, 10)).Add(wire.ParamTitle, e.Name).
 		Add(wire.ParamRung, strconv.Itoa(e.Rung)).Add(wire.ParamText, e.Text)
 	c := remote.current
 	if !p.send(remote, c, m) {
-		p.end(a, policy.Moot, nil)
+		p.end(a, policy.NotSent, nil)
 		return
 	}
 	a.conn, a.end = c, c.sentBytes
@@ -76,17 +76,17 @@
 }
 
 // end reports the end of an attempt, once, and forgets it.
-func (p *Desk) end(a *attempt, status policy.Status, report []float64) {
+func (p *Protocol) end(a *attempt, status policy.Status, report []float64) {
 	if a.ended {
 		return
 	}
 	p.forget(a)
-	p.events = append(p.events, front.Ended{Session: a.setup.Session, Attempt: a.setup.Attempt, Status: status,
+	p.events = append(p.events, front.AttemptEnded{Session: a.setup.Session, Attempt: a.setup.Attempt, Status: status,
 		Took: p.now - a.startedAt, Report: report})
 }
 
 // forget removes an attempt from all state.
-func (p *Desk) forget(a *attempt) {
+func (p *Protocol) forget(a *attempt) {
 	a.ended = true
 	id := a.setup.Session
 	if p.attempts[id] == a {
@@ -104,21 +104,21 @@
 }
 
 // abandon ends an attempt that the core no longer waits for, and releases it at its server.
-func (p *Desk) abandon(e front.Abandon) {
+func (p *Protocol) abandon(e front.Abandon) {
 	a := p.attempts[e.Session]
 	if a == nil || a.setup.Attempt != e.Attempt {
 		return
 	}
 	remote := p.peers[a.setup.Server]
 	if a.conn == nil {
-		p.end(a, fate.Of(fate.Unsent, e.Cause, 0), nil)
+		p.end(a, fate.StatusOf(fate.Unsent, e.Cause, 0), nil)
 		return
 	}
 	c := a.conn
 	if a.playing {
 		p.release(remote, e.Session)
 	} else {
-		p.send(remote, c, (&wire.Message{Type: wire.Release, Session: e.Session}).AddCause(wire.CauseGivenUp))
+		p.send(remote, c, (&wire.Message{Type: wire.Release, Session: e.Session}).AddCause(wire.CauseEnded))
 		remote.abandoned[e.Session] = p.now + abandonedTTL
 		// If an answer never comes, the connection itself may be dead, and every set-up written there would time out
 		// too. The cost: a server that is only slow gets one connection more.
@@ -126,14 +126,14 @@
 			p.retire(remote, c)
 		}
 	}
-	p.end(a, fate.Of(fate.Written, e.Cause, 0), nil)
+	p.end(a, fate.StatusOf(fate.Written, e.Cause, 0), nil)
 }
 
 // failUnsent ends the set-ups that were not sent.
-func (p *Desk) failUnsent(remote *peer, cause fate.Cause) {
+func (p *Protocol) failUnsent(remote *peer, cause fate.Cause) {
 	waiting := remote.unsent
 	remote.unsent = nil
 	for _, a := range waiting {
-		p.end(a, fate.Of(fate.Unsent, cause, 0), nil)
+		p.end(a, fate.StatusOf(fate.Unsent, cause, 0), nil)
 	}
 }
--- a/internal/platform/servers/setups_test.go
+++ b/internal/platform/servers/setups_test.go
@@ -13,7 +13,7 @@
 func TestSessionLifecycle(t *testing.T) {
 	r := newRig(t)
 	r.setup(5)
-	if a := r.dials[0]; a.Dial != "a:1" || a.Within != 250*ms {
+	if a := r.dials[0]; a.Dial != "a:1" || a.Timeout != 250*ms {
 		t.Fatalf("%+v", a)
 	}
 	r.now += 100 * ms
@@ -28,21 +28,21 @@
 	r.now += 30 * ms
 	// Provisional; of an unknown session; of this session; a duplicate.
 	r.serverSends(conn, &wire.Message{Type: wire.Trying, Session: 5}, ready(99), ready(5), ready(5))
-	if want := []front.Event{front.Began{Session: 5, Took: 130 * ms, Text: "mine"}}; !reflect.DeepEqual(r.events,
+	if want := []front.Event{front.AttemptStarted{Session: 5, Took: 130 * ms, Text: "mine"}}; !reflect.DeepEqual(r.events,
 		want) {
 		t.Fatalf("%+v", r.events)
 	}
 	r.events = nil
 	r.do(front.SetRung{Session: 5, Server: 1, Rung: 1})
 	r.serverSends(conn, (&wire.Message{Type: wire.Note, Session: 5}).Add(wire.ParamNote,
-		"quality").Add(wire.ParamFigure, "0.5"))
+		"quality").Add(wire.ParamNoteValue, "0.5"))
 	if want := []front.Event{front.Note{Session: 5, Kind: policy.NoteShare, Value: 0.5}}; !reflect.DeepEqual(r.events,
 		want) {
 		t.Fatalf("%+v", r.events)
 	}
 	r.events = nil
 	r.serverSends(conn, release(5, 16).Add(wire.ParamReport, "x0:1;x1:2"))
-	if e, _ := r.events[0].(front.Ended); !reflect.DeepEqual(e.Report, []float64{1, 2}) {
+	if e, _ := r.events[0].(front.AttemptEnded); !reflect.DeepEqual(e.Report, []float64{1, 2}) {
 		t.Errorf("%+v", r.events)
 	}
 	r.checkEnded(5, policy.OK)
@@ -58,26 +58,26 @@
 	}{
 		{"full", func(r *rig, conn uint64) { r.serverSends(conn, release(5, 34)) }, policy.Full},
 		{"error", func(r *rig, conn uint64) { r.serverSends(conn, release(5, 47)) }, policy.Errored},
-		{"moot", func(r *rig, conn uint64) { r.serverSends(conn, release(5, 102)) }, policy.Moot},
-		{"reset", func(r *rig, conn uint64) { r.serverSends(conn, release(5, 41)) }, policy.ResetConn},
-		{"another cause", func(r *rig, conn uint64) { r.serverSends(conn, release(5, 77)) }, policy.ResetConn},
+		{"moot", func(r *rig, conn uint64) { r.serverSends(conn, release(5, 102)) }, policy.NotSent},
+		{"reset", func(r *rig, conn uint64) { r.serverSends(conn, release(5, 41)) }, policy.ConnReset},
+		{"another cause", func(r *rig, conn uint64) { r.serverSends(conn, release(5, 77)) }, policy.ConnReset},
 		{"no cause", func(r *rig, conn uint64) { r.serverSends(conn, &wire.Message{Type: wire.Release, Session: 5}) },
-			policy.ResetConn},
-		{"written, then reset", func(r *rig, conn uint64) { r.loseConn(conn, r.bytes[conn]) }, policy.ResetConn},
+			policy.ConnReset},
+		{"written, then reset", func(r *rig, conn uint64) { r.loseConn(conn, r.bytes[conn]) }, policy.ConnReset},
 		{"noise", func(r *rig, conn uint64) { r.p.Received(r.now, 1, conn, []byte("noise noise")); r.take() },
-			policy.ResetConn},
+			policy.ConnReset},
 		{"an answer without a description", func(r *rig, conn uint64) {
 			r.serverSends(conn, &wire.Message{Type: wire.Ready, Session: 5})
-		}, policy.ResetConn},
+		}, policy.ConnReset},
 		{"half an answer", func(r *rig, conn uint64) {
 			b, _ := ready(5).Append(nil)
 			r.p.Received(r.now, 1, conn, b[:len(b)-1])
 			r.advance(partialMessageTimeout + 50*ms)
-		}, policy.ResetConn},
+		}, policy.ConnReset},
 		{"expired", func(r *rig, conn uint64) { r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Expired}) },
 			policy.TimedOut},
-		{"withdrawn", func(r *rig, conn uint64) { r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Withdrawn}) },
-			policy.CancelledSt},
+		{"withdrawn", func(r *rig, conn uint64) { r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Cancelled}) },
+			policy.Cancelled},
 	} {
 		r := newRig(t)
 		r.setup(5)
@@ -89,7 +89,7 @@
 }
 
 func TestUnsentSetUps(t *testing.T) {
-	for _, refused := range []Failure{Refused, Unanswered, Broke} {
+	for _, refused := range []Failure{Refused, TimedOut, OtherFailure} {
 		r := newRig(t)
 		r.setup(5)
 		r.failDial(refused)
@@ -98,7 +98,7 @@
 	r := newRig(t)
 	r.setup(5)
 	r.do(front.Withdraw{Server: 1}) // the server drains: unsent set-ups must not be sent later
-	r.checkEnded(5, policy.Moot)
+	r.checkEnded(5, policy.NotSent)
 	if conn := r.connect(); len(r.written[conn]) != 0 {
 		t.Error("a withdrawn set-up was written")
 	}
@@ -107,7 +107,7 @@
 	first := r.p.peers[1].current.id
 	setUpBytes := r.bytes[first] / 2
 	r.loseConn(first, setUpBytes+3) // the second set-up was cut in the middle: a server runs only complete ones
-	r.checkEnded(6, policy.ResetConn)
+	r.checkEnded(6, policy.ConnReset)
 	if next := r.connect(); len(r.written[next]) != 1 || r.written[next][0].Session != 7 {
 		t.Fatal("unsent set-up was not sent on the next connection")
 	} else {
@@ -132,9 +132,9 @@
 	r := newRig(t)
 	r.setup(5)
 	conn := r.connect()
-	r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Withdrawn})
+	r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Cancelled})
 	r.serverSends(conn, ready(5))
-	r.checkEnded(5, policy.CancelledSt)
+	r.checkEnded(5, policy.Cancelled)
 	r.checkWritten(conn, wire.SetUp, wire.Release, wire.Release)
 	r.setup(6) // answer and timeout in one turn: the core abandons a session that has just begun
 	r.serverSends(conn, ready(6))
--- a/internal/platform/servers/tick.go
+++ b/internal/platform/servers/tick.go
@@ -11,7 +11,7 @@
 // connect.
 
 // Tick advances the clock; it is called several times a second.
-func (p *Desk) Tick(now Time) {
+func (p *Protocol) Tick(now Time) {
 	p.now = now
 	if p.peerIDs == nil {
 		p.peerIDs = sorted(p.peers)
@@ -27,7 +27,7 @@
 }
 
 // tickPeer applies the timeouts of one server.
-func (p *Desk) tickPeer(remote *peer) {
+func (p *Protocol) tickPeer(remote *peer) {
 	// The end of a process does not always show on its open connections (its reset may be lost, or nothing is left to
 	// send one), and its viewers would keep sessions that have ended. A server off the list that refuses connects has
 	// ended; so has one whose address another server has, once what was in flight is read.
@@ -35,7 +35,7 @@
 		p.isSilent(remote) && p.addressReused(remote)) {
 		p.endSessions(remote)
 	}
-	if remote.probePending && p.now-remote.probeRequestedAt >= p.cfg.ProbeWait {
+	if remote.probePending && p.now-remote.probeRequestedAt >= p.cfg.ProbeTimeout {
 		remote.probePending = false
 		p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.NoConnect,
 			Took: p.now - remote.probeRequestedAt})
@@ -45,7 +45,7 @@
 	}
 	for c := range remote.eachConn {
 		for _, t := range sorted(c.probes) {
-			if at := c.probes[t]; p.now-at >= p.cfg.ProbeWait {
+			if at := c.probes[t]; p.now-at >= p.cfg.ProbeTimeout {
 				delete(c.probes, t)
 				p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.TimedOut,
 					Took: p.now - at})
--- a/internal/platform/viewers/connections.go
+++ b/internal/platform/viewers/connections.go
@@ -11,10 +11,10 @@
 // Connections of viewers: accepted, and closed when they are unused or too many.
 
 // SetMaxConns sets the limit on connections; excess ones are closed, a few at each tick and as others are accepted.
-func (p *Desk) Limit(conns int) { p.maxConns = conns }
+func (p *Protocol) SetMaxConns(conns int) { p.maxConns = conns }
 
 // MaxConns returns the limit set by SetMaxConns.
-func (p *Desk) Limits() int { return p.maxConns }
+func (p *Protocol) MaxConns() int { return p.maxConns }
 
 // maxEvictionsPerTick bounds how many excess connections are closed in one tick after the limit was lowered: closed
 // ones still count until the shell reports their end.
@@ -24,7 +24,7 @@
 const maxEvictionCandidates = 4
 
 // HasPartialLine reports whether a line is incomplete on any connection.
-func (p *Desk) Halves() bool {
+func (p *Protocol) HasPartialLine() bool {
 	for _, c := range p.conns {
 		if c.partialSince != 0 && !c.closed {
 			return true
@@ -34,7 +34,7 @@
 }
 
 // Accepted handles a new connection. Past the limit, the least useful connection is closed.
-func (p *Desk) Accepted(now Time, conn uint64) {
+func (p *Protocol) Accepted(now Time, conn uint64) {
 	p.now = now
 	p.Stats.Accepted++
 	p.conns[conn] = &client{id: conn, connectedAt: now, lastReceivedAt: now, openRequests: map[uint64]bool{}}
@@ -47,7 +47,7 @@
 // without an open request, among equals the one silent for longest; as a last resort the newcomer. Otherwise hundreds
 // of clients that connect and send nothing would use up all descriptors. The cost: a viewer that is slow to send its
 // first line is disconnected.
-func (p *Desk) evict(newcomer uint64) {
+func (p *Protocol) evict(newcomer uint64) {
 	var victim *client
 	rank := func(c *client) int {
 		switch {
@@ -92,10 +92,12 @@
 
 // noPendingInput reports whether a connection may be closed as unused. A request that was read, or lies in the socket,
 // while the owner was busy would be lost with its connection, and its client never answered.
-func (p *Desk) noPendingInput(c *client) bool { return p.cfg.Quiet == nil || p.cfg.Quiet(c.id) }
+func (p *Protocol) noPendingInput(c *client) bool {
+	return p.cfg.NoPendingInput == nil || p.cfg.NoPendingInput(c.id)
+}
 
 // closeConn closes a connection after a last reply. Its open requests can't be answered any more and are abandoned.
-func (p *Desk) closeConn(c *client, reply []byte) {
+func (p *Protocol) closeConn(c *client, reply []byte) {
 	if !c.closed {
 		c.closed = true
 		p.effects = append(p.effects, Effect{Conn: c.id, Bytes: reply, Close: true})
@@ -104,7 +106,7 @@
 }
 
 // abandonRequests abandons the open requests of a connection.
-func (p *Desk) abandonRequests(c *client) {
+func (p *Protocol) abandonRequests(c *client) {
 	for _, sid := range slices.Sorted(maps.Keys(c.openRequests)) {
 		p.forget(sid)
 		p.events = append(p.events, front.Leave{Session: sid})
@@ -112,7 +114,7 @@
 }
 
 // Lost handles the end of a connection: its open requests are abandoned; established sessions are not bound to it.
-func (p *Desk) Lost(now Time, conn uint64) {
+func (p *Protocol) Lost(now Time, conn uint64) {
 	p.now = now
 	c := p.conns[conn]
 	if c == nil {
@@ -123,7 +125,7 @@
 }
 
 // Tick advances the clock; it is called several times a second.
-func (p *Desk) Tick(now Time) {
+func (p *Protocol) Tick(now Time) {
 	p.now = now
 	var carrier *client
 	open := 0
@@ -137,7 +139,7 @@
 		case !c.sentValidLine && now-c.connectedAt >= p.cfg.Silent && p.noPendingInput(c):
 			p.Stats.Silent++
 			p.closeConn(c, nil)
-		case c.partialSince != 0 && now-c.partialSince >= p.cfg.Half:
+		case c.partialSince != 0 && now-c.partialSince >= p.cfg.PartialLineTimeout:
 			p.reject(c, 0, errors.New("a line that does not end"))
 		case c.sentValidLine && len(c.openRequests) == 0 && c.established == 0 &&
 			now-c.lastReceivedAt >= p.cfg.Idle && p.noPendingInput(c):
--- a/internal/platform/viewers/connections_test.go
+++ b/internal/platform/viewers/connections_test.go
@@ -70,7 +70,7 @@
 func TestRequestThatCrossesIdleClose(t *testing.T) {
 	r := newRig(t)
 	r.establish(1, 5)
-	r.do(front.Over{Session: 5, Why: front.WhyEnd})
+	r.do(front.SessionEnded{Session: 5, Reason: front.EndReasonFinished})
 	r.advance(6100 * ms) // past the idle timeout
 	if !r.closed[1] {
 		t.Fatal("idle connection not closed")
@@ -92,10 +92,10 @@
 	r := newRig(t)
 	r.establish(1, 5)
 	r.p.Lost(r.now, 1)
-	r.do(front.Over{Session: 5, Why: front.WhyEnd})
+	r.do(front.SessionEnded{Session: 5, Reason: front.EndReasonFinished})
 	r.accept(3)
 	r.establish(3, 8)
-	r.p.Limit(0)
+	r.p.SetMaxConns(0)
 	r.advance(50 * ms)
 	if l := r.lastLine(3); l.Msg != "close" || l.Sid != 5 || !r.closed[3] {
 		t.Errorf("last line %+v, closed %v", l, r.closed[3])
--- a/internal/platform/viewers/invariants_test.go
+++ b/internal/platform/viewers/invariants_test.go
@@ -14,7 +14,7 @@
 // simulation plays shell, core, server list and clients in any order of events, and checks what the Protocol sends.
 type simulation struct {
 	*rapid.T
-	p        *Desk
+	p        *Protocol
 	now      Time
 	conns    map[uint64]*simulatedConn
 	ids      []uint64
@@ -43,12 +43,12 @@
 
 func newSimulation(t *rapid.T) *simulation {
 	o := &simulation{T: t, now: start, conns: map[uint64]*simulatedConn{}, requests: map[uint64]*request{}}
-	o.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetry: policy.Second},
-		Classes:  []string{"live", "paid"},
-		Host:     func(string) (uint32, bool) { return 7, o.listed },
-		OpenMost: 3, Silent: 2 * policy.Second, Half: 2 * policy.Second, Idle: 6 * policy.Second,
-		Quiet: func(conn uint64) bool { return conn%5 != 0 }})
-	o.p.Limit(6)
+	o.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetryAfter: policy.Second},
+		Classes:         []string{"live", "paid"},
+		ServerID:        func(string) (uint32, bool) { return 7, o.listed },
+		MaxOpenRequests: 3, Silent: 2 * policy.Second, PartialLineTimeout: 2 * policy.Second, Idle: 6 * policy.Second,
+		NoPendingInput: func(conn uint64) bool { return conn%5 != 0 }})
+	o.p.SetMaxConns(6)
 	return o
 }
 
@@ -69,13 +69,13 @@
 	}
 	for _, e := range events {
 		switch e := e.(type) {
-		case front.Ask:
+		case front.Request:
 			r := o.requests[e.ID]
 			if r.held || r.answers > 0 && !r.ambiguous {
 				o.Fatalf("request passed on twice: %+v", r)
 			}
 			r.held = true
-		case front.Adopt:
+		case front.Restore:
 			r := o.requests[e.ID]
 			if !r.restored || r.held || r.ended && !r.ambiguous {
 				o.Fatalf("session restored twice or after its end: %+v", r)
@@ -114,9 +114,9 @@
 }
 
 func (o *simulation) clientSends(conn uint64, text string) {
-	var in In
+	var in Input
 	in.Line, in.Err = wire.ParseLine([]byte(text))
-	o.p.Received(o.now, o.now, conn, []In{in}, nil, rapid.IntRange(0, 9).Draw(o.T, "half") == 0, func(id uint64) bool {
+	o.p.Received(o.now, o.now, conn, []Input{in}, nil, rapid.IntRange(0, 9).Draw(o.T, "half") == 0, func(id uint64) bool {
 		r := o.requests[id]
 		return r != nil && r.held
 	})
@@ -166,29 +166,29 @@
 		var e front.Effect = front.Plays{Session: sid, Text: "here"}
 		switch rapid.IntRange(0, 3).Draw(o.T, "answer") {
 		case 0:
-			e = front.Refused{Session: sid, After: 100 * ms}
+			e = front.Refused{Session: sid, RetryAfter: 100 * ms}
 		case 1:
 			e = front.Failed{Session: sid}
 		}
 		_, r.playing = e.(front.Plays)
 		r.held = r.playing
-		if !o.p.Do(o.now, e) && r.playing {
+		if !o.p.Apply(o.now, e) && r.playing {
 			r.held, r.playing = false, false
 		}
 	case n == 12 && haveSession && r.held && r.playing: // the core ends it
 		r.held, r.playing = false, false
-		var e front.Effect = front.Over{Session: sid, Why: front.WhyEnd}
+		var e front.Effect = front.SessionEnded{Session: sid, Reason: front.EndReasonFinished}
 		switch rapid.IntRange(0, 2).Draw(o.T, "end") {
 		case 0:
 			e = front.Moved{Session: sid}
 		case 1:
-			e = front.Over{Session: sid, Why: front.WhyLeft}
+			e = front.SessionEnded{Session: sid, Reason: front.EndReasonPlayerLeft}
 			r.cancelled = true
 		}
-		o.p.Do(o.now, e)
+		o.p.Apply(o.now, e)
 	case n == 13:
 		o.listed = rapid.Bool().Draw(o.T, "listed")
-		o.p.Limit(rapid.IntRange(1, 8).Draw(o.T, "most"))
+		o.p.SetMaxConns(rapid.IntRange(1, 8).Draw(o.T, "most"))
 	default:
 		o.now += Time(rapid.IntRange(1, 900).Draw(o.T, "ms")) * ms
 		o.p.Tick(o.now)
--- a/internal/platform/viewers/receive.go
+++ b/internal/platform/viewers/receive.go
@@ -11,14 +11,14 @@
 // Input from viewers: every line is validated before any of it is passed on.
 
 // Input is a line that was read, or the error in reading it.
-type In struct {
+type Input struct {
 	Line wire.Line
 	Err  error
 }
 
 // Received handles lines that were read together. broken is the error after which the stream can't be read any further,
 // partial reports whether an incomplete line follows them, and inUse whether the core still uses a session's id.
-func (p *Desk) Received(now, read Time, conn uint64, inputs []In, broken error, partial bool, inUse func(uint64) bool) {
+func (p *Protocol) Received(now, read Time, conn uint64, inputs []Input, broken error, partial bool, inUse func(uint64) bool) {
 	p.now = now
 	c := p.conns[conn]
 	if c == nil || c.closed {
@@ -48,7 +48,7 @@
 
 // cancelledRequests finds the requests that are cancelled in the same batch of lines. Otherwise hundreds of them would
 // each be set up at a server and ended again.
-func cancelledRequests(list []In) map[uint64]bool {
+func cancelledRequests(list []Input) map[uint64]bool {
 	var requested, cancelled map[uint64]bool
 	for _, in := range list {
 		switch {
@@ -69,7 +69,7 @@
 }
 
 // reject answers invalid input. Without an id the client can't match the answer to a request: the connection is closed.
-func (p *Desk) reject(c *client, sid uint64, err error) {
+func (p *Protocol) reject(c *client, sid uint64, err error) {
 	p.Stats.BadLines++
 	p.Stats.LastBad = truncated(err)
 	reply := p.format(&wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseMalformed,
@@ -88,7 +88,7 @@
 }
 
 // handleLine handles a line that could be parsed.
-func (p *Desk) handleLine(c *client, read Time, line wire.Line, cancelled map[uint64]bool, inUse func(uint64) bool) {
+func (p *Protocol) handleLine(c *client, read Time, line wire.Line, cancelled map[uint64]bool, inUse func(uint64) bool) {
 	switch line.Msg {
 	case wire.LineOpen:
 		if cancelled[line.Sid] {
--- a/internal/platform/viewers/replies.go
+++ b/internal/platform/viewers/replies.go
@@ -14,7 +14,7 @@
 const releaseTimeout = 8 * policy.Second
 
 // format encodes a line; it returns nil for one that can't be encoded.
-func (p *Desk) format(line *wire.Line) []byte {
+func (p *Protocol) format(line *wire.Line) []byte {
 	b, err := line.Append(nil)
 	if err != nil { // only a line with an invalid description can't be encoded
 		return nil
@@ -23,7 +23,7 @@
 }
 
 // send writes bytes to a connection, unless it is closed.
-func (p *Desk) send(c *client, b []byte) {
+func (p *Protocol) send(c *client, b []byte) {
 	if len(b) > 0 && !c.closed {
 		p.effects = append(p.effects, Effect{Conn: c.id, Bytes: b})
 	}
@@ -31,7 +31,7 @@
 
 // Apply carries out an effect of the core. Effects that do not concern viewers are ignored. It returns false if an
 // answer could not be sent, as for a description that does not fit a line: the session must be ended.
-func (p *Desk) Do(now Time, effect front.Effect) bool {
+func (p *Protocol) Apply(now Time, effect front.Effect) bool {
 	p.now = now
 	switch e := effect.(type) {
 	case front.Plays:
@@ -54,7 +54,7 @@
 		p.send(c, b)
 	case front.Refused:
 		if c := p.closeRequest(e.Session); c != nil {
-			p.refuse(c, e.Session, e.After)
+			p.refuse(c, e.Session, e.RetryAfter)
 		}
 	case front.Failed:
 		if c := p.closeRequest(e.Session); c != nil {
@@ -62,12 +62,12 @@
 		}
 	case front.Moved:
 		p.sendEnd(e.Session, wire.Line{Msg: wire.LineRelocate, Sid: e.Session})
-	case front.Over:
-		switch e.Why {
-		case front.WhyLeft: // its viewer ended it at the server and needs no message
+	case front.SessionEnded:
+		switch e.Reason {
+		case front.EndReasonPlayerLeft: // its viewer ended it at the server and needs no message
 			p.forget(e.Session)
-		case front.WhyEnd:
-			p.sendEnd(e.Session, wire.Line{Msg: wire.LineClose, Sid: e.Session, Code: wire.CauseGivenUp})
+		case front.EndReasonFinished:
+			p.sendEnd(e.Session, wire.Line{Msg: wire.LineClose, Sid: e.Session, Code: wire.CauseEnded})
 		default:
 			p.sendEnd(e.Session, wire.Line{Msg: wire.LineClose, Sid: e.Session, Code: wire.CauseReset})
 		}
@@ -76,7 +76,7 @@
 }
 
 // closeRequest forgets a request that is refused or has failed, and returns its connection.
-func (p *Desk) closeRequest(sid uint64) *client {
+func (p *Protocol) closeRequest(sid uint64) *client {
 	s := p.sessions[sid]
 	if s == nil {
 		return nil
@@ -86,7 +86,7 @@
 }
 
 // refuse sends a refusal, with the time after which the client may retry if that is configured.
-func (p *Desk) refuse(c *client, sid uint64, after Time) {
+func (p *Protocol) refuse(c *client, sid uint64, after Time) {
 	line := wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseRefused}
 	if after > 0 && p.cfg.Settings.RetryAfter {
 		line.Attrs = map[string]string{"wait": strconv.FormatInt((after+policy.Millisecond-1)/policy.Millisecond, 10)}
@@ -96,7 +96,7 @@
 
 // sendEnd sends the end of an established session to its viewer: on the connection of its request, else on another one
 // with established sessions, else on the next connection that gets one.
-func (p *Desk) sendEnd(sid uint64, line wire.Line) {
+func (p *Protocol) sendEnd(sid uint64, line wire.Line) {
 	s := p.sessions[sid]
 	if s == nil {
 		return
--- a/internal/platform/viewers/requests.go
+++ b/internal/platform/viewers/requests.go
@@ -14,7 +14,7 @@
 // Requests: parsed completely, or answered with an error.
 
 // handleOpen handles a request for a session.
-func (p *Desk) handleOpen(c *client, read Time, line wire.Line, inUse func(uint64) bool) {
+func (p *Protocol) handleOpen(c *client, read Time, line wire.Line, inUse func(uint64) bool) {
 	ask, server, err := p.parseRequest(line)
 	s := p.sessions[line.Sid]
 	_, used := p.recent[line.Sid]
@@ -46,17 +46,17 @@
 		p.tryRestore(line.Sid)
 		return
 	}
-	if len(c.openRequests) >= p.cfg.OpenMost {
+	if len(c.openRequests) >= p.cfg.MaxOpenRequests {
 		// Otherwise one connection could use up the whole capacity of the front. The request was never started: a
 		// retry is harmless.
 		p.Stats.Crowded++
-		p.refuse(c, line.Sid, p.cfg.Settings.MaxRetry)
+		p.refuse(c, line.Sid, p.cfg.Settings.MaxRetryAfter)
 		p.remember(line.Sid)
 		return
 	}
 	p.sessions[line.Sid] = &session{conn: c.id}
 	c.openRequests[line.Sid] = true
-	ask.Player, ask.Read, ask.ID = c.id, read, line.Sid
+	ask.Player, ask.ReadAt, ask.ID = c.id, read, line.Sid
 	p.events = append(p.events, ask)
 }
 
@@ -66,20 +66,20 @@
 
 // pendingRestore is a session to restore whose server is not listed yet.
 type pendingRestore struct {
-	ask      front.Ask
+	ask      front.Request
 	server   string
 	deadline Time
 }
 
 // tryRestore restores a session once its server is listed. If it were not kept until then, its client would be told
 // that the session has ended, or nobody would ever be notified of its end.
-func (p *Desk) tryRestore(sid uint64) {
+func (p *Protocol) tryRestore(sid uint64) {
 	e := p.pendingRestore[sid]
-	server, ok := p.cfg.Host(e.server)
+	server, ok := p.cfg.ServerID(e.server)
 	switch {
 	case ok:
 		delete(p.pendingRestore, sid)
-		p.events = append(p.events, front.Adopt{Ask: e.ask, ID: sid, Server: server, Held: true})
+		p.events = append(p.events, front.Restore{Request: e.ask, ID: sid, Server: server, HeldByPlayer: true})
 	case p.now >= e.deadline || len(p.pendingRestore) > maxRecent:
 		p.sendEnd(sid, wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseReset})
 	}
@@ -88,7 +88,7 @@
 // restoreAgain handles a request to restore a session that is already held: it moves to the connection of the
 // request. If the session has ended, the reply says so. Treated as a second request with the same id, an established
 // session would be reported as ended.
-func (p *Desk) restoreAgain(c *client, sid uint64, s *session) {
+func (p *Protocol) restoreAgain(c *client, sid uint64, s *session) {
 	c.sentValidLine = true
 	if s == nil {
 		reply := p.format(&wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseReset})
@@ -114,7 +114,7 @@
 )
 
 // parseRequest parses and validates a request. server is the name of the server of a session to restore, or empty.
-func (p *Desk) parseRequest(line wire.Line) (ask front.Ask, server string, err error) {
+func (p *Protocol) parseRequest(line wire.Line) (ask front.Request, server string, err error) {
 	class, ok := p.classes[line.Attrs["class"]]
 	if !ok {
 		return ask, "", fmt.Errorf("no class %.32q", line.Attrs["class"])
@@ -168,7 +168,7 @@
 	if server == "" && (!waitOK || waitMs <= 0 || waitMs > maxWaitMs) { // a playing session has no waiting time
 		return ask, "", fmt.Errorf("left %.32q", line.Attrs["left"])
 	}
-	ask.Wait = Time(max(waitMs, 0) * float64(policy.Millisecond))
+	ask.Timeout = Time(max(waitMs, 0) * float64(policy.Millisecond))
 	if ask.Home < 0 || ask.Copies < 1 || ask.Top < 0 || line.Text == "" {
 		return ask, "", errors.New("a set-up without all of its figures, or without a description")
 	}
--- a/internal/platform/viewers/restore_test.go
+++ b/internal/platform/viewers/restore_test.go
@@ -34,14 +34,14 @@
 func TestRestoreWaitsForServerToBeListed(t *testing.T) {
 	r := newRig(t)
 	listed := false
-	r.p.cfg.Host = func(string) (uint32, bool) { return 9, listed }
+	r.p.cfg.ServerID = func(string) (uint32, bool) { return 9, listed }
 	r.clientSends(1, restoreLine(5, "s-9"), restoreLine(6, "s-9"))
 	r.advance(500 * ms)
 	r.clientSends(1, closeLine(6)) // its client ends it meanwhile
 	r.events = nil
 	listed = true
 	r.advance(50 * ms)
-	if len(r.events) != 1 || r.events[0].(front.Adopt).ID != 5 || r.events[0].(front.Adopt).Server != 9 {
+	if len(r.events) != 1 || r.events[0].(front.Restore).ID != 5 || r.events[0].(front.Restore).Server != 9 {
 		t.Fatalf("%+v", r.events)
 	}
 	r.events = nil
@@ -62,8 +62,8 @@
 		t.Fatalf("written %+v, events %+v; want none of both", r.written[2], r.events)
 	}
 	r.p.Lost(r.now, 1)
-	r.do(front.Over{Session: 5, Why: front.WhyEnd})
-	if l := r.lastLine(2); l.Msg != "close" || l.Sid != 5 || l.Code != wire.CauseGivenUp {
+	r.do(front.SessionEnded{Session: 5, Reason: front.EndReasonFinished})
+	if l := r.lastLine(2); l.Msg != "close" || l.Sid != 5 || l.Code != wire.CauseEnded {
 		t.Errorf("end of the session: %+v", l)
 	}
 	r.clientSends(2, restoreLine(5, "s-7")) // it crossed the end
@@ -77,7 +77,7 @@
 func TestKeepsConnectionWithPendingInput(t *testing.T) {
 	r := newRig(t)
 	pending := map[uint64]bool{1: true}
-	r.p.cfg.Quiet = func(conn uint64) bool { return !pending[conn] }
+	r.p.cfg.NoPendingInput = func(conn uint64) bool { return !pending[conn] }
 	r.advance(10 * policy.Second)
 	if r.closed[1] {
 		t.Fatal("a connection with pending input was closed as silent")
@@ -96,7 +96,7 @@
 	r.accept(6)
 	r.establish(6, 5)
 	pending[6] = true
-	r.do(front.Over{Session: 5, Why: front.WhyEnd})
+	r.do(front.SessionEnded{Session: 5, Reason: front.EndReasonFinished})
 	if r.advance(10 * policy.Second); r.closed[6] {
 		t.Error("a connection with pending input was closed as idle")
 	}
@@ -108,7 +108,7 @@
 	for conn := uint64(2); conn <= 4; conn++ {
 		r.accept(conn)
 	}
-	r.p.Limit(2)
+	r.p.SetMaxConns(2)
 	r.advance(50 * ms)
 	if !reflect.DeepEqual(r.closed, map[uint64]bool{1: true, 2: true}) {
 		t.Errorf("closed %v, want 1 and 2", r.closed)
--- a/internal/platform/viewers/viewers.go
+++ b/internal/platform/viewers/viewers.go
@@ -18,14 +18,14 @@
 
 // Config holds the parameters of a Protocol. Its limits bound what clients may use up.
 type Config struct {
-	Settings policy.Settings
-	Classes  []string                    // class names, by the module's class numbers
-	Host     func(string) (uint32, bool) // returns a server's number by its name; false: not listed
-	OpenMost int                         // limit on unanswered requests on one connection
-	Silent   Time                        // a connection without a valid line is closed after this time
-	Half     Time                        // a line incomplete for this long is an error
-	Idle     Time                        // a connection without sessions and requests is closed after this silence
-	Quiet    func(conn uint64) bool      // whether no input of a connection waits to be handled; nil: none does
+	Settings           policy.Settings
+	Classes            []string                    // class names, by the module's class numbers
+	ServerID           func(string) (uint32, bool) // returns a server's number by its name; false: not listed
+	MaxOpenRequests    int                         // limit on unanswered requests on one connection
+	Silent             Time                        // a connection without a valid line is closed after this time
+	PartialLineTimeout Time                        // a line incomplete for this long is an error
+	Idle               Time                        // a connection without sessions and requests is closed after this silence
+	NoPendingInput     func(conn uint64) bool      // whether no input of a connection waits to be handled; nil: none does
 }
 
 // The ids of ended sessions are kept for recentTTL, so that messages that cross the end are not rejected as invalid.
@@ -42,7 +42,7 @@
 }
 
 // Protocol holds the protocol state of all viewers.
-type Desk struct {
+type Protocol struct {
 	cfg            Config
 	now            Time
 	classes        map[string]int
@@ -89,8 +89,8 @@
 }
 
 // New returns a Protocol without connections.
-func New(cfg Config) *Desk {
-	p := &Desk{cfg: cfg, classes: map[string]int{}, conns: map[uint64]*client{}, sessions: map[uint64]*session{},
+func New(cfg Config) *Protocol {
+	p := &Protocol{cfg: cfg, classes: map[string]int{}, conns: map[uint64]*client{}, sessions: map[uint64]*session{},
 		pendingRelease: map[uint64]pendingRelease{}, pendingRestore: map[uint64]pendingRestore{},
 		recent: map[uint64]Time{}, maxConns: math.MaxInt}
 	for i, name := range cfg.Classes {
@@ -100,14 +100,14 @@
 }
 
 // Take returns the effects and events since the last call.
-func (p *Desk) Take() ([]Effect, []front.Event) {
+func (p *Protocol) Take() ([]Effect, []front.Event) {
 	effects, events := p.effects, p.events
 	p.effects, p.events = nil, nil
 	return effects, events
 }
 
 // forget removes a session; its id is kept in recent.
-func (p *Desk) forget(sid uint64) {
+func (p *Protocol) forget(sid uint64) {
 	s := p.sessions[sid]
 	if s == nil {
 		return
@@ -124,7 +124,7 @@
 }
 
 // remember keeps the id of an ended session for recentTTL, and at most maxRecent ids.
-func (p *Desk) remember(sid uint64) {
+func (p *Protocol) remember(sid uint64) {
 	if _, known := p.recent[sid]; !known {
 		p.recentOrder = append(p.recentOrder, sid)
 	}
@@ -136,7 +136,7 @@
 }
 
 // RequestConn returns the connection on which a request waits for its answer.
-func (p *Desk) Conn(session uint64) (conn uint64, ok bool) {
+func (p *Protocol) RequestConn(session uint64) (conn uint64, ok bool) {
 	s := p.sessions[session]
 	if s == nil || s.established {
 		return 0, false
@@ -145,6 +145,6 @@
 }
 
 // Counts returns the numbers of connections, sessions, ids of ended sessions and pending releases held.
-func (p *Desk) Counts() (conns, sessions, recent, pendingRelease int) {
+func (p *Protocol) Counts() (conns, sessions, recent, pendingRelease int) {
 	return len(p.conns), len(p.sessions), len(p.recent), len(p.pendingRelease)
 }
--- a/internal/platform/viewers/viewers_test.go
+++ b/internal/platform/viewers/viewers_test.go
@@ -19,7 +19,7 @@
 // rig plays the shell and the core.
 type rig struct {
 	t       *testing.T
-	p       *Desk
+	p       *Protocol
 	now     Time
 	written map[uint64][]wire.Line
 	closed  map[uint64]bool
@@ -29,11 +29,11 @@
 
 func newRig(t *testing.T) *rig {
 	r := &rig{t: t, now: start, written: map[uint64][]wire.Line{}, closed: map[uint64]bool{}, inUse: map[uint64]bool{}}
-	r.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetry: policy.Second},
-		Classes:  []string{"live", "paid"},
-		Host:     func(name string) (uint32, bool) { return 7, name == "s-7" },
-		OpenMost: 3, Silent: 2 * policy.Second, Half: 2 * policy.Second, Idle: 6 * policy.Second})
-	r.p.Limit(4)
+	r.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetryAfter: policy.Second},
+		Classes:         []string{"live", "paid"},
+		ServerID:        func(name string) (uint32, bool) { return 7, name == "s-7" },
+		MaxOpenRequests: 3, Silent: 2 * policy.Second, PartialLineTimeout: 2 * policy.Second, Idle: 6 * policy.Second})
+	r.p.SetMaxConns(4)
 	r.accept(1)
 	return r
 }
@@ -58,9 +58,9 @@
 func (r *rig) accept(conn uint64) { r.p.Accepted(r.now, conn); r.take() }
 
 func (r *rig) clientSends(conn uint64, lines ...string) {
-	var list []In
+	var list []Input
 	for _, text := range lines {
-		var in In
+		var in Input
 		in.Line, in.Err = wire.ParseLine([]byte(text))
 		list = append(list, in)
 	}
@@ -69,7 +69,7 @@
 }
 
 func (r *rig) do(e front.Effect) bool {
-	ok := r.p.Do(r.now, e)
+	ok := r.p.Apply(r.now, e)
 	r.take()
 	return ok
 }
@@ -110,19 +110,19 @@
 func TestParsesRequest(t *testing.T) {
 	r := newRig(t)
 	r.clientSends(1, openLine(5, usualAttrs))
-	want := front.Ask{Player: 1, Read: start, Wait: 1500 * ms, Title: 0x7f3a9c21e0b4d655, Home: 4, Copies: 3,
+	want := front.Request{Player: 1, ReadAt: start, Timeout: 1500 * ms, Title: 0x7f3a9c21e0b4d655, Home: 4, Copies: 3,
 		Name:  "7f3a9c21e0b4d655",
 		Class: 1, Viewer: 0xb4d65521, Top: 4, Length: 8200 * ms, Hinted: true, Again: true, ID: 5, Text: "who\r\n"}
 	if !reflect.DeepEqual(r.events, []front.Event{want}) {
 		t.Fatalf("%+v", r.events)
 	}
 	r.clientSends(1, openLine(6, `"class":"live","left":300,"key":"7f3a9c21e0b4d655","extras":"home:0;copies:1;top:0;new:thing"`))
-	if a := r.events[1].(front.Ask); a.Hinted || a.Again || a.Wait != 300*ms {
+	if a := r.events[1].(front.Request); a.Hinted || a.Again || a.Timeout != 300*ms {
 		t.Errorf("%+v", a)
 	}
 	r.clientSends(1, openLine(7, strings.Replace(strings.Replace(usualAttrs, "again:1", "at:s-7", 1),
 		`"1500"`, `"0"`, 1)))
-	if a, ok := r.events[2].(front.Adopt); !ok || a.ID != 7 || a.Server != 7 || !a.Held {
+	if a, ok := r.events[2].(front.Restore); !ok || a.ID != 7 || a.Server != 7 || !a.HeldByPlayer {
 		t.Errorf("%+v", r.events[2])
 	}
 	if len(r.written[1]) != 0 {
@@ -138,7 +138,7 @@
 	if !r.do(front.Plays{Session: 5, Text: "mine"}) {
 		t.Fatal("answer not sent")
 	}
-	r.do(front.Refused{Session: 6, After: 850*ms - 1})
+	r.do(front.Refused{Session: 6, RetryAfter: 850*ms - 1})
 	r.do(front.Failed{Session: 7})
 	r.do(front.Failed{Session: 7}) // no second answer is sent
 	want := []wire.Line{{Msg: "ready", Sid: 5, Attrs: map[string]string{}, Text: "mine"},
@@ -158,9 +158,9 @@
 		effect front.Effect
 		want   string
 	}{
-		{front.Over{Session: 5, Why: front.WhyEnd}, "close 16"},
-		{front.Over{Session: 5, Why: front.WhyLost}, "close 41"},
-		{front.Over{Session: 5, Why: front.WhyLeft}, "ready 0"},
+		{front.SessionEnded{Session: 5, Reason: front.EndReasonFinished}, "close 16"},
+		{front.SessionEnded{Session: 5, Reason: front.EndReasonLost}, "close 41"},
+		{front.SessionEnded{Session: 5, Reason: front.EndReasonPlayerLeft}, "ready 0"},
 		{front.Moved{Session: 5}, "relocate 0"},
 	} {
 		r := newRig(t)
@@ -190,12 +190,12 @@
 	if len(r.events) != 0 {
 		t.Error("the session ended with its connection:", r.events)
 	}
-	r.do(front.Over{Session: 6, Why: front.WhyLost})
+	r.do(front.SessionEnded{Session: 6, Reason: front.EndReasonLost})
 	if l := r.lastLine(2); l.Msg != "close" || l.Sid != 6 {
 		t.Errorf("its end was not sent on the other connection: %+v", l)
 	}
 	r.p.Lost(r.now, 2)
-	r.do(front.Over{Session: 7, Why: front.WhyEnd})
+	r.do(front.SessionEnded{Session: 7, Reason: front.EndReasonFinished})
 	r.accept(3)
 	r.establish(3, 8)
 	r.advance(50 * ms)
@@ -217,7 +217,7 @@
 		t.Errorf("%+v %+v", r.events, r.lastLine(1))
 	}
 	r.clientSends(1, openLine(6, usualAttrs), openLine(7, usualAttrs), closeLine(6)) // cancelled in the same batch
-	if len(r.events) != 1 || r.events[0].(front.Ask).ID != 7 || r.p.Stats.TakenBack != 1 {
+	if len(r.events) != 1 || r.events[0].(front.Request).ID != 7 || r.p.Stats.TakenBack != 1 {
 		t.Errorf("%+v", r.events)
 	}
 	r.events = nil
@@ -273,7 +273,7 @@
 	r.clientSends(1, openLine(5, usualAttrs), openLine(5, usualAttrs), openLine(5, usualAttrs))
 	requests := 0
 	for _, n := range r.events {
-		if _, ok := n.(front.Ask); ok {
+		if _, ok := n.(front.Request); ok {
 			requests++
 		}
 	}
@@ -310,7 +310,7 @@
 			r.do(front.Refused{Session: conn})
 		case 1:
 			r.do(front.Plays{Session: conn, Text: "x"})
-			r.do(front.Over{Session: conn, Why: front.WhyEnd})
+			r.do(front.SessionEnded{Session: conn, Reason: front.EndReasonFinished})
 		case 2:
 			r.clientSends(conn, closeLine(conn))
 		}
--- a/internal/platform/watch/watch.go
+++ b/internal/platform/watch/watch.go
@@ -28,15 +28,15 @@
 
 // Effect is an operation that the shell carries out: dial, write or close.
 type Effect struct {
-	Conn   uint64
-	Dial   string
-	Within Time
-	Close  bool
-	Bytes  []byte
+	Conn    uint64
+	Dial    string
+	Timeout Time
+	Close   bool
+	Bytes   []byte
 }
 
 // Follower holds the state of the one connection to the service.
-type Watch struct {
+type Follower struct {
 	addr           string
 	pos            uint64
 	conn           uint64
@@ -58,22 +58,22 @@
 type Stats struct{ Dials, Breaks, Silences, Unreadable, Twice, Gaps uint64 }
 
 // New returns a Follower of the service at addr that has the events up to pos; random returns numbers from 0 to 1.
-func New(addr string, pos uint64, random func() float64) *Watch {
-	return &Watch{addr: addr, pos: pos, random: random}
+func New(addr string, pos uint64, random func() float64) *Follower {
+	return &Follower{addr: addr, pos: pos, random: random}
 }
 
 // Take returns the effects and the events, in order, since the last call.
-func (f *Watch) Take() ([]Effect, []wire.Event) {
+func (f *Follower) Take() ([]Effect, []wire.Event) {
 	effects, events := f.effects, f.events
 	f.effects, f.events = nil, nil
 	return effects, events
 }
 
 // Pos returns the number of the last event.
-func (f *Watch) Pos() uint64 { return f.pos }
+func (f *Follower) Pos() uint64 { return f.pos }
 
 // AddressChanged handles a new address of the service: the connection to the old one is closed.
-func (f *Watch) Moved(now Time, addr string) {
+func (f *Follower) AddressChanged(now Time, addr string) {
 	if addr == f.addr || addr == "" {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // closeConn closes the connection, if there is one, and ignores its further input.
-func (f *Watch) closeConn() {
+func (f *Follower) closeConn() {
 	if f.conn != 0 {
 		f.effects = append(f.effects, Effect{Conn: f.conn, Close: true})
 	}
@@ -95,7 +95,7 @@
 // reconnect closes the connection and schedules a connect after a random delay, also for the first retry. Otherwise
 // all fronts would reconnect at the same moment when the service ends all its connections. The cost: events arrive up
 // to minBackoff later.
-func (f *Watch) reconnect(now Time) {
+func (f *Follower) reconnect(now Time) {
 	if f.connected && now-f.connectedAt >= stableDuration {
 		f.backoff = 0
 	}
@@ -106,7 +106,7 @@
 }
 
 // Connected handles the opening of the connection and requests the events after the last one.
-func (f *Watch) Connected(now Time, conn uint64) {
+func (f *Follower) Connected(now Time, conn uint64) {
 	if conn != f.conn || !f.dialing {
 		f.effects = append(f.effects, Effect{Conn: conn, Close: true})
 		return
@@ -116,7 +116,7 @@
 }
 
 // Lost handles the end of a connection or a failed connect.
-func (f *Watch) Lost(now Time, conn uint64) {
+func (f *Follower) Lost(now Time, conn uint64) {
 	if conn == f.conn && (f.connected || f.dialing) {
 		f.Stats.Breaks++
 		f.reconnect(now)
@@ -124,7 +124,7 @@
 }
 
 // Received handles complete lines; broken is the error after which the stream can't be read any further.
-func (f *Watch) Received(now Time, conn uint64, lines [][]byte, broken error) {
+func (f *Follower) Received(now Time, conn uint64, lines [][]byte, broken error) {
 	for _, line := range lines {
 		if conn != f.conn || !f.connected {
 			return
@@ -139,7 +139,7 @@
 }
 
 // line handles one line: an event, or only the number of the last one.
-func (f *Watch) line(now Time, line []byte) {
+func (f *Follower) line(now Time, line []byte) {
 	if len(line) == 0 {
 		return
 	}
@@ -163,7 +163,7 @@
 
 // requestMissing reconnects to request missing events again. It returns true after maxGapRetries for the same gap:
 // then the service no longer has the events, and the gap is accepted.
-func (f *Watch) requestMissing(now Time, pos uint64) bool {
+func (f *Follower) requestMissing(now Time, pos uint64) bool {
 	f.Stats.Gaps++
 	if f.gapPos != f.pos {
 		f.gapPos, f.gapRetries = f.pos, 0
@@ -176,7 +176,7 @@
 }
 
 // Tick advances the clock; it is called several times a second.
-func (f *Watch) Tick(now Time) {
+func (f *Follower) Tick(now Time) {
 	switch {
 	case f.connected && now-f.lastReceivedAt >= silenceTimeout:
 		f.Stats.Silences++
@@ -185,6 +185,6 @@
 		f.conn++
 		f.dialing = true
 		f.Stats.Dials++
-		f.effects = append(f.effects, Effect{Conn: f.conn, Dial: f.addr, Within: connectTimeout})
+		f.effects = append(f.effects, Effect{Conn: f.conn, Dial: f.addr, Timeout: connectTimeout})
 	}
 }
--- a/internal/platform/watch/watch_test.go
+++ b/internal/platform/watch/watch_test.go
@@ -17,7 +17,7 @@
 // rig plays the service and the shell.
 type rig struct {
 	t        *testing.T
-	f        *Watch
+	f        *Follower
 	now      Time
 	received []uint64
 	written  []string // lines written on the newest connection
@@ -170,7 +170,7 @@
 	r.connect()
 	r.serviceSends(eventLine(4))
 	old := r.conn
-	r.f.Moved(r.now, "b:2")
+	r.f.AddressChanged(r.now, "b:2")
 	r.take()
 	if r.addr != "b:2" || r.conn == old {
 		t.Fatal(r.addr)
@@ -178,7 +178,7 @@
 	r.f.Lost(r.now, old) // the end of the old connection is ignored
 	r.connect()
 	r.checkRequest(4)
-	r.f.Moved(r.now, "b:2")
+	r.f.AddressChanged(r.now, "b:2")
 	if acts, _ := r.f.Take(); len(acts) != 0 {
 		t.Error("effects of a change to the same address:", acts)
 	}
--- a/internal/platform/wire/journal.go
+++ b/internal/platform/wire/journal.go
@@ -17,7 +17,7 @@
 // Host is an entry of the server list.
 type Host struct {
 	Name    string  `json:"host"`
-	Dial    string  `json:"dial"` // address
+	Address string  `json:"dial"` // address
 	Zone    string  `json:"site"`
 	Kind    string  `json:"class"`
 	Cell    int     `json:"block"`
@@ -30,7 +30,7 @@
 const (
 	HostReady    = "active"
 	HostDraining = "leaving"
-	HostGone     = "left"
+	HostRemoved  = "left"
 )
 
 // Event is a numbered change of the server list. Without Hosts it only gives the number of the last event.
@@ -75,15 +75,15 @@
 	}
 	for _, h := range e.Hosts.Hosts {
 		switch {
-		case h.Name == "" || len(h.Name) > 256 || len(h.Dial) > 256:
-			return fmt.Errorf("entry with invalid name %.32q or address %.32q", h.Name, h.Dial)
+		case h.Name == "" || len(h.Name) > 256 || len(h.Address) > 256:
+			return fmt.Errorf("entry with invalid name %.32q or address %.32q", h.Name, h.Address)
 		case h.Cell < 0 || h.Cell > maxHosts:
 			return fmt.Errorf("%s: invalid block %d", h.Name, h.Cell)
 		case !(h.Share >= 0 && h.Share <= maxNumber):
 			return fmt.Errorf("%s: invalid share %v", h.Name, h.Share)
 		case h.Started < 0 || h.Started > 1<<50:
 			return fmt.Errorf("%s: invalid born_ms %d", h.Name, h.Started)
-		case h.Health != HostReady && h.Health != HostDraining && h.Health != HostGone:
+		case h.Health != HostReady && h.Health != HostDraining && h.Health != HostRemoved:
 			return fmt.Errorf("%s: invalid health %.16q", h.Name, h.Health)
 		}
 	}
--- a/internal/platform/wire/line.go
+++ b/internal/platform/wire/line.go
@@ -202,7 +202,7 @@
 
 // ContainsClose reports whether the buffered input, followed by next, contains a line that closes the session. It
 // changes nothing: the bytes of next are fed when they are read.
-func (s *Splitter) TakesBack(next []byte, session uint64) bool {
+func (s *Splitter) ContainsClose(next []byte, session uint64) bool {
 	if s.err != nil {
 		return false
 	}
--- a/internal/platform/wire/splitter_test.go
+++ b/internal/platform/wire/splitter_test.go
@@ -26,7 +26,7 @@
 	} {
 		s := NewSplitter(256)
 		s.Feed([]byte(c.fed))
-		if got := s.TakesBack([]byte(c.next), 7); got != c.want {
+		if got := s.ContainsClose([]byte(c.next), 7); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -45,7 +45,7 @@
 				break
 			}
 		}
-		found := s.TakesBack(next, 7)
+		found := s.ContainsClose(next, 7)
 		s.Feed(next)
 		read := false
 		for !read {
--- a/internal/platform/wire/wire.go
+++ b/internal/platform/wire/wire.go
@@ -38,28 +38,28 @@
 
 // Codes of parameters.
 const (
-	ParamClass   = 64
-	ParamTimeout = 67 // milliseconds that the front waits for an answer
-	ParamTitle   = 76
-	ParamNote    = 85 // kind of a note
-	ParamReport  = 91
-	ParamRung    = 97
-	ParamFigure  = 100 // value of a note
-	ParamCause   = 106 // one byte
-	ParamText    = 109 // the description
+	ParamClass     = 64
+	ParamTimeout   = 67 // milliseconds that the front waits for an answer
+	ParamTitle     = 76
+	ParamNote      = 85 // kind of a note
+	ParamReport    = 91
+	ParamRung      = 97
+	ParamNoteValue = 100 // value of a note
+	ParamCause     = 106 // one byte
+	ParamText      = 109 // the description
 )
 
 // Causes of messages and lines.
 const (
 	CauseReport    = 1  // of a test: the reply carries a report; with 0 it only shows that the process answers
-	CauseGivenUp   = 16 // before the answer the set-up is abandoned, after it the session ends
+	CauseEnded     = 16 // before the answer the set-up is abandoned, after it the session ends
 	CauseCancelled = 31
 	CauseFull      = 34 // the set-up never ran
 	CauseReset     = 41
 	CauseRefused   = 42 // a retry is harmless
 	CauseError     = 47
 	CauseMalformed = 100 // of an invalid request; any cause but 34, 42 and 102 means "failed"
-	CauseMoot      = 102 // the set-up never ran
+	CauseNotRun    = 102 // the set-up never ran
 )
 
 // Param is a parameter of a binary message.
--- a/internal/players/api.go
+++ b/internal/players/api.go
@@ -138,7 +138,7 @@
 		call.Fail(CodeTooManyOpen, fmt.Sprintf("%d requests at most may be open on a connection", c.hub.cfg.Front.OpenPerConnection), nil)
 	default:
 		c.hub.Stats.Busy.Add(1)
-		call.Fail(CodeRefused, "refused: busy ("+string(full)+")", NoData{RetryAfterMs: c.hub.cfg.Service.MaxRetry / policy.Millisecond})
+		call.Fail(CodeRefused, "refused: busy ("+string(full)+")", NoData{RetryAfterMs: c.hub.cfg.Service.MaxRetryAfter / policy.Millisecond})
 	}
 }
 
@@ -190,7 +190,7 @@
 }
 
 // ask checks parameters and turns names into numbers.
-func (h *Hub) ask(now front.Time, p *OpenParams) (a front.Ask, err error) {
+func (h *Hub) ask(now front.Time, p *OpenParams) (a front.Request, err error) {
 	for _, s := range []string{p.Title, p.Class, p.Tenant, p.Viewer, p.Token} {
 		if len(s) > maxName {
 			return a, fmt.Errorf("names hold %d bytes at most", maxName)
@@ -220,7 +220,7 @@
 		return a, fmt.Errorf("length must be 0 to 86400 s, deadlineMs 0 to 3600000")
 	}
 	a.Length, a.Hinted = front.Time(p.Length*float64(policy.Second)), p.Length > 0
-	a.Wait, a.Read, a.Again = p.DeadlineMs*policy.Millisecond, now, p.Again
+	a.Timeout, a.ReadAt, a.Again = p.DeadlineMs*policy.Millisecond, now, p.Again
 	a.Viewer = xxhash.Sum64String(p.Viewer)
 	if p.Token != "" {
 		if a.Token, err = strconv.ParseUint(p.Token, 16, 64); err != nil {
--- a/internal/players/players.go
+++ b/internal/players/players.go
@@ -40,7 +40,7 @@
 // Owner takes what players ask. Its methods are called from many goroutines and must not wait for sockets.
 type Owner interface {
 	Now() front.Time
-	Open(call *Call, ask front.Ask)
+	Open(call *Call, ask front.Request)
 	Close(call *Call, session uint64)
 	Resume(call *Call, session, token uint64)
 	Gone(conn *Conn)
@@ -60,8 +60,8 @@
 	conns map[*Conn]struct{}
 	stop  chan struct{}
 	done  sync.WaitGroup
-	door  overload.Door // guarded by mu
-	open  atomic.Int32  // requests that wait for their answer, in all
+	door  overload.HandshakeLimiter // guarded by mu
+	open  atomic.Int32              // requests that wait for their answer, in all
 	byTen []atomic.Int32
 	Stats Stats
 }
@@ -74,7 +74,7 @@
 // Conn is one player connection. Sessions is the owner's: the sessions that end with it.
 type Conn struct {
 	hub      *Hub
-	pipe     *pipe.Pipe
+	pipe     *pipe.Writer
 	mu       sync.Mutex // of what follows: the connection's reader, or the door that lets it in
 	sock     *wsock.Conn
 	held     []byte // of a handshake that is not whole yet, or waits at the door
@@ -101,7 +101,7 @@
 func New(cfg *config.Config, owner Owner) (*Hub, error) {
 	h := &Hub{cfg: cfg, owner: owner, conns: map[*Conn]struct{}{}, stop: make(chan struct{}),
 		byTen: make([]atomic.Int32, max(len(cfg.Tenants), 1)),
-		door:  overload.Door{PerSecond: float64(cfg.Front.Handshakes), Burst: float64(cfg.Front.Handshakes) / 4, Line: policy.Time(cfg.Front.HandshakeLine)}}
+		door:  overload.HandshakeLimiter{PerSecond: float64(cfg.Front.Handshakes), Burst: float64(cfg.Front.Handshakes) / 4, MaxDelay: policy.Time(cfg.Front.HandshakeLine)}}
 	ln, err := pipe.Listen(cfg.Front.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("players: %w", err)
@@ -136,7 +136,7 @@
 	h.mu.Unlock()
 	for _, c := range all {
 		c.pipe.Send(wsock.AppendClose(nil, wsock.CloseGoingAway, "leaving service"))
-		c.pipe.Finish()
+		c.pipe.CloseAfterFlush()
 	}
 	h.loop.Shutdown(ctx)
 	h.done.Wait()
@@ -144,9 +144,9 @@
 
 func (h *Hub) connect(ctx context.Context, nc netpoll.Connection) context.Context {
 	c := &Conn{hub: h, sock: wsock.New(Path, h.cfg.Front.Message), Sessions: map[uint64]struct{}{},
-		pipe: pipe.New(nc, h.cfg.Front.WriteBuffer, h.cfg.Front.WriteWait)}
+		pipe: pipe.NewWriter(nc, h.cfg.Front.WriteBuffer, h.cfg.Front.WriteWait)}
 	c.read.Store(int64(h.owner.Now()))
-	pipe.OnEnd(nc, c.leave)
+	pipe.OnClose(nc, c.leave)
 	h.mu.Lock()
 	full := len(h.conns) >= h.cfg.Front.Connections
 	if !full {
@@ -156,7 +156,7 @@
 	if full {
 		h.Stats.TurnedAway.Add(1)
 		c.pipe.Send([]byte("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"))
-		c.pipe.Finish()
+		c.pipe.CloseAfterFlush()
 		return context.WithValue(ctx, connKey{}, c)
 	}
 	h.Stats.Accepted.Add(1)
@@ -204,12 +204,12 @@
 func (c *Conn) knock() {
 	h := c.hub
 	h.mu.Lock()
-	verdict, wait := h.door.Come(h.owner.Now())
+	verdict, wait := h.door.Admit(h.owner.Now())
 	h.mu.Unlock()
 	switch verdict {
-	case overload.Now:
+	case overload.Accept:
 		c.enter()
-	case overload.Later:
+	case overload.Delay:
 		h.Stats.Waited.Add(1)
 		c.state = inLine
 		time.AfterFunc(time.Duration(wait), func() {
@@ -217,11 +217,11 @@
 			defer c.mu.Unlock()
 			c.enter()
 		})
-	case overload.Away:
+	case overload.Reject:
 		h.Stats.TurnedAway.Add(1)
 		c.held = nil
 		c.pipe.Send(fmt.Appendf(nil, "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: %d\r\nContent-Length: 0\r\n\r\n", wait/policy.Second+1))
-		c.pipe.Finish()
+		c.pipe.CloseAfterFlush()
 	}
 }
 
@@ -241,12 +241,12 @@
 		}
 	}
 	if len(c.sock.Out) > 0 {
-		c.pipe.SendHere(c.sock.Out)
+		c.pipe.SendInline(c.sock.Out)
 		c.sock.Out = nil
 	}
 	if c.sock.Closed() {
 		h.Stats.Broken.Add(1)
-		c.pipe.Finish()
+		c.pipe.CloseAfterFlush()
 	}
 }
 
@@ -275,7 +275,7 @@
 		h.mu.Unlock()
 		for _, c := range idle {
 			c.pipe.Send(wsock.AppendClose(nil, wsock.CloseGoingAway, "idle"))
-			c.pipe.Finish()
+			c.pipe.CloseAfterFlush()
 		}
 		for _, c := range quiet {
 			c.pinged.Store(now)
@@ -347,7 +347,7 @@
 func (c *Call) takeRoom(tenant int) overload.Full {
 	h := c.Conn.hub
 	full := overload.Limits{Front: h.cfg.Front.Open, Connection: h.cfg.Front.OpenPerConnection, Tenant: h.cfg.Front.OpenPerTenant}.
-		Room(int(h.open.Load()), int(c.Conn.open.Load()), int(h.byTen[tenant].Load()), len(h.byTen))
+		Check(int(h.open.Load()), int(c.Conn.open.Load()), int(h.byTen[tenant].Load()), len(h.byTen))
 	if full == overload.NotFull {
 		c.opens, c.ten = true, tenant
 		h.open.Add(1)
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -78,7 +78,7 @@
 }
 
 // Verify checks a token and returns its claims. It returns ErrExpired for a token that is authentic but expired.
-func (k *Keys) Open(token string, now int64) (c Claims, err error) {
+func (k *Keys) Verify(token string, now int64) (c Claims, err error) {
 	if len(token) > MaxTokenLength {
 		return c, ErrMalformed
 	}
--- a/internal/seal/seal_test.go
+++ b/internal/seal/seal_test.go
@@ -34,12 +34,12 @@
 		"its own key": {before, 1500, nil}, "overlap": {overlap, 1500, nil}, "key removed": {after, 1500, ErrSignature},
 		"last second": {before, 1999, nil}, "expired": {before, 2000, ErrExpired},
 	} {
-		got, err := c.k.Open(token, c.now)
+		got, err := c.k.Verify(token, c.now)
 		if !errors.Is(err, c.want) || err == nil && got != claims {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
 	}
-	if _, err := before.Open(overlap.Sign(claims), 1500); !errors.Is(err, ErrSignature) {
+	if _, err := before.Verify(overlap.Sign(claims), 1500); !errors.Is(err, ErrSignature) {
 		t.Error("signed with the old key after the rotation:", err)
 	}
 }
@@ -51,7 +51,7 @@
 		for _, c := range []byte("Aa0_-") {
 			if bad := bytes.Clone(token); bad[i] != c {
 				bad[i] = c
-				if got, err := k.Open(string(bad), 1500); err == nil {
+				if got, err := k.Verify(string(bad), 1500); err == nil {
 					t.Fatalf("byte %d changed to %c: accepted as %+v", i, c, got)
 				}
 			}
@@ -72,7 +72,7 @@
 	k, _ := NewKeys(oldKey)
 	f.Add(k.Sign(claims))
 	f.Fuzz(func(t *testing.T, token string) {
-		if c, err := k.Open(token, 1500); err == nil && k.Sign(c) != token {
+		if c, err := k.Verify(token, 1500); err == nil && k.Sign(c) != token {
 			t.Fatalf("%q decodes to %+v, which is signed as %q", token, c, k.Sign(c))
 		}
 	})
--- a/internal/serve/effects.go
+++ b/internal/serve/effects.go
@@ -71,7 +71,7 @@
 	case front.Refused:
 		s.log.Debug().Uint64("session", e.Session).Msg("refused")
 		if call := s.answering(e.Player); call != nil {
-			call.Fail(players.CodeRefused, "refused", players.NoData{Session: name(e.Session), RetryAfterMs: e.After / policy.Millisecond})
+			call.Fail(players.CodeRefused, "refused", players.NoData{Session: name(e.Session), RetryAfterMs: e.RetryAfter / policy.Millisecond})
 		}
 		s.forget(e.Session)
 	case front.Failed:
@@ -80,7 +80,7 @@
 			call.Fail(players.CodeFailed, "failed", players.NoData{Session: name(e.Session)})
 		}
 		s.forget(e.Session)
-	case front.RungTold:
+	case front.RungChanged:
 		if call := s.byID[e.Session]; call != nil {
 			call.Notify("session.rung", map[string]any{"session": name(e.Session), "rung": e.Rung, "rate": s.cfg.Service.RungKB[e.Rung]})
 		}
@@ -89,9 +89,9 @@
 			call.Notify("session.moved", map[string]any{"session": name(e.Session), "token": strconv.FormatUint(e.Token, 16)})
 		}
 		s.forget(e.Session)
-	case front.Over:
+	case front.SessionEnded:
 		if call := s.byID[e.Session]; call != nil {
-			call.Notify("session.ended", map[string]any{"session": name(e.Session), "reason": e.Why})
+			call.Notify("session.ended", map[string]any{"session": name(e.Session), "reason": e.Reason})
 		}
 		s.forget(e.Session)
 	case front.Follow: // the follower asks all the time
@@ -100,7 +100,7 @@
 	case front.Fault:
 		s.log.Error().Msg("fault: " + e.Text)
 	default:
-		s.desk.Do(s.now(), effect)
+		s.desk.Apply(s.now(), effect)
 	}
 }
 
--- a/internal/serve/events.go
+++ b/internal/serve/events.go
@@ -16,7 +16,7 @@
 type (
 	asked struct {
 		call Caller
-		ask  front.Ask
+		ask  front.Request
 	}
 	closed struct {
 		call    Caller
@@ -48,11 +48,11 @@
 
 func (o owner) Now() front.Time { return o.s.now() }
 
-func (o owner) Open(call *players.Call, ask front.Ask) { o.s.open(call, ask) }
+func (o owner) Open(call *players.Call, ask front.Request) { o.s.open(call, ask) }
 
 // open takes a request of any kind of player.
-func (s *Server) open(call Caller, ask front.Ask) {
-	if !s.queue.Put(admit.Ask, asked{call, ask}) {
+func (s *Server) open(call Caller, ask front.Request) {
+	if !s.queue.Put(admit.Request, asked{call, ask}) {
 		// The queue is full of work already taken: turned away before any work is spent, and never begun.
 		busy(call, s.comeBack())
 	}
@@ -64,7 +64,7 @@
 }
 
 func (o owner) Resume(call *players.Call, session, token uint64) {
-	o.s.queue.Put(admit.News, resumed{call, session, token})
+	o.s.queue.Put(admit.Outcome, resumed{call, session, token})
 }
 
 func (o owner) Limited() bool { return o.s.limited.Load() }
@@ -86,7 +86,7 @@
 
 // comeBack is the time told to those turned away before they were taken.
 func (s *Server) comeBack() front.Time {
-	return admit.ComeBack(s.cfg.Service.MaxRetry, float64(s.now()%1000)/1000)
+	return admit.RetryAfter(s.cfg.Service.MaxRetryAfter, float64(s.now()%1000)/1000)
 }
 
 // weights gives the gate's flows: classes by tenants, a class's worth times a tenant's share.
@@ -110,19 +110,19 @@
 }
 
 // waited reports to the gate how long a request waited, and tells whether it is turned away for it.
-func (s *Server) waited(now front.Time, ask *front.Ask) (stale bool) {
+func (s *Server) waited(now front.Time, ask *front.Request) (stale bool) {
 	if s.cfg.Front.NoGate {
 		return false
 	}
 	s.gateMu.Lock()
 	defer s.gateMu.Unlock()
-	s.gate.Waited(now, now-ask.Read, s.backlog)
+	s.gate.ObserveWait(now, now-ask.ReadAt, s.backlog)
 	s.limited.Store(s.gate.Limited())
-	return overload.Stale(now-ask.Read, s.gate.Limited())
+	return overload.Stale(now-ask.ReadAt, s.gate.Limited())
 }
 
 func (o owner) Close(call *players.Call, session uint64) {
-	o.s.queue.Put(admit.News, closed{call, session})
+	o.s.queue.Put(admit.Outcome, closed{call, session})
 }
 func (o owner) Gone(conn *players.Conn) { o.s.queue.Force(playerGone{conn.Sessions}) }
 
@@ -135,7 +135,7 @@
 	k.s.queue.Force(dialFailed{uint64(server), conn})
 }
 func (k sink) Received(server uint32, conn uint64, list []*rtsp.Message) {
-	k.s.queue.Put(admit.News, received{uint64(server), conn, list})
+	k.s.queue.Put(admit.Outcome, received{uint64(server), conn, list})
 }
 func (k sink) Lost(server uint32, conn uint64, begun uint64) {
 	k.s.queue.Force(lost{uint64(server), conn, begun})
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -96,7 +96,7 @@
 	s.fleet.tell = now + fleetEvery
 	set := &s.cfg.Service
 	mine := map[uint32]core.Standing{}
-	s.core.Standing(func(server uint32, class, rung int) {
+	s.core.ActiveSessions(func(server uint32, class, rung int) {
 		if class < 0 || class >= len(set.Classes) || rung < 0 || rung >= len(set.RungKB) {
 			return
 		}
--- a/internal/serve/hls.go
+++ b/internal/serve/hls.go
@@ -15,7 +15,7 @@
 func (o hlsOwner) Now() front.Time { return o.s.now() }
 
 // Open asks the gate as a session.open does, and hands the request to the owner.
-func (o hlsOwner) Open(c *manifest.Call, ask front.Ask) {
+func (o hlsOwner) Open(c *manifest.Call, ask front.Request) {
 	if after, ok := (owner{o.s}).Admit(ask.Class, ask.Tenant); !ok {
 		busy(c, after)
 		return
@@ -23,7 +23,7 @@
 	o.s.open(c, ask)
 }
 
-func (o hlsOwner) End(session uint64) { o.s.queue.Put(admit.News, ended{session}) }
+func (o hlsOwner) End(session uint64) { o.s.queue.Put(admit.Outcome, ended{session}) }
 
 func (o hlsOwner) Number(name string) (uint64, bool) {
 	text, ok := strings.CutPrefix(name, o.s.cfg.Front.Name+"-")
--- a/internal/serve/keeper.go
+++ b/internal/serve/keeper.go
@@ -24,10 +24,10 @@
 type keeper struct {
 	s       *Server
 	st      *store.Store
-	health  recovery.Health
-	asks    map[uint64]front.Ask // open sessions, for their records
-	tokens  map[uint64]uint64    // that they may be resumed by, once they play
-	waiting map[uint64]held      // paid set-ups that wait for their record
+	health  recovery.StoreHealth
+	asks    map[uint64]front.Request // open sessions, for their records
+	tokens  map[uint64]uint64        // that they may be resumed by, once they play
+	waiting map[uint64]held          // paid set-ups that wait for their record
 	aliveAt front.Time
 	last    *store.State // of the life before, until it is taken up
 }
@@ -48,7 +48,7 @@
 const aliveEvery = front.Time(500 * time.Millisecond)
 
 func newKeeper(s *Server) *keeper {
-	return &keeper{s: s, asks: map[uint64]front.Ask{}, tokens: map[uint64]uint64{}, waiting: map[uint64]held{}}
+	return &keeper{s: s, asks: map[uint64]front.Request{}, tokens: map[uint64]uint64{}, waiting: map[uint64]held{}}
 }
 
 // open opens the store. One that can't be read is put aside under another name and begun anew.
@@ -87,31 +87,31 @@
 // takeUp takes up what the life before left, once the servers are known.
 func (k *keeper) takeUp(now front.Time) {
 	last := k.last
-	if last == nil || k.s.core.Ready() == 0 {
+	if last == nil || k.s.core.ReadyServers() == 0 {
 		return
 	}
 	k.last = nil
 	var adopted, torn, haunt, gone int
 	for i := range last.Sessions {
 		x := &last.Sessions[i]
-		what, until := recovery.Judge(now, last.Alive, policy.Time(k.s.cfg.Front.ResumeFor), *x)
-		a := front.Adopt{Ask: askOf(x), ID: x.Ask.ID, Server: x.Server, Attempt: x.Attempt, Rung: x.Rung, Until: until}
+		what, until := recovery.DecideSession(now, last.Alive, policy.Time(k.s.cfg.Front.ResumeFor), *x)
+		a := front.Restore{Request: askOf(x), ID: x.Ask.ID, Server: x.Server, Attempt: x.Attempt, Rung: x.Rung, ExpiresAt: until}
 		setup := front.Setup{Session: x.Ask.ID, Attempt: x.Attempt, Server: x.Server, Title: x.Ask.Title, Class: x.Ask.Class, Viewer: x.Ask.Viewer, Rung: x.Rung, Name: x.Name}
 		switch {
-		case what == recovery.Adopt && k.s.desk.Address(x.Server) != "":
+		case what == recovery.Restore && k.s.desk.Address(x.Server) != "":
 			adopted++
-			k.asks[x.Ask.ID], k.tokens[x.Ask.ID] = a.Ask, x.Token
+			k.asks[x.Ask.ID], k.tokens[x.Ask.ID] = a.Request, x.Token
 			effects := k.s.core.Step(now, a)
-			k.s.desk.Adopt(now, setup, x.Stream)
+			k.s.desk.Restore(now, setup, x.Stream)
 			k.s.settle(effects)
 		case what == recovery.TearDown:
 			torn++
-			k.s.desk.Doom(now, x.Server, x.Stream)
+			k.s.desk.TearDownOrphan(now, x.Server, x.Stream)
 			k.st.Forget(x.Ask.ID)
 			k.s.settle(nil)
-		case what == recovery.Haunt:
+		case what == recovery.CountSeat:
 			haunt++
-			a.Ghost = true
+			a.Unconfirmed = true
 			k.s.step(now, a)
 		default:
 			gone++
@@ -125,14 +125,14 @@
 }
 
 // askOf gives the request that a kept session came from.
-func askOf(x *recovery.Session) front.Ask {
+func askOf(x *recovery.Session) front.Request {
 	a := &x.Ask
-	return front.Ask{Title: a.Title, Home: a.Home, Copies: a.Copies, Holders: a.Holders, Class: a.Class, Tenant: a.Tenant, Viewer: a.Viewer, Top: a.Top,
+	return front.Request{Title: a.Title, Home: a.Home, Copies: a.Copies, Holders: a.Holders, Class: a.Class, Tenant: a.Tenant, Viewer: a.Viewer, Top: a.Top,
 		Length: a.Length, Hinted: a.Hinted, Token: x.Token, Name: x.Name}
 }
 
 // took notes a request that was taken.
-func (k *keeper) took(id uint64, ask front.Ask) {
+func (k *keeper) took(id uint64, ask front.Request) {
 	if k.st != nil {
 		k.asks[id] = ask
 	}
@@ -140,7 +140,7 @@
 
 func (k *keeper) record(session uint64, server uint32, attempt, rung int, stage recovery.Stage, token uint64) *recovery.Session {
 	a := k.asks[session]
-	return &recovery.Session{Ask: policy.Ask{ID: session, Title: a.Title, Viewer: a.Viewer, Class: a.Class, Tenant: a.Tenant, Home: a.Home,
+	return &recovery.Session{Ask: policy.SessionSpec{ID: session, Title: a.Title, Viewer: a.Viewer, Class: a.Class, Tenant: a.Tenant, Home: a.Home,
 		Copies: a.Copies, Holders: a.Holders, Top: a.Top, Length: a.Length, Hinted: a.Hinted}, Name: a.Name, Server: server, Attempt: attempt, Rung: rung, Stage: stage,
 		Token: token, Stream: k.s.desk.Stream(session), At: k.s.now()}
 }
@@ -153,11 +153,11 @@
 	switch e := effect.(type) {
 	case front.Setup:
 		now := k.s.now()
-		if !k.s.cfg.Service.Classes[e.Class].Paid || !k.health.Waits(now) {
+		if !k.s.cfg.Service.Classes[e.Class].Paid || !k.health.ShouldWait(now) {
 			return false
 		}
 		k.waiting[e.Session] = held{e, now}
-		k.st.Session(k.record(e.Session, e.Server, e.Attempt, e.Rung, recovery.Out, 0), func(took time.Duration, err error) {
+		k.st.Session(k.record(e.Session, e.Server, e.Attempt, e.Rung, recovery.InFlight, 0), func(took time.Duration, err error) {
 			k.s.queue.Force(stored{e.Session, e.Attempt, took, err})
 		})
 		return true
@@ -166,18 +166,18 @@
 	case front.Withdraw:
 		for id, h := range k.waiting {
 			if h.setup.Server == e.Server {
-				k.withdraw(id, fate.Withdrawn)
+				k.withdraw(id, fate.Cancelled)
 			}
 		}
-	case front.RungTold: // else it would come back at the rung that it began with
+	case front.RungChanged: // else it would come back at the rung that it began with
 		if _, open := k.asks[e.Session]; open {
 			if old := k.tokens[e.Session]; old != 0 {
-				k.st.Session(k.record(e.Session, k.s.desk.Server(e.Session), k.s.desk.Attempt(e.Session), e.Rung, recovery.Plays, old), nil)
+				k.st.Session(k.record(e.Session, k.s.desk.Server(e.Session), k.s.desk.Attempt(e.Session), e.Rung, recovery.Playing, old), nil)
 			}
 		}
 	case front.Plays:
 		k.tokens[e.Session] = e.Token
-		k.st.Session(k.record(e.Session, e.Server, k.s.desk.Attempt(e.Session), e.Rung, recovery.Plays, e.Token), nil)
+		k.st.Session(k.record(e.Session, e.Server, k.s.desk.Attempt(e.Session), e.Rung, recovery.Playing, e.Token), nil)
 	}
 	return false
 }
@@ -189,19 +189,19 @@
 		return false
 	}
 	delete(k.waiting, session)
-	k.s.later = append(k.s.later, front.Ended{Session: session, Attempt: h.setup.Attempt, Status: fate.Of(fate.Unsent, cause, 0),
+	k.s.later = append(k.s.later, front.AttemptEnded{Session: session, Attempt: h.setup.Attempt, Status: fate.StatusOf(fate.Unsent, cause, 0),
 		Took: k.s.now() - h.since})
 	return true
 }
 
 // stored goes on with a set-up whose record is written, or can't be.
 func (k *keeper) stored(now front.Time, e stored) {
-	if k.health.Wrote(now, front.Time(e.took), e.err) {
+	if k.health.RecordWrite(now, front.Time(e.took), e.err) {
 		k.s.log.Error().Err(e.err).Dur("took", e.took).Msg("the store fails or hangs: served without it")
 	}
 	if h, ok := k.waiting[e.session]; ok && h.setup.Attempt == e.attempt {
 		delete(k.waiting, e.session)
-		k.s.desk.Do(now, h.setup)
+		k.s.desk.Apply(now, h.setup)
 	}
 }
 
@@ -211,12 +211,12 @@
 		return
 	}
 	for id, h := range k.waiting {
-		if took := now - h.since; took >= recovery.WriteWait {
+		if took := now - h.since; took >= recovery.WriteTimeout {
 			delete(k.waiting, id)
-			if k.health.Wrote(now, took, nil) {
+			if k.health.RecordWrite(now, took, nil) {
 				k.s.log.Error().Dur("took", time.Duration(took)).Msg("the store hangs: served without it")
 			}
-			k.s.desk.Do(now, h.setup)
+			k.s.desk.Apply(now, h.setup)
 		}
 	}
 	if now-k.aliveAt >= aliveEvery {
--- a/internal/serve/keeper_test.go
+++ b/internal/serve/keeper_test.go
@@ -29,7 +29,7 @@
 		"can't be written": {func(s *Server, now front.Time) {
 			s.keep.stored(now, stored{session: s.core.LastID(), err: errors.New("disk full")})
 		}, 1, false},
-		"takes too long":    {func(s *Server, now front.Time) { s.keep.tick(s.now() + recovery.WriteWait) }, 1, true},
+		"takes too long":    {func(s *Server, now front.Time) { s.keep.tick(s.now() + recovery.WriteTimeout) }, 1, true},
 		"of an old attempt": {func(s *Server, now front.Time) { s.keep.stored(now, stored{session: s.core.LastID(), attempt: 7}) }, 0, true},
 		"its server drains": {func(s *Server, now front.Time) {
 			s.step(now, front.Listed{List: policy.List{Kind: policy.ListDelta, Entries: []policy.Entry{{Server: 1, Size: 1, Health: policy.Draining}}}})
@@ -54,7 +54,9 @@
 			now := s.now()
 			s.believe(policy.ListFull, []serverlist.Entry{{Entry: policy.Entry{Server: 1, Size: 1}, Addr: "127.0.0.1:1",
 				Paths: []paths.Path{{Addr: "127.0.0.1:1", Family: paths.IPv4}}}}, now)
-			ask := func() { s.step(now, front.Ask{Player: 1, Read: now, Title: 1, Copies: 3, Class: 1, Viewer: 9, Top: 2}) }
+			ask := func() {
+				s.step(now, front.Request{Player: 1, ReadAt: now, Title: 1, Copies: 3, Class: 1, Viewer: 9, Top: 2})
+			}
 			ask()
 			if held, _ := s.desk.Counts(); len(s.keep.waiting) != 1 || held != 0 {
 				t.Fatal("it did not wait", len(s.keep.waiting), held)
@@ -63,7 +65,7 @@
 			if held, _ := s.desk.Counts(); held != c.sent || name != "of an old attempt" && len(s.keep.waiting) != 0 {
 				t.Errorf("%d sent, %d wait", held, len(s.keep.waiting))
 			}
-			if s.keep.health.Waits(now+1) != c.hold {
+			if s.keep.health.ShouldWait(now+1) != c.hold {
 				t.Error("whether the next one waits")
 			}
 			if s.core.Stats().Faults > 0 {
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -22,13 +22,13 @@
 	for _, e := range a.Entries {
 		entries = append(entries, e.Entry)
 	}
-	list, verdict := s.view.Take(now, members.Answer{Index: a.Index, Entries: entries})
+	list, verdict := s.view.Apply(now, members.Response{Index: a.Index, Entries: entries})
 	s.index.set(s.view.Index())
-	if s.view.Doubted() { // asked again from the start, so that the service answers at once
+	if s.view.EmptyPending() { // asked again from the start, so that the service answers at once
 		s.index.set(0)
 	}
-	if verdict != members.Believed {
-		if verdict != members.Same && !s.doubt {
+	if verdict != members.Accepted {
+		if verdict != members.Unchanged && !s.doubt {
 			s.doubt = true
 			s.log.Warn().Uint64("index", a.Index).Int("entries", len(entries)).Msg("server list not believed; the old one stands")
 		}
@@ -63,7 +63,7 @@
 	s.https = make(map[uint32]string, len(list))
 	for _, e := range list {
 		s.https[e.Server] = e.HTTP
-		servers = append(servers, exchange.Server{ID: e.Server, Addr: e.Addr, Paths: e.Paths, Started: e.Started})
+		servers = append(servers, exchange.Server{ID: e.Server, Addr: e.Addr, Paths: e.Paths, StartedAt: e.Started})
 		told := s.overlay(e.Entry, now)
 		entries = append(entries, told)
 		if told.Health == policy.Ready {
@@ -73,7 +73,7 @@
 	s.log.Info().Int("servers", len(list)).Int("ready", ready).Bool("cached", kind == policy.ListCached).Msg("server list")
 	// The core first: what was not sent to a server that drains is taken back before its connection is touched.
 	s.step(now, front.Listed{List: policy.List{Kind: kind, Entries: entries}})
-	s.desk.Listed(now, servers)
+	s.desk.SetServers(now, servers)
 	s.settle(nil)
 	s.vacate(now)
 	s.tellServers()
@@ -81,7 +81,7 @@
 }
 
 func (s *Server) redirected(now front.Time, server uint32) {
-	e, news := s.view.Redirected(server, now)
+	e, news := s.view.HandleRedirect(server, now)
 	if !news {
 		return
 	}
--- a/internal/serve/look.go
+++ b/internal/serve/look.go
@@ -21,8 +21,8 @@
 func (s *Server) snapshot() Snapshot {
 	held, calls := s.desk.Counts()
 	_, peak, turned := s.queue.Stats()
-	return Snapshot{Stats: s.core.Stats(), Open: s.core.Open(), Held: s.core.Held(), Attempts: held, Calls: calls,
-		QueuePeak: peak, Ready: s.core.Ready(), TurnedAway: turned, Handles: len(s.calls), Kept: len(s.byID)}
+	return Snapshot{Stats: s.core.Stats(), Open: s.core.OpenRequests(), Held: s.core.SessionCount(), Attempts: held, Calls: calls,
+		QueuePeak: peak, Ready: s.core.ReadyServers(), TurnedAway: turned, Handles: len(s.calls), Kept: len(s.byID)}
 }
 
 // Inspect gives a snapshot; it fails if the front has left.
--- a/internal/serve/owner.go
+++ b/internal/serve/owner.go
@@ -20,7 +20,7 @@
 	var drainBy, closeBy, readUntil front.Time
 	for {
 		now := s.now()
-		if wait := admit.Standstill(now - last); wait > 0 {
+		if wait := admit.ReadWindowAfterStall(now - last); wait > 0 {
 			readUntil = now + wait
 			s.log.Warn().Dur("gap", time.Duration(now-last)).Msg("stood still")
 		}
@@ -37,7 +37,7 @@
 			continue
 		}
 		s.settle(s.core.Advance(now))
-		if at, racing := s.desk.Next(); now >= deskAt || racing && now >= at {
+		if at, racing := s.desk.NextTick(); now >= deskAt || racing && now >= at {
 			deskAt = now + front.Time(deskEvery)
 			s.desk.Tick(now)
 			s.keep.tick(now)
@@ -48,7 +48,7 @@
 			if drainBy == 0 {
 				drainBy = now + front.Time(s.cfg.Front.DrainLimit)
 			}
-			if s.core.Open() == 0 || now >= drainBy {
+			if s.core.OpenRequests() == 0 || now >= drainBy {
 				s.closing = true
 				closeBy = now + front.Time(closeMost)
 				s.settle(s.core.Step(now, front.CloseAll{}))
@@ -69,7 +69,7 @@
 		if at, ok := s.core.Next(); ok {
 			wait = min(wait, time.Duration(at-now))
 		}
-		if at, ok := s.desk.Next(); ok {
+		if at, ok := s.desk.NextTick(); ok {
 			wait = min(wait, time.Duration(at-now))
 		}
 		if wait <= 0 {
@@ -103,7 +103,7 @@
 	case playerGone:
 		for id := range e.held {
 			s.step(now, front.Detach{Session: id})
-			if !s.core.Holds(id) {
+			if !s.core.HoldsSession(id) {
 				s.forget(id)
 			}
 		}
@@ -119,7 +119,7 @@
 			s.desk.Received(now, uint32(e.server), e.conn, m)
 		}
 	case lost:
-		s.desk.Lost(now, uint32(e.server), e.conn, e.begun)
+		s.desk.ConnectionLost(now, uint32(e.server), e.conn, e.begun)
 	case stored:
 		s.keep.stored(now, e)
 	case listAnswer:
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -44,7 +44,7 @@
 	log        zerolog.Logger
 	start      time.Time
 	core       *front.Core
-	desk       *exchange.Desk
+	desk       *exchange.Protocol
 	links      *media.Links
 	hub        *players.Hub
 	hls        *manifest.Hub // nil: not served
@@ -70,8 +70,8 @@
 	leaving  bool
 	closing  bool
 	gateMu   sync.Mutex
-	gate     *overload.Gate // guarded by gateMu
-	limited  atomic.Bool    // what the gate said last
+	gate     *overload.RateLimiter // guarded by gateMu
+	limited  atomic.Bool           // what the gate said last
 	backlog  int
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -104,19 +104,19 @@
 		module = baseline.New(baseline.Kind(cfg.Front.Baseline), cfg.Service, seed)
 		log.Warn().Str("baseline", cfg.Front.Baseline).Msg("a baseline decides in the module's place")
 	}
-	s.core = front.New(front.Config{Settings: cfg.Service, Module: module, Token: newTokens(),
+	s.core = front.New(front.Config{Settings: cfg.Service, Module: module, NewToken: newTokens(),
 		FirstID:      seed / uint64(time.Millisecond) << 12 & (1<<52 - 1), // above every id of an earlier start
-		AnswerMargin: policy.Time(cfg.Front.AnswerMargin), LastLine: policy.Time(cfg.Front.LastLine),
-		MovedFor: policy.Time(cfg.Front.MovedFor), MovedMost: 10_000, ResumeFor: policy.Time(cfg.Front.ResumeFor)})
+		AnswerMargin: policy.Time(cfg.Front.AnswerMargin), FailsafeMargin: policy.Time(cfg.Front.LastLine),
+		MoveTokenTTL: policy.Time(cfg.Front.MovedFor), MaxMoveTokens: 10_000, ResumeWindow: policy.Time(cfg.Front.ResumeFor)})
 	var aims []front.Time
 	for _, k := range cfg.Service.Classes {
-		aims = append(aims, k.Aim)
+		aims = append(aims, k.SetupTarget)
 	}
 	s.desk = exchange.New(exchange.Config{Front: cfg.Front.Name, Fields: cfg.Service.Fields,
-		ProbeWait: policy.Time(cfg.Front.ProbeWait), Stall: policy.Time(cfg.Front.Stall),
-		KeepAlive: policy.Time(cfg.Front.KeepAlive), TitleName: s.titleName, Connect: cfg.Service.ConnectWait, IdleClose: idleClose,
-		Aims: aims, Draw: rand.Float64})
-	s.links = media.New(sink{s}, time.Duration(cfg.Service.ConnectWait), cfg.Front.WriteWait, mediaBytes)
+		ProbeTimeout: policy.Time(cfg.Front.ProbeWait), StallTimeout: policy.Time(cfg.Front.Stall),
+		KeepAliveInterval: policy.Time(cfg.Front.KeepAlive), TitleName: s.titleName, ConnectTimeout: cfg.Service.ConnectTimeout, IdleTimeout: idleClose,
+		Aims: aims, Random: rand.Float64})
+	s.links = media.New(sink{s}, time.Duration(cfg.Service.ConnectTimeout), cfg.Front.WriteWait, mediaBytes)
 	names := serverlist.Names{Kinds: cfg.Kinds, Zones: cfg.Zones}
 	s.cache = serverlist.Cache{Dir: cfg.Front.StateDir, Names: names}
 	if cfg.Front.ListFile != "" {
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -112,7 +112,7 @@
 	r := audit.Rules{AnswerGrace: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Skew: 80 * time.Millisecond}
 	for i, k := range cfg.Service.Classes {
 		r.Classes = append(r.Classes, audit.Class{Name: cfg.Classes[i], Paid: k.Paid, Floor: k.Floor, Seats: k.Seats,
-			Aim: time.Duration(k.Aim), Deadline: time.Duration(k.Deadline)})
+			Aim: time.Duration(k.SetupTarget), Deadline: time.Duration(k.Deadline)})
 	}
 	return r
 }
--- a/internal/serve/titles.go
+++ b/internal/serve/titles.go
@@ -56,9 +56,9 @@
 		return plan.Pressure{Backlog: int(s.waiting.Load()), Wait: s.waitedFor.Load()}
 	})
 	if s.cfg.Catalogue != nil {
-		s.work.Add(plan.Task{Name: "catalogue", Every: lookEvery, Deadline: 2 * policy.Second, Priority: 2}, s.lookAtTitles)
+		s.work.Add(plan.Task{Name: "catalogue", Interval: lookEvery, Deadline: 2 * policy.Second, Priority: 2}, s.lookAtTitles)
 		if s.keptDir() != nil {
-			s.work.Add(plan.Task{Name: "snapshot", Every: keepEvery, Deadline: 5 * 60 * policy.Second}, s.keepTitles)
+			s.work.Add(plan.Task{Name: "snapshot", Interval: keepEvery, Deadline: 5 * 60 * policy.Second}, s.keepTitles)
 		}
 	}
 	s.group.Add(1)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -37,8 +37,8 @@
 // read converts the values to settings.
 func (p *settingsMap) read() (s policy.Settings) {
 	const family, limits = "family-info.", "policy-limits."
-	s.Me, s.Fleet, s.Zone = p.count("me"), p.count("fleet-size"), p.count("zone")
-	s.OverShare = p.number("over-share-worth")
+	s.FrontIndex, s.Fronts, s.Zone = p.count("me"), p.count("fleet-size"), p.count("zone")
+	s.OverShareWorth = p.number("over-share-worth")
 	s.RungKB, s.RungWorth = p.numbers(family+"level-kb"), p.numbers(family+"level-worth")
 	s.FleetKB, s.RackKB, s.WeightKB = p.number(family+"fleet-kb"), p.number(family+"rack-link-kb"),
 		p.number(family+"weight-kb")
@@ -47,33 +47,33 @@
 	}
 	s.Racks, s.Cells = p.count(family+"shelves"), p.count(family+"positions")
 	s.KindSlots = p.numbers(family + "kind-slots")
-	s.SeeLate, s.TellEvery = p.duration(family+"see-ns"), p.duration(family+"reports-every-ns")
-	s.FullFrom, s.StallCost = p.number(family+"full-from"), p.number(family+"stall-cost")
-	s.ChangeCost, s.Join = p.number(family+"change-costs-s"), p.number(family+"join")
+	s.NoteDelay, s.NoteInterval = p.duration(family+"see-ns"), p.duration(family+"reports-every-ns")
+	s.FullThreshold, s.StallCost = p.number(family+"full-from"), p.number(family+"stall-cost")
+	s.ChangeCost, s.ExtraViewerCost = p.number(family+"change-costs-s"), p.number(family+"join")
 	for _, f := range p.items("telemetry.fields") {
 		s.Fields = append(s.Fields, fieldByName[f])
 	}
 	s.SubscribeList = p.values["discovery"] == "subscribe"
-	s.Inline = p.values["telemetry.how"] == "inline"
+	s.InlineReports = p.values["telemetry.how"] == "inline"
 	s.MayProbe = p.boolean(limits+"may-probe") && p.values["telemetry.how"] != "off"
-	s.MaxAttempts, s.ConnectWait = p.count(limits+"max-attempts"), p.duration(limits+"connect-timeout-ns")
-	s.RetryAfter, s.MaxRetry = p.boolean(limits+"retry-after"), p.duration(limits+"max-retry-after-ns")
-	s.DrainGrace, s.ColdSpan = p.duration("rules.drain-grace-ns"), p.duration("rules.cold-ns")
-	s.FallSpan, s.ColdFrom, s.ColdTimes = p.duration("rules.fall-ns"), p.number("rules.cold-from"),
+	s.MaxAttempts, s.ConnectTimeout = p.count(limits+"max-attempts"), p.duration(limits+"connect-timeout-ns")
+	s.RetryAfter, s.MaxRetryAfter = p.boolean(limits+"retry-after"), p.duration(limits+"max-retry-after-ns")
+	s.DrainGrace, s.WarmupTime = p.duration("rules.drain-grace-ns"), p.duration("rules.cold-ns")
+	s.OverloadWindow, s.ColdCapacity, s.OverloadFactor = p.duration("rules.fall-ns"), p.number("rules.cold-from"),
 		p.number("rules.tip-multiple")
 	for _, k := range []string{"spare-attempts", "extra-ratio", "extra-window-ns"} {
 		_, ok := p.values["rules."+k]
-		s.Budgeted = s.Budgeted || ok
+		s.RetriesLimited = s.RetriesLimited || ok
 	}
-	s.SpareAttempts, s.Ratio = p.number("rules.spare-attempts"), p.number("rules.extra-ratio")
-	s.BudgetSpan = p.duration("rules.extra-window-ns")
+	s.SpareRetries, s.RetryRatio = p.number("rules.spare-attempts"), p.number("rules.extra-ratio")
+	s.RetryWindow = p.duration("rules.extra-window-ns")
 	s.PriceMove, s.PriceProbe = p.number("prices.moves"), p.number("prices.probe")
-	s.PriceCross, s.LateFail = p.number("prices.cross-zone"), p.number("prices.late-fail")
+	s.PriceCrossZone, s.PriceLateFail = p.number("prices.cross-zone"), p.number("prices.late-fail")
 	floors, tops := p.numbers(family+"lowest-rung"), p.numbers(family+"class-top")
 	scales, seats, live := p.numbers(family+"scale-by-class"), p.numbers(family+"seats"), p.items(family+"class-live")
 	for i := 0; i < p.count("request-classes.count"); i++ {
 		prefix := "request-classes." + strconv.Itoa(i) + "."
-		c := policy.Class{Aim: p.duration(prefix + "slo-ns"), Deadline: p.duration(prefix + "deadline-ns"),
+		c := policy.Class{SetupTarget: p.duration(prefix + "slo-ns"), Deadline: p.duration(prefix + "deadline-ns"),
 			Paid: p.values[prefix+"effect"] != "safe", Worth: p.number(prefix + "importance"),
 			Scale: itemOr(scales, i, 1), Floor: int(itemOr(floors, i, 0)),
 			Top: int(itemOr(tops, i, float64(len(s.RungKB)-1))), Seats: int(itemOr(seats, i, 0))}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -20,8 +20,8 @@
 		"family-info.scale-by-class=x,1", "realms.count=1", "realms.0.quota-rps=4.0", "zone=-1", "some.new-key=7",
 		"family-info.shelves=2.5", "family-info.positions=99999999", "", "no equals sign", "prices.moves=nan",
 	}, "\n"))
-	if s.Fleet != 2 || !reflect.DeepEqual(s.RungKB, []float64{194, 313}) || !s.Inline || !s.MayProbe ||
-		!s.SubscribeList || !s.Budgeted || s.SpareAttempts != 3 || s.Tenants[0].PerSecond != 4 {
+	if s.Fronts != 2 || !reflect.DeepEqual(s.RungKB, []float64{194, 313}) || !s.InlineReports || !s.MayProbe ||
+		!s.SubscribeList || !s.RetriesLimited || s.SpareRetries != 3 || s.Tenants[0].PerSecond != 4 {
 		t.Errorf("%+v", s)
 	}
 	if !reflect.DeepEqual(s.Fields, []policy.Field{policy.FieldLink, policy.FieldUplink, policy.FieldUtil,
@@ -29,7 +29,7 @@
 		t.Errorf("fields %v", s.Fields)
 	}
 	if c := s.Classes; len(c) != 2 || c[0].Paid || !c[1].Paid || c[1].Floor != 1 || c[1].Seats != 4 ||
-		c[0].Scale != 1 || c[0].Aim != policy.Second || c[0].Top != 1 {
+		c[0].Scale != 1 || c[0].SetupTarget != policy.Second || c[0].Top != 1 {
 		t.Errorf("classes %+v", c)
 	}
 	for _, key := range []string{"retry-after", "scale-by-class", "zone", "shelves", "positions",
@@ -41,7 +41,7 @@
 	if strings.Contains(strings.Join(unusable, "\n"), "some.new-key") {
 		t.Error("an unknown key is listed as unusable")
 	}
-	if s, unusable := Parse(""); len(unusable) > 0 || len(s.Classes) > 0 || s.Budgeted {
+	if s, unusable := Parse(""); len(unusable) > 0 || len(s.Classes) > 0 || s.RetriesLimited {
 		t.Errorf("empty settings: %+v %q", s, unusable)
 	}
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -203,16 +203,16 @@
 		}
 		return policy.List{Kind: kind, Entries: list}, nil
 	case eventRequest:
-		a := policy.Ask{ID: r.u64(), Title: r.u64(), Copies: r.integer(), Length: r.time(), Deadline: r.time(),
+		a := policy.SessionSpec{ID: r.u64(), Title: r.u64(), Copies: r.integer(), Length: r.time(), Deadline: r.time(),
 			Tenant: int(r.u32()), Home: r.integer()}
 		setFlags(&a, r.u16())
 		a.Class, a.Viewer, a.Top = int(r.u16()), r.u64(), r.integer()
-		return policy.Request{Ask: a}, nil
+		return policy.Request{SessionSpec: a}, nil
 	case eventRestored:
-		a := policy.Ask{ID: r.u64(), Class: int(r.u16()), Tenant: int(r.u32()), Viewer: r.u64(), Title: r.u64(),
+		a := policy.SessionSpec{ID: r.u64(), Class: int(r.u16()), Tenant: int(r.u32()), Viewer: r.u64(), Title: r.u64(),
 			Deadline: r.time(), Length: r.time(), Home: r.integer(), Copies: r.integer(), Top: r.integer()}
 		setFlags(&a, r.u16())
-		return policy.Handed{Ask: a, Server: r.u32()}, nil
+		return policy.Restored{SessionSpec: a, Server: r.u32()}, nil
 	case eventPlaying:
 		return policy.Playing{ID: r.u64(), Attempt: int(r.u16()), Server: r.u32(), Took: r.time()}, nil
 	case eventNote:
@@ -222,9 +222,9 @@
 		return policy.Outcome{ID: r.u64(), Attempt: int(r.u16()), Server: r.u32(), Status: r.status(), Took: r.time(),
 			Final: r.u8() != 0, Report: r.report()}, nil
 	case eventViewerLeft:
-		return policy.Gone{ID: r.u64()}, nil
+		return policy.ViewerLeft{ID: r.u64()}, nil
 	case eventTimerFired:
-		return policy.Alarm{Token: r.u32()}, nil
+		return policy.TimerFired{Token: r.u32()}, nil
 	case eventProbed:
 		return policy.Probed{Server: r.u32(), Status: r.status(), Took: r.time(), Report: r.report()}, nil
 	case eventPeerMessage:
@@ -239,7 +239,7 @@
 }
 
 // setFlags decodes the flag bits of a request.
-func setFlags(a *policy.Ask, bits uint16) {
+func setFlags(a *policy.SessionSpec, bits uint16) {
 	a.Hinted, a.Moved, a.Again = bits&1 != 0, bits&8 != 0, bits&16 != 0
 }
 
@@ -320,7 +320,7 @@
 	case policy.Probe:
 		p.beginRecord(actionProbe)
 		p.u32(a.Server)
-	case policy.Follow:
+	case policy.Subscribe:
 		p.beginRecord(actionSubscribe)
 		p.records = append(p.records, 1)
 	case policy.Log:
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -64,7 +64,7 @@
 		record []byte
 		want   any
 	}
-	ask := policy.Ask{ID: 1, Title: 2, Copies: 3, Length: 4, Deadline: 5, Tenant: 6, Home: 7, Class: 1, Viewer: 8,
+	ask := policy.SessionSpec{ID: 1, Title: 2, Copies: 3, Length: 4, Deadline: 5, Tenant: 6, Home: 7, Class: 1, Viewer: 8,
 		Top: 2, Hinted: true, Moved: true, Again: true}
 	return map[string]pair{
 		"start": {newRecord(1000, uint64(5), uint32(4), "me=1"), Start{Seed: 5, Settings: "me=1"}},
@@ -75,10 +75,10 @@
 		"failed list": {newRecord(1010, uint8(1), uint32(1), uint8(0)), policy.List{Kind: policy.ListFailed}},
 		"request": {newRecord(1020, uint64(1), uint64(2), float32(3), uint64(4), uint64(5), uint32(6), float32(7),
 			uint16(25), uint16(1), uint64(8), float32(2)),
-			policy.Request{Ask: ask}},
+			policy.Request{SessionSpec: ask}},
 		"handed": {newRecord(1100, uint64(1), uint16(1), uint32(6), uint64(8), uint64(2), uint64(5), uint64(4),
 			float32(7), float32(3), float32(2), uint16(25), uint32(9)),
-			policy.Handed{Ask: ask, Server: 9}},
+			policy.Restored{SessionSpec: ask, Server: 9}},
 		"playing": {newRecord(1030, uint64(1), uint16(2), uint32(9), uint64(4)),
 			policy.Playing{ID: 1, Attempt: 2, Server: 9, Took: 4}},
 		"note": {newRecord(1110, uint64(1), uint16(2), uint32(9), uint8(1), float32(0.5)),
@@ -87,8 +87,8 @@
 			float32(0.25), float32(1.25)),
 			policy.Outcome{ID: 1, Attempt: 2, Server: 9, Status: policy.TimedOut, Took: 4, Final: true,
 				Report: []float64{0.25, 1.25}}},
-		"gone":  {newRecord(1050, uint64(1)), policy.Gone{ID: 1}},
-		"alarm": {newRecord(1060, uint32(6)), policy.Alarm{Token: 6}},
+		"gone":  {newRecord(1050, uint64(1)), policy.ViewerLeft{ID: 1}},
+		"alarm": {newRecord(1060, uint32(6)), policy.TimerFired{Token: 6}},
 		"probed": {newRecord(1070, uint32(9), uint16(0), uint64(4), uint8(1), float32(0.5)),
 			policy.Probed{Server: 9, Took: 4, Report: []float64{0.5}}},
 	}
@@ -174,7 +174,7 @@
 		{policy.Rate{ID: 1, Rung: 2}, newRecord(1090, uint64(1), uint8(2))},
 		{policy.Timer{Token: 1, After: 3}, newRecord(1050, uint32(1), uint64(3))},
 		{policy.Probe{Server: 2}, newRecord(1070, uint32(2))},
-		{policy.Follow{}, newRecord(1120, uint8(1))},
+		{policy.Subscribe{}, newRecord(1120, uint8(1))},
 		{policy.Log{Text: "ab"}, newRecord(1000, uint16(2), "ab")},
 	} {
 		var r Reply
@@ -201,7 +201,7 @@
 	var reply Reply
 	// A front that New did not make has nil maps, so that its first list panics.
 	fronts := map[uint32]*policy.Front{3: new(policy.Front)}
-	err := handle(fronts, 5, FrontEvent{3, policy.Request{Ask: policy.Ask{ID: 1}}}, &reply)
+	err := handle(fronts, 5, FrontEvent{3, policy.Request{SessionSpec: policy.SessionSpec{ID: 1}}}, &reply)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/mediasim/http.go
+++ b/internal/standin/mediasim/http.go
@@ -85,7 +85,7 @@
 func (s *Server) segment(w http.ResponseWriter, r *http.Request, title, rest string) {
 	e := record.Event{Who: s.name(), What: record.Segment, Server: s.ID, Title: title, Text: rest}
 	if s.farm.p.Keys != nil {
-		c, err := s.farm.p.Keys.Open(r.URL.Query().Get("st"), time.Now().Unix())
+		c, err := s.farm.p.Keys.Verify(r.URL.Query().Get("st"), time.Now().Unix())
 		if err != nil || c.Title != title {
 			http.Error(w, "no token for this title", http.StatusForbidden)
 			return
--- a/internal/standin/platformsim/journal.go
+++ b/internal/standin/platformsim/journal.go
@@ -105,10 +105,10 @@
 func (j *Journal) Tell(whole bool, health string, list ...*Server) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	words := map[string]string{wire.HostReady: "ready", wire.HostDraining: "draining", wire.HostGone: "gone"}
+	words := map[string]string{wire.HostReady: "ready", wire.HostDraining: "draining", wire.HostRemoved: "gone"}
 	var hosts []wire.Host
 	for _, s := range list {
-		hosts = append(hosts, wire.Host{Name: s.Name(), Dial: s.Addr(), Zone: "z", Kind: "k", Cell: int(s.ID), Health: health, Share: 10})
+		hosts = append(hosts, wire.Host{Name: s.Name(), Address: s.Addr(), Zone: "z", Kind: "k", Cell: int(s.ID), Health: health, Share: 10})
 		j.w.add(record.Event{Who: "journal", What: record.Told, Server: s.ID, Health: words[health]})
 	}
 	j.add(whole, hosts)
--- a/internal/standin/platformsim/servers.go
+++ b/internal/standin/platformsim/servers.go
@@ -152,7 +152,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p, ok := s.plays[sid]; ok {
-		write(p.conn, (&wire.Message{Type: wire.Note, Session: sid}).Add(wire.ParamNote, name).Add(wire.ParamFigure, figure))
+		write(p.conn, (&wire.Message{Type: wire.Note, Session: sid}).Add(wire.ParamNote, name).Add(wire.ParamNoteValue, figure))
 	}
 }
 
@@ -217,7 +217,7 @@
 		delete(s.plays, sid)
 		p.event.T, p.event.What = 0, record.End
 		s.w.add(p.event)
-		b, _ := (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseGivenUp).Append(nil)
+		b, _ := (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseEnded).Append(nil)
 		c.SetWriteDeadline(time.Now().Add(time.Second))
 		c.Write(b[:len(b)/2])
 		time.Sleep(20 * time.Millisecond)
--- a/internal/standin/platformsim/viewers.go
+++ b/internal/standin/platformsim/viewers.go
@@ -56,7 +56,7 @@
 			switch {
 			case l.Msg == wire.LineReady:
 				e.Text = "plays"
-			case l.Code == wire.CauseFull || l.Code == wire.CauseRefused || l.Code == wire.CauseMoot:
+			case l.Code == wire.CauseFull || l.Code == wire.CauseRefused || l.Code == wire.CauseNotRun:
 				e.Text = "refused"
 			}
 			v.w.add(e)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -18,7 +18,7 @@
 )
 
 func session(id uint64, rung int) *recovery.Session {
-	return &recovery.Session{Ask: policy.Ask{ID: id, Title: 3, Viewer: id, Class: 1}, Server: 7, Rung: rung, Stage: recovery.Plays, Stream: fmt.Sprint("s", id), At: 5}
+	return &recovery.Session{Ask: policy.SessionSpec{ID: id, Title: 3, Viewer: id, Class: 1}, Server: 7, Rung: rung, Stage: recovery.Playing, Stream: fmt.Sprint("s", id), At: 5}
 }
 
 func TestWhatWasWrittenIsThereAgain(t *testing.T) {
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -86,7 +86,7 @@
 		bytes, done := step(ctx, time.Duration(budget))
 		s.mu.Lock()
 		end := s.now()
-		s.plan.Ran(end, name, end-now, bytes, done, s.pressure())
+		s.plan.RecordStep(end, name, end-now, bytes, done, s.pressure())
 		st := s.stats[name]
 		st.Steps++
 		st.Took += time.Duration(end - now)
--- a/internal/work/work_test.go
+++ b/internal/work/work_test.go
@@ -31,7 +31,7 @@
 		}
 	}
 	var steps atomic.Int64
-	if !s.Add(work.Task{Name: "a", Every: time.Hour.Nanoseconds()}, func(context.Context, time.Duration) (int, bool) { return 10, steps.Add(1)%5 == 0 }) {
+	if !s.Add(work.Task{Name: "a", Interval: time.Hour.Nanoseconds()}, func(context.Context, time.Duration) (int, bool) { return 10, steps.Add(1)%5 == 0 }) {
 		t.Fatal("not added")
 	}
 	until("a run of five steps", func() bool { return s.Stats()["a"].Runs == 1 })
--- a/policy/api.go
+++ b/policy/api.go
@@ -14,44 +14,44 @@
 
 // Settings are the settings of a front, fixed at its start. Absent numbers are zero.
 type Settings struct {
-	Me, Fleet  int // index of this front, and number of fronts
-	Zone       int
-	Classes    []Class
-	Tenants    []Tenant
-	OverShare  float64   // worth of traffic over a tenant's share, as a part of the normal worth
-	RungKB     []float64 // rate ladder, in kB a second, lowest first
-	RungWorth  []float64 // worth of each rung
-	FleetKB    float64   // capacity of all links together
-	RackKB     float64   // mean capacity of a rack's uplink
-	WeightKB   float64   // link capacity of a server for each unit of its size
-	Racks      int
-	Cells      int
-	KindSlots  []float64 // maximum number of streams on a server of each kind
-	SeeLate    Time      // delay of notes on low delivered shares
-	TellEvery  Time      // interval of notes on use; 0: none
-	FullFrom   float64   // use of their link from which servers refuse set-ups; 0: never
-	StallCost  float64   // points lost for each point of the rate that is not delivered
-	ChangeCost float64   // cost of a change of rung, in seconds of worth
-	Join       float64   // load that a further viewer of a live title adds; 1: nothing is shared
-
-	Fields      []Field // values of a load report, in order
-	Inline      bool    // outcomes carry load reports
-	MayProbe    bool
-	MaxAttempts int
-	ConnectWait Time
-	RetryAfter  bool
-	MaxRetry    Time // longest retry delay that viewers honour
-
-	SubscribeList        bool // the server list must be requested
-	DrainGrace           Time
-	ColdSpan, FallSpan   Time    // warm-up of a cold server; window in which overload counts
-	ColdFrom, ColdTimes  float64 // capacity at the start, and the multiple of it that overloads
-	Budgeted             bool    // retries have a budget: spare ones, and a ratio of the requests
-	SpareAttempts, Ratio float64
-	BudgetSpan           Time
-
-	PriceMove, PriceProbe, PriceCross float64 // per move, probe or session in another zone
-	LateFail                          float64
+	FrontIndex, Fronts int // index of this front, and number of fronts
+	Zone               int
+	Classes            []Class
+	Tenants            []Tenant
+	OverShareWorth     float64   // worth of traffic over a tenant's share, as a part of the normal worth
+	RungKB             []float64 // rate ladder, in kB a second, lowest first
+	RungWorth          []float64 // worth of each rung
+	FleetKB            float64   // capacity of all links together
+	RackKB             float64   // mean capacity of a rack's uplink
+	WeightKB           float64   // link capacity of a server for each unit of its size
+	Racks              int
+	Cells              int
+	KindSlots          []float64 // maximum number of streams on a server of each kind
+	NoteDelay          Time      // delay of notes on low delivered shares
+	NoteInterval       Time      // interval of notes on use; 0: none
+	FullThreshold      float64   // use of their link from which servers refuse set-ups; 0: never
+	StallCost          float64   // points lost for each point of the rate that is not delivered
+	ChangeCost         float64   // cost of a change of rung, in seconds of worth
+	ExtraViewerCost    float64   // load that a further viewer of a live title adds; 1: nothing is shared
+
+	Fields         []Field // values of a load report, in order
+	InlineReports  bool    // outcomes carry load reports
+	MayProbe       bool
+	MaxAttempts    int
+	ConnectTimeout Time
+	RetryAfter     bool
+	MaxRetryAfter  Time // longest retry delay that viewers honour
+
+	SubscribeList                bool // the server list must be requested
+	DrainGrace                   Time
+	WarmupTime, OverloadWindow   Time    // warm-up of a cold server; window in which overload counts
+	ColdCapacity, OverloadFactor float64 // capacity at the start, and the multiple of it that overloads
+	RetriesLimited               bool    // retries have a budget: spare ones, and a ratio of the requests
+	SpareRetries, RetryRatio     float64
+	RetryWindow                  Time
+
+	PriceMove, PriceProbe, PriceCrossZone float64 // per move, probe or session in another zone
+	PriceLateFail                         float64
 }
 
 // Field identifies a value of a load report.
@@ -67,13 +67,13 @@
 
 // Class is a class of sessions.
 type Class struct {
-	Aim, Deadline Time
-	Paid          bool // must not be set up twice
-	Worth         float64
-	Scale         float64 // factor of its rates over those of the ladder
-	Floor, Top    int     // rungs
-	Seats         int     // maximum number of sessions of one title on a front; 0: no limit
-	Live          bool
+	SetupTarget, Deadline Time
+	Paid                  bool // must not be set up twice
+	Worth                 float64
+	Scale                 float64 // factor of its rates over those of the ladder
+	Floor, Top            int     // rungs
+	Seats                 int     // maximum number of sessions of one title on a front; 0: no limit
+	Live                  bool
 }
 
 // Tenant is a customer with a share of the service.
@@ -123,7 +123,7 @@
 }
 
 // SessionSpec has the parameters of a session as requested by a viewer.
-type Ask struct {
+type SessionSpec struct {
 	ID       uint64
 	Title    uint64
 	Viewer   uint64 // the same on retries and after a move
@@ -147,11 +147,11 @@
 }
 
 // Request is an event: a new session is to be placed.
-type Request struct{ Ask }
+type Request struct{ SessionSpec }
 
 // Restored is an event: a session was already playing when the front started.
-type Handed struct {
-	Ask
+type Restored struct {
+	SessionSpec
 	Server uint32
 }
 
@@ -188,14 +188,14 @@
 
 // Results of attempts and probes. The comments tell whether the set-up ran at the server.
 const (
-	OK          Status = 0
-	Errored     Status = 5
-	Full        Status = 11  // never ran
-	ResetConn   Status = 104 // may have run
-	TimedOut    Status = 110 // may have run
-	NoConnect   Status = 111 // never ran
-	Moot        Status = 114 // never ran
-	CancelledSt Status = 125
+	OK        Status = 0
+	Errored   Status = 5
+	Full      Status = 11  // never ran
+	ConnReset Status = 104 // may have run
+	TimedOut  Status = 110 // may have run
+	NoConnect Status = 111 // never ran
+	NotSent   Status = 114 // never ran
+	Cancelled Status = 125
 )
 
 // Outcome is an event: an attempt, or the session that it started, has ended.
@@ -210,10 +210,10 @@
 }
 
 // ViewerLeft is an event: the viewer left.
-type Gone struct{ ID uint64 }
+type ViewerLeft struct{ ID uint64 }
 
 // TimerFired is an event: a Timer expired.
-type Alarm struct{ Token uint32 }
+type TimerFired struct{ Token uint32 }
 
 // Probed is an event: the result of a probe.
 type Probed struct {
@@ -264,7 +264,7 @@
 }
 
 // Subscribe requests the server list and its changes.
-type Follow struct{}
+type Subscribe struct{}
 
 // Probe requests a load report from a server.
 type Probe struct{ Server uint32 }
--- a/policy/budget_test.go
+++ b/policy/budget_test.go
@@ -9,7 +9,7 @@
 // available.
 func retryBudgetWorld(t *testing.T, spare, ratio float64, window Time) *world {
 	cfg := settings()
-	cfg.Budgeted, cfg.SpareAttempts, cfg.Ratio, cfg.BudgetSpan, cfg.ConnectWait =
+	cfg.RetriesLimited, cfg.SpareRetries, cfg.RetryRatio, cfg.RetryWindow, cfg.ConnectTimeout =
 		true, spare, ratio, window, Second/4
 	w := newWorld(t, cfg)
 	w.now += window
@@ -60,9 +60,9 @@
 			sends := actionsOf[Send](w.handle(Request{w.newRequest(id, 0)}))
 			for n := 0; len(sends) == 1; n++ {
 				if n > 0 {
-					retries = append(retries, w.now+Time(rng.Int63n(int64(w.front.cfg.ConnectWait)+1)))
+					retries = append(retries, w.now+Time(rng.Int63n(int64(w.front.cfg.ConnectTimeout)+1)))
 				}
-				sends = actionsOf[Send](w.finish(id, n, sends[0].Server, Moot))
+				sends = actionsOf[Send](w.finish(id, n, sends[0].Server, NotSent))
 			}
 		}
 		for _, end := range retries {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -12,7 +12,7 @@
 	}{{ListFull, 0, false}, {ListCached, 0, true}, {ListFull, startTime - Second, true},
 		{ListFull, startTime - 30*Second, false}} {
 		cfg := settings()
-		cfg.Fleet, cfg.ColdSpan, cfg.FallSpan, cfg.ColdFrom, cfg.ColdTimes =
+		cfg.Fronts, cfg.WarmupTime, cfg.OverloadWindow, cfg.ColdCapacity, cfg.OverloadFactor =
 			300, 12*Second, 3*Second, 0.4, 3
 		f := New(cfg, 1)
 		e := entry(1)
@@ -33,7 +33,7 @@
 // for its whole warm-up.
 func TestNoSlowStartWithoutOverloadSettings(t *testing.T) {
 	for _, clearSetting := range []func(*Settings){
-		func(s *Settings) { s.ColdTimes = 0 }, func(s *Settings) { s.FallSpan = 0 }} {
+		func(s *Settings) { s.OverloadFactor = 0 }, func(s *Settings) { s.OverloadWindow = 0 }} {
 		cfg := coldSettings()
 		clearSetting(&cfg)
 		w := newWorld(t, cfg)
@@ -59,7 +59,7 @@
 	if n := w.sendsIn(3*Second, 2); n == 0 || n > 8 {
 		t.Errorf("%d set-ups to a server with a recent start", n)
 	}
-	w.now += cfg.ColdSpan
+	w.now += cfg.WarmupTime
 	if n := w.sendsIn(3*Second, 2); n <= 8 {
 		t.Errorf("only %d set-ups to a warm server", n)
 	}
--- a/policy/health.go
+++ b/policy/health.go
@@ -24,7 +24,7 @@
 func (f *Front) recordSuccess(v *server) {
 	if v.failed {
 		v.failed = false
-		v.coldUntil = max(v.coldUntil, f.now+f.cfg.ColdSpan)
+		v.coldUntil = max(v.coldUntil, f.now+f.cfg.WarmupTime)
 	}
 	if f.now >= v.openUntil {
 		v.backoff = 0
@@ -46,10 +46,10 @@
 // fronts' sessions, which a server just started would not. The cost is that idle servers are filled slowly.
 func (f *Front) inSlowStart(v *server) bool {
 	carries := v.link.reported && f.othersUse(&v.link) > min(maxWarmThreshold, f.meanUse/2)
-	startUnknown := f.now-f.startedAt < f.cfg.ColdSpan && !carries && !f.startsKnown
+	startUnknown := f.now-f.startedAt < f.cfg.WarmupTime && !carries && !f.startsKnown
 	// Without these settings nothing states what overloads a cold server.
-	overloadKnown := f.cfg.ColdTimes > 0 && f.cfg.FallSpan > 0
-	return overloadKnown && f.cfg.ColdSpan > 0 && (v.failed || f.now < v.coldUntil || startUnknown)
+	overloadKnown := f.cfg.OverloadFactor > 0 && f.cfg.OverloadWindow > 0
+	return overloadKnown && f.cfg.WarmupTime > 0 && (v.failed || f.now < v.coldUntil || startUnknown)
 }
 
 // slowStartBlocks protects a server that may be cold from overload, by a token bucket with this front's
@@ -63,9 +63,9 @@
 	if v.Kind < len(f.cfg.KindSlots) {
 		slots = f.cfg.KindSlots[v.Kind]
 	}
-	fronts, seconds := float64(max(f.cfg.Fleet, 1)), float64(f.cfg.FallSpan)/float64(Second)
-	overloadRate := slots / (float64(f.cfg.ColdSpan) / float64(Second)) *
-		f.cfg.ColdFrom * f.cfg.ColdTimes
+	fronts, seconds := float64(max(f.cfg.Fronts, 1)), float64(f.cfg.OverloadWindow)/float64(Second)
+	overloadRate := slots / (float64(f.cfg.WarmupTime) / float64(Second)) *
+		f.cfg.ColdCapacity * f.cfg.OverloadFactor
 	perSecond, limit := overloadRate*slowStartPart/fronts, 1.0
 	// Where one token for each front exceeds what the server may get within the overload window, fronts
 	// start at a random point between two tokens, and a token not used for that window expires: saved
