--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -60,7 +60,7 @@
 
 func TestHalfOpenBreakerAdmitsOneSafeSession(t *testing.T) {
 	w := newWorld(t, settings())
-	requestFor := func(id uint64, class int) Ask {
+	requestFor := func(id uint64, class int) SessionSpec {
 		a := w.newRequest(id, class)
 		a.Home, a.Copies = 1, 1
 		return a
@@ -116,7 +116,7 @@
 		cfg.PriceMove = price
 		w := newWorld(t, cfg)
 		for id := uint64(1); id <= 9; id++ {
-			w.handle(Handed{Ask: w.newRequest(id, 0), Server: 1})
+			w.handle(Restored{SessionSpec: w.newRequest(id, 0), Server: 1})
 			w.handle(Note{ID: id, Server: 1, Kind: NoteRung, Value: 3})
 		}
 		w.start(20, 0) // sets the typical worth of a session
@@ -139,7 +139,7 @@
 	w := newWorld(t, settings())
 	w.reportUseAll(0.4)
 	for id := uint64(1); id <= 4; id++ {
-		w.handle(Handed{Ask: w.newRequest(id, 0), Server: 1})
+		w.handle(Restored{SessionSpec: w.newRequest(id, 0), Server: 1})
 		w.handle(Note{ID: id, Server: 1, Kind: NoteRung, Value: 3})
 	}
 	w.handle(Note{ID: 1, Server: 1, Kind: NoteShare, Value: 0.05})
@@ -153,7 +153,7 @@
 // Hundreds of fronts that learn of a new server at once, after a quiet time, must not overload it.
 func TestSlowStartHoldsAcrossHundredsOfFronts(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet, cfg.ColdSpan, cfg.FallSpan, cfg.ColdFrom, cfg.ColdTimes =
+	cfg.Fronts, cfg.WarmupTime, cfg.OverloadWindow, cfg.ColdCapacity, cfg.OverloadFactor =
 		200, 12*Second, 2*Second, 0.5, 2
 	sends := 0
 	for seed := uint64(1); seed <= 200; seed++ {
@@ -178,7 +178,7 @@
 // in minutes, and no probe was left. Probes of servers that may be cold need no earned probe.
 func TestRestartedFrontProbesBeforeRefusing(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet, cfg.MayProbe, cfg.ColdSpan, cfg.FallSpan, cfg.ColdFrom, cfg.ColdTimes =
+	cfg.Fronts, cfg.MayProbe, cfg.WarmupTime, cfg.OverloadWindow, cfg.ColdCapacity, cfg.OverloadFactor =
 		300, true, 12*Second, 3*Second, 0.4, 3
 	w := newWorld(t, cfg)
 	w.front.probeTokens = 0
@@ -198,7 +198,7 @@
 // Under low load a restarted front treated servers with the use of all others as just started.
 func TestHalfTheMeanUseCountsAsWarm(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet, cfg.MayProbe, cfg.ColdSpan, cfg.FallSpan, cfg.ColdFrom, cfg.ColdTimes =
+	cfg.Fronts, cfg.MayProbe, cfg.WarmupTime, cfg.OverloadWindow, cfg.ColdCapacity, cfg.OverloadFactor =
 		300, true, 12*Second, 3*Second, 0.4, 3
 	w := newWorld(t, cfg)
 	v := w.front.fleet.get(1)
--- a/policy/place.go
+++ b/policy/place.go
@@ -21,7 +21,7 @@
 			}
 			v.score = f.highestUse(v) + failureWeight*v.failures.total(f.now, failureWindow)
 			if v.Zone != f.cfg.Zone {
-				v.score += f.cfg.PriceCross
+				v.score += f.cfg.PriceCrossZone
 			}
 			if s.movedFrom != nil && v.rack == s.movedFrom.rack {
 				v.score++ // the session was moved off this rack: last choice
@@ -65,7 +65,7 @@
 	probing := false
 	for _, v := range s.fallbacks[:min(len(s.fallbacks), probesPerChoice)] {
 		wanted := s.heldUntil == 0 && s.attempts == 0 && v.score > probeMinScore &&
-			(!f.cfg.Inline || f.reportStale(v))
+			(!f.cfg.InlineReports || f.reportStale(v))
 		probing = wanted && f.probe(v, staleProbeAge) || probing
 	}
 	for _, v := range s.fallbacks {
@@ -108,15 +108,15 @@
 // can't know what it spent before its restart: for one window it has no spare retries, so few requests are
 // retried then.
 func (f *Front) withinRetryBudget() bool {
-	if !f.cfg.Budgeted {
+	if !f.cfg.RetriesLimited {
 		return true
 	}
-	window, delay, spare := f.cfg.BudgetSpan, f.cfg.ConnectWait, f.cfg.SpareAttempts
+	window, delay, spare := f.cfg.RetryWindow, f.cfg.ConnectTimeout, f.cfg.SpareRetries
 	if f.now-f.startedAt < window {
 		spare = 0
 	}
 	return f.retries.total(f.now, window+delay)+1 <=
-		spare+f.cfg.Ratio*f.requests.total(f.now, window-delay)
+		spare+f.cfg.RetryRatio*f.requests.total(f.now, window-delay)
 }
 
 // send starts an attempt at a server.
@@ -141,7 +141,7 @@
 	}
 	timeout := s.Deadline - f.now
 	if !f.class(s).Paid && s.attempts < f.cfg.MaxAttempts && len(s.fallbacks) > 1 {
-		timeout = min(timeout, Time(attemptPart*float64(f.class(s).Aim)))
+		timeout = min(timeout, Time(attemptPart*float64(f.class(s).SetupTarget)))
 	}
 	f.emit(Send{s.ID, v.Server, timeout})
 }
@@ -152,7 +152,7 @@
 	defer f.deleteSession(s)
 	after := Time(0)
 	if f.cfg.RetryAfter {
-		after = Time(float64(f.cfg.MaxRetry) *
+		after = Time(float64(f.cfg.MaxRetryAfter) *
 			(minRetryAfterPart + (1-minRetryAfterPart)*f.rng.Float64()))
 	}
 	if f.now >= s.Deadline || s.mayHaveRun && f.class(s).Paid {
--- a/policy/place_test.go
+++ b/policy/place_test.go
@@ -35,7 +35,7 @@
 		t.Fatalf("after a failed list sent to %d, want 1", got)
 	}
 	w.now += retryTimer.After
-	onlyOne[Follow](t, w.handle(Alarm{retryTimer.Token}))
+	onlyOne[Subscribe](t, w.handle(TimerFired{retryTimer.Token}))
 	removed := entry(1)
 	removed.Health = Removed
 	w.handle(List{Kind: ListDelta, Entries: []Entry{removed}})
@@ -46,5 +46,5 @@
 	cfg := settings()
 	cfg.SubscribeList = true
 	w := &world{t: t, front: New(cfg, 1), now: startTime}
-	onlyOne[Follow](t, w.handle(List{Kind: ListCached}))
+	onlyOne[Subscribe](t, w.handle(List{Kind: ListCached}))
 }
--- a/policy/playing.go
+++ b/policy/playing.go
@@ -19,9 +19,9 @@
 			f.addRate(s, 1)
 		}
 	case NoteLink:
-		f.recordUse(&v.link, e.Value, f.cfg.SeeLate)
+		f.recordUse(&v.link, e.Value, f.cfg.NoteDelay)
 	case NoteUplink:
-		f.recordUse(&v.rack.meter, e.Value, f.cfg.SeeLate)
+		f.recordUse(&v.rack.meter, e.Value, f.cfg.NoteDelay)
 	case NoteShare:
 		f.handleShortNote(v, e.Value)
 	}
@@ -49,12 +49,12 @@
 	if share < hungShare {
 		f.recordFailure(v, true)
 	} else {
-		m.setUse(1/max(share, minShare), f.now-f.cfg.SeeLate)
+		m.setUse(1/max(share, minShare), f.now-f.cfg.NoteDelay)
 	}
 	if share < moveBelowShare {
 		v.shortNotes++
 	}
-	if share < lowerBelowShare && share >= hungShare && f.now-v.loweredAt > f.cfg.SeeLate+lowerInterval {
+	if share < lowerBelowShare && share >= hungShare && f.now-v.loweredAt > f.cfg.NoteDelay+lowerInterval {
 		f.updateMean(m, 1/share) // under high load no report is as recent
 		f.lowerRungs(v, share)
 	}
@@ -204,7 +204,7 @@
 	}
 	if !v.link.reported || f.now-v.link.measuredAt > maxRaiseReportAge {
 		// Choices have priority; with regular notes no probe is needed.
-		if f.cfg.TellEvery == 0 && f.probeTokens > probesPerChoice {
+		if f.cfg.NoteInterval == 0 && f.probeTokens > probesPerChoice {
 			f.probe(v, staleProbeAge)
 		}
 		return
--- a/policy/playing_test.go
+++ b/policy/playing_test.go
@@ -36,7 +36,7 @@
 	onlyOne[Move](t, w.handle(short))
 	w.now += Second
 	mustHaveNone[Move](t, w.handle(short))
-	w.finish(1, 0, v, CancelledSt)
+	w.finish(1, 0, v, Cancelled)
 	retry := w.newRequest(2, 0)
 	retry.Viewer, retry.Moved, retry.Again = 1, true, true
 	s := onlyOne[Send](t, w.handle(Request{retry}))
@@ -54,7 +54,7 @@
 func TestNoMoveToHolderWithoutReport(t *testing.T) {
 	w := newWorld(t, settings())
 	for id := uint64(1); id <= 9; id++ {
-		w.handle(Handed{Ask: w.newRequest(id, 0), Server: 1})
+		w.handle(Restored{SessionSpec: w.newRequest(id, 0), Server: 1})
 		w.handle(Note{ID: id, Server: 1, Kind: NoteRung, Value: 3})
 	}
 	for i := 0; i < 4; i++ {
@@ -68,7 +68,7 @@
 func TestShortNoteLowersRungsByMissingRate(t *testing.T) {
 	w := newWorld(t, settings())
 	for id := uint64(1); id <= 5; id++ {
-		w.handle(Handed{Ask: w.newRequest(id, 0), Server: 1})
+		w.handle(Restored{SessionSpec: w.newRequest(id, 0), Server: 1})
 		w.handle(Note{ID: id, Server: 1, Kind: NoteRung, Value: 2})
 	}
 	if n := len(actionsOf[Rate](w.handle(Note{ID: 1, Server: 1, Kind: NoteShare, Value: 0.99}))); n != 0 {
@@ -87,7 +87,7 @@
 func TestShortNotesCountForUplinkOnlyIfServersAreAlike(t *testing.T) {
 	w := newWorld(t, settings())
 	for id := uint32(1); id <= 3; id += 2 { // both in one rack
-		w.handle(Handed{Ask: w.newRequest(uint64(id), 0), Server: id})
+		w.handle(Restored{SessionSpec: w.newRequest(uint64(id), 0), Server: id})
 		w.reportUse(id, 0.5, 0.8)
 	}
 	uplink := &w.front.racks[0].meter
@@ -112,7 +112,7 @@
 	a.Copies, a.Hinted, a.Length = 1, true, 30*Second // not started: the hinted length remains
 	w.reportUse(1, 0.7, 0.3)
 	// One session at the floor: the highest rung that fits (2, of 200 kB) would leave no reserve.
-	w.handle(Handed{Ask: w.newRequest(9, 0), Server: 1})
+	w.handle(Restored{SessionSpec: w.newRequest(9, 0), Server: 1})
 	w.reportUse(1, 0.7, 0.3)
 	onlyOne[Send](t, w.handle(Request{a}))
 	if got := w.front.byID[1].rung; got != 1 {
@@ -120,7 +120,7 @@
 	}
 	// Beside sessions at the top rung no larger reserve is needed than theirs.
 	w = newWorld(t, cfg)
-	w.handle(Handed{Ask: w.newRequest(10, 0), Server: 1})
+	w.handle(Restored{SessionSpec: w.newRequest(10, 0), Server: 1})
 	w.handle(Note{ID: 10, Server: 1, Kind: NoteRung, Value: 3})
 	w.now += Second
 	w.reportUse(1, 0.7, 0.3)
@@ -133,7 +133,7 @@
 
 func TestLastingSpareCapacityRaisesRung(t *testing.T) {
 	w := newWorld(t, settings())
-	w.handle(Handed{Ask: w.newRequest(1, 0), Server: 1})
+	w.handle(Restored{SessionSpec: w.newRequest(1, 0), Server: 1})
 	w.now += 10 * Second
 	w.reportUse(1, 0.2, 0.2)
 	r := onlyOne[Rate](t, w.run(Second))
@@ -143,7 +143,7 @@
 	w.reportUse(1, 0.2, 0.2)
 	mustHaveNone[Rate](t, w.run(Second)) // at the top rung already
 	w = newWorld(t, settings())
-	w.handle(Handed{Ask: w.newRequest(1, 0), Server: 1})
+	w.handle(Restored{SessionSpec: w.newRequest(1, 0), Server: 1})
 	w.reportUse(1, 0.85, 0.2)
 	mustHaveNone[Rate](t, w.run(Second)) // no spare rate below maxUse
 }
@@ -152,13 +152,13 @@
 // still use it.
 func TestHundredsOfFrontsShareSpareCapacityForRaises(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 200
+	cfg.Fronts = 200
 	raised := 0.0
 	const fronts = 400
 	for seed := uint64(1); seed <= fronts; seed++ {
 		w := &world{t: t, front: New(cfg, seed), now: startTime}
 		w.handle(List{Kind: ListCached, Entries: []Entry{entry(1), entry(2)}})
-		w.handle(Handed{Ask: w.newRequest(1, 0), Server: 1})
+		w.handle(Restored{SessionSpec: w.newRequest(1, 0), Server: 1})
 		w.handle(Note{ID: 1, Server: 1, Kind: NoteRung, Value: 1})
 		w.now += 10 * Second
 		w.reportUse(1, 0.5, 0.25) // one of five such sessions on the link
@@ -176,13 +176,13 @@
 // rung.
 func TestHundredsOfFrontsLowerByMissingRate(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 200
+	cfg.Fronts = 200
 	lowered := 0
 	const fronts = 400
 	for seed := uint64(1); seed <= fronts; seed++ {
 		w := &world{t: t, front: New(cfg, seed), now: startTime}
 		w.handle(List{Kind: ListCached, Entries: []Entry{entry(1), entry(2)}})
-		w.handle(Handed{Ask: w.newRequest(1, 0), Server: 1})
+		w.handle(Restored{SessionSpec: w.newRequest(1, 0), Server: 1})
 		w.handle(Note{ID: 1, Server: 1, Kind: NoteRung, Value: 1})
 		w.now += 10 * Second
 		w.reportUse(1, 1.1, 0.5)
@@ -213,9 +213,9 @@
 func TestRaisesLeaveProbesForChoices(t *testing.T) {
 	probes := func(noteInterval Time, saved float64) int {
 		cfg := settings()
-		cfg.MayProbe, cfg.Inline, cfg.TellEvery = true, noteInterval > 0, noteInterval
+		cfg.MayProbe, cfg.InlineReports, cfg.NoteInterval = true, noteInterval > 0, noteInterval
 		w := newWorld(t, cfg)
-		w.handle(Handed{Ask: w.newRequest(1, 0), Server: 1})
+		w.handle(Restored{SessionSpec: w.newRequest(1, 0), Server: 1})
 		w.front.probeTokens = saved
 		w.now += 10 * Second
 		return len(actionsOf[Probe](w.run(2 * Second)))
@@ -228,7 +228,7 @@
 // Under high load short notes are the most recent values of servers without reports.
 func TestShortNoteThatLowersRungsUpdatesMeanUse(t *testing.T) {
 	w := newWorld(t, settings())
-	w.handle(Handed{Ask: w.newRequest(1, 0), Server: 1})
+	w.handle(Restored{SessionSpec: w.newRequest(1, 0), Server: 1})
 	w.handle(Note{ID: 1, Server: 1, Kind: NoteRung, Value: 3})
 	w.now += 10 * Second
 	before := w.front.meanUse
@@ -284,7 +284,7 @@
 		for _, s := range actionsOf[Send](w.handle(Request{w.newRequest(id, int(id%2))})) {
 			switch id % 5 {
 			case 0:
-				w.handle(Outcome{ID: id, Server: s.Server, Status: ResetConn})
+				w.handle(Outcome{ID: id, Server: s.Server, Status: ConnReset})
 			case 1:
 				w.handle(Playing{ID: id, Server: s.Server})
 				w.handle(Note{ID: id, Server: s.Server, Kind: NoteRung, Value: 1})
@@ -295,7 +295,7 @@
 				w.handle(Playing{ID: id, Server: s.Server})
 				w.handle(Outcome{ID: id, Server: s.Server, Status: OK, Final: true})
 			default:
-				w.handle(Gone{id})
+				w.handle(ViewerLeft{id})
 			}
 			check()
 		}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -101,7 +101,7 @@
 		f.startedAt = now
 		f.emit(Timer{tokenTick, tickInterval})
 		if f.cfg.SubscribeList {
-			f.emit(Follow{})
+			f.emit(Subscribe{})
 		}
 	}
 	f.dispatch(event)
@@ -127,8 +127,8 @@
 			v.slowStart = tokenBucket{tokens: f.rng.Float64(), filledAt: f.now}
 		}
 		// A start time in the future comes from a clock that was changed; it counts as now.
-		if started := min(e.Started, f.now); started > 0 && started+f.cfg.ColdSpan > f.now {
-			v.coldUntil = max(v.coldUntil, started+f.cfg.ColdSpan)
+		if started := min(e.Started, f.now); started > 0 && started+f.cfg.WarmupTime > f.now {
+			v.coldUntil = max(v.coldUntil, started+f.cfg.WarmupTime)
 		}
 	}
 	f.updateRacks()
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -19,14 +19,14 @@
 // settings returns settings for 4 servers of 1000 kB a second in 4 cells and 2 racks, a ladder of 4 rungs,
 // a safe and a paid class.
 func settings() Settings {
-	return Settings{Fleet: 1, Classes: []Class{
-		{Aim: Second, Deadline: 4 * Second, Worth: 1, Scale: 1, Top: 3},
-		{Aim: Second, Deadline: 3 * Second, Worth: 2, Scale: 1, Top: 3, Paid: true}},
+	return Settings{Fronts: 1, Classes: []Class{
+		{SetupTarget: Second, Deadline: 4 * Second, Worth: 1, Scale: 1, Top: 3},
+		{SetupTarget: Second, Deadline: 3 * Second, Worth: 2, Scale: 1, Top: 3, Paid: true}},
 		RungKB: []float64{50, 100, 200, 400}, RungWorth: []float64{0.2, 0.5, 0.8, 1},
 		FleetKB: 4000, RackKB: 2000, WeightKB: 1000, Racks: 2, Cells: 4, KindSlots: []float64{40},
-		SeeLate: Second / 2, StallCost: 8, ChangeCost: 0.5, Join: 1,
-		Fields: []Field{FieldLink, FieldUplink}, Inline: true, MaxAttempts: 4, RetryAfter: true,
-		MaxRetry: 2 * Second, DrainGrace: Second / 4}
+		NoteDelay: Second / 2, StallCost: 8, ChangeCost: 0.5, ExtraViewerCost: 1,
+		Fields: []Field{FieldLink, FieldUplink}, InlineReports: true, MaxAttempts: 4, RetryAfter: true,
+		MaxRetryAfter: 2 * Second, DrainGrace: Second / 4}
 }
 
 func entry(id uint32) Entry { return Entry{Server: id, Cell: int(id) - 1, Size: 1} }
@@ -48,14 +48,14 @@
 func (w *world) run(d Time) (all []Action) {
 	for end := w.now + d; w.now < end; {
 		w.now += tickInterval
-		all = append(all, w.handle(Alarm{tokenTick})...)
-		all = append(all, w.handle(Alarm{tokenHeld})...)
+		all = append(all, w.handle(TimerFired{tokenTick})...)
+		all = append(all, w.handle(TimerFired{tokenHeld})...)
 	}
 	return all
 }
 
-func (w *world) newRequest(id uint64, class int) Ask {
-	return Ask{ID: id, Title: 7, Viewer: id, Class: class, Home: 0, Copies: 4, Top: 3,
+func (w *world) newRequest(id uint64, class int) SessionSpec {
+	return SessionSpec{ID: id, Title: 7, Viewer: id, Class: class, Home: 0, Copies: 4, Top: 3,
 		Deadline: w.now + 3*Second}
 }
 
@@ -128,7 +128,7 @@
 	w := newWorld(t, settings())
 	v := w.start(1, 0)
 	w.handle(List{Kind: ListDelta, Entries: []Entry{{Server: v, Cell: int(v) - 1, Size: 1, Health: Removed}}})
-	actions := w.finish(1, 0, v, ResetConn)
+	actions := w.finish(1, 0, v, ConnReset)
 	mustHaveNone[Send](t, actions)
 	mustHaveNone[Refuse](t, actions)
 	if got := w.start(2, 0); got == v {
@@ -139,7 +139,7 @@
 // coldSettings adds slow start to settings.
 func coldSettings() Settings {
 	cfg := settings()
-	cfg.ColdSpan, cfg.FallSpan, cfg.ColdFrom, cfg.ColdTimes, cfg.Fleet =
+	cfg.WarmupTime, cfg.OverloadWindow, cfg.ColdCapacity, cfg.OverloadFactor, cfg.Fronts =
 		10*Second, 3*Second, 0.4, 3, 2
 	return cfg
 }
@@ -184,7 +184,7 @@
 // newLargeWorld returns a world with one of 300 fronts and 300 servers, one in each cell.
 func newLargeWorld(t *testing.T) *world {
 	cfg := settings()
-	cfg.Fleet, cfg.Cells, cfg.Racks, cfg.MayProbe = 300, 300, 30, true
+	cfg.Fronts, cfg.Cells, cfg.Racks, cfg.MayProbe = 300, 300, 30, true
 	w := &world{t: t, front: New(cfg, 1), now: startTime}
 	var list []Entry
 	for id := uint32(1); id <= 300; id++ {
--- a/policy/ramp_test.go
+++ b/policy/ramp_test.go
@@ -23,7 +23,7 @@
 // start.
 func rampSettings(fronts int, budget float64) Settings {
 	cfg := settings()
-	cfg.Fleet, cfg.ColdSpan, cfg.FallSpan, cfg.ColdFrom, cfg.ColdTimes =
+	cfg.Fronts, cfg.WarmupTime, cfg.OverloadWindow, cfg.ColdCapacity, cfg.OverloadFactor =
 		fronts, 10*Second, 3*Second/2, 0.5, 2
 	cfg.KindSlots, cfg.WeightKB, cfg.RackKB = []float64{budget / 0.15}, 1e12, 1e12
 	return cfg
@@ -31,13 +31,13 @@
 
 // budget is the number of set-ups that the server may get in a window.
 func (r *rampSimulation) budget() float64 {
-	return r.cfg.KindSlots[0] / float64(r.cfg.ColdSpan) *
-		r.cfg.ColdFrom * r.cfg.ColdTimes * float64(r.cfg.FallSpan)
+	return r.cfg.KindSlots[0] / float64(r.cfg.WarmupTime) *
+		r.cfg.ColdCapacity * r.cfg.OverloadFactor * float64(r.cfg.OverloadWindow)
 }
 
 func newRamp(cfg Settings, seed int64) *rampSimulation {
 	r := &rampSimulation{cfg: cfg, rng: rand.New(rand.NewSource(seed)), serverStart: startTime + Second}
-	for i := range cfg.Fleet {
+	for i := range cfg.Fronts {
 		r.fronts = append(r.fronts, nil)
 		// Some fronts learn of the start late.
 		r.informedAt = append(r.informedAt, r.serverStart+Time(r.rng.Int63n(int64(Second))))
@@ -84,12 +84,12 @@
 				r.handle(i, now, List{Kind: ListDelta, Entries: []Entry{r.entry()}})
 			}
 			if (now-startTime)%tickInterval == 0 {
-				r.handle(i, now, Alarm{tokenTick})
+				r.handle(i, now, TimerFired{tokenTick})
 			}
 			for n := rate(i, now) * float64(step) / float64(Second); n > 0 &&
 				(n >= 1 || r.rng.Float64() < n); n-- {
 				r.lastID++
-				r.handle(i, now, Request{Ask{ID: r.lastID, Title: 7, Viewer: r.lastID, Copies: 1,
+				r.handle(i, now, Request{SessionSpec{ID: r.lastID, Title: 7, Viewer: r.lastID, Copies: 1,
 					Deadline: now + 3*Second}})
 			}
 		}
@@ -101,7 +101,7 @@
 	slices.Sort(r.sentAt)
 	j := 0
 	for i := range r.sentAt {
-		for r.sentAt[i]-r.sentAt[j] > r.cfg.FallSpan {
+		for r.sentAt[i]-r.sentAt[j] > r.cfg.OverloadWindow {
 			j++
 		}
 		maximum = max(maximum, i-j+1)
@@ -168,7 +168,7 @@
 
 // rateFor is one front's part of the rate, per second, that sends the budget times over.
 func (r *rampSimulation) rateFor(times float64) float64 {
-	return times * r.budget() / (float64(r.cfg.FallSpan) / float64(Second)) / float64(r.cfg.Fleet)
+	return times * r.budget() / (float64(r.cfg.OverloadWindow) / float64(Second)) / float64(r.cfg.Fronts)
 }
 
 // All fronts together send a cold server at most its budget of N set-ups in every window, plus what chance
--- a/policy/records.go
+++ b/policy/records.go
@@ -124,7 +124,7 @@
 
 // session is a request from its arrival to its end.
 type session struct {
-	Ask
+	SessionSpec
 	weight          float64 // worth of a second at a rung of worth 1
 	rung            int
 	server          *server // nil unless an attempt is in flight or the session plays
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -3,7 +3,7 @@
 // Events of requests and sessions: arrival, start, outcome and end.
 
 // handleRequest admits a new request and places it, or refuses an invalid one.
-func (f *Front) handleRequest(a Ask) {
+func (f *Front) handleRequest(a SessionSpec) {
 	if f.byID[a.ID] != nil {
 		return
 	}
@@ -62,7 +62,7 @@
 	}
 	f.unassign(s)
 	if s.playing || e.Status == OK {
-		if e.Status == ResetConn {
+		if e.Status == ConnReset {
 			f.recordFailure(v, true)
 		}
 		f.deleteSession(s)
@@ -77,16 +77,16 @@
 		} else {
 			s.errored = append(s.errored, v)
 		}
-	case ResetConn, TimedOut, NoConnect:
+	case ConnReset, TimedOut, NoConnect:
 		s.mayHaveRun = s.mayHaveRun || e.Status != NoConnect
 		f.recordFailure(v, true)
 	case Full:
 		v.failures.add(f.now, 1)
-		if f.cfg.FullFrom > 0 { // it updates the mean as a report of a full link does
+		if f.cfg.FullThreshold > 0 { // it updates the mean as a report of a full link does
 			f.meanUse += (1 - f.meanUse) * meanWeight
 		}
-		v.link.setUse(max(f.cfg.FullFrom, 1), f.now) // overrides the use in its report
-	case Moot:
+		v.link.setUse(max(f.cfg.FullThreshold, 1), f.now) // overrides the use in its report
+	case NotSent:
 	default:
 		s.mayHaveRun = true
 	}
--- a/policy/requests_test.go
+++ b/policy/requests_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestPaidSetupThatMayHaveRunIsNotRetried(t *testing.T) {
-	for _, st := range []Status{TimedOut, Errored, ResetConn, CancelledSt} {
+	for _, st := range []Status{TimedOut, Errored, ConnReset, Cancelled} {
 		w := newWorld(t, settings())
 		s := onlyOne[Send](t, w.handle(Request{w.newRequest(1, 1)}))
 		if s.Timeout != 3*Second {
@@ -76,7 +76,7 @@
 	w.reportUse(1, 0.1, 0.1)
 	w.reportUse(1, 0.1, 0.1)
 	w.reportUse(1, 0.1, 0.1)
-	s := onlyOne[Send](t, w.handle(Alarm{tokenTick}))
+	s := onlyOne[Send](t, w.handle(TimerFired{tokenTick}))
 	actions := append(w.finish(1, 0, s.Server, Full), w.run(Second)...)
 	onlyOne[Refuse](t, actions)
 }
@@ -109,19 +109,19 @@
 	if w.now >= a.Deadline {
 		t.Fatal("the hold outlasts the deadline")
 	}
-	onlyOne[Refuse](t, w.handle(Alarm{timer[len(timer)-1].Token}))
+	onlyOne[Refuse](t, w.handle(TimerFired{timer[len(timer)-1].Token}))
 }
 
 func TestSeatsCountSetupsAndRestoredSessions(t *testing.T) {
 	cfg := settings()
 	cfg.Classes[1].Seats = 2
 	w := newWorld(t, cfg)
-	w.handle(Handed{Ask: w.newRequest(1, 1), Server: 1})
+	w.handle(Restored{SessionSpec: w.newRequest(1, 1), Server: 1})
 	s := onlyOne[Send](t, w.handle(Request{w.newRequest(2, 1)}))
 	mustHaveNone[Send](t, w.handle(Request{w.newRequest(3, 1)}))
-	w.handle(Gone{2}) // its attempt is in flight and keeps the seat
+	w.handle(ViewerLeft{2}) // its attempt is in flight and keeps the seat
 	mustHaveNone[Send](t, w.run(tickInterval))
-	w.finish(2, 0, s.Server, CancelledSt)
+	w.finish(2, 0, s.Server, Cancelled)
 	onlyOne[Send](t, w.run(tickInterval))
 	other := w.newRequest(4, 1)
 	other.Title = 8
@@ -153,7 +153,7 @@
 func TestViewerLeftDuringAttemptGetsNoReply(t *testing.T) {
 	w := newWorld(t, settings())
 	s := onlyOne[Send](t, w.handle(Request{w.newRequest(1, 0)}))
-	w.handle(Gone{1})
+	w.handle(ViewerLeft{1})
 	actions := w.finish(1, 0, s.Server, TimedOut)
 	mustHaveNone[Send](t, actions)
 	mustHaveNone[Refuse](t, actions)
@@ -166,23 +166,23 @@
 func TestLateAndUnknownIDsAreIgnored(t *testing.T) {
 	w := newWorld(t, settings())
 	s := onlyOne[Send](t, w.handle(Request{w.newRequest(1, 0)}))
-	for _, ev := range []Event{Gone{77}, Playing{ID: 77, Server: 1},
+	for _, ev := range []Event{ViewerLeft{77}, Playing{ID: 77, Server: 1},
 		Note{ID: 77, Server: 9, Kind: NoteShare},
-		Outcome{ID: 77, Server: 99, Report: []float64{1, 2, 3}}, Probed{Server: 99}, Alarm{12345},
+		Outcome{ID: 77, Server: 99, Report: []float64{1, 2, 3}}, Probed{Server: 99}, TimerFired{12345},
 		Outcome{ID: 1, Attempt: 5, Server: s.Server}, Playing{ID: 1, Attempt: 3, Server: s.Server},
-		Handed{Ask: w.newRequest(5, 0), Server: 99},
-		Handed{Ask: Ask{ID: 6, Class: 44}, Server: 1}, "nonsense"} {
+		Restored{SessionSpec: w.newRequest(5, 0), Server: 99},
+		Restored{SessionSpec: SessionSpec{ID: 6, Class: 44}, Server: 1}, "nonsense"} {
 		if actions := w.handle(ev); len(actions) > 0 {
 			t.Fatalf("%#v caused %v", ev, actions)
 		}
 	}
-	onlyOne[Refuse](t, w.handle(Request{Ask{ID: 8, Class: 44}}))
+	onlyOne[Refuse](t, w.handle(Request{SessionSpec{ID: 8, Class: 44}}))
 }
 
 // Fronts without reports of the holders must not all choose the same one.
 func TestFrontsSpreadOverEqualHolders(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 100
+	cfg.Fronts = 100
 	got := map[uint32]int{}
 	for seed := uint64(1); seed <= 100; seed++ {
 		w := &world{t: t, front: New(cfg, seed), now: startTime}
@@ -224,7 +224,7 @@
 // After a stall a front receives all pending events at once, some of them about servers removed long ago.
 func TestRulesHoldForBacklogOfEvents(t *testing.T) {
 	w := newLargeWorld(t)
-	w.handle(Handed{Ask: w.newRequest(1000, 0), Server: 7})
+	w.handle(Restored{SessionSpec: w.newRequest(1000, 0), Server: 7})
 	sent := map[uint64]int{}
 	replies := map[uint64]int{}
 	count := func(actions []Action) {
@@ -252,7 +252,7 @@
 	removed.Health = Removed
 	count(w.handle(List{Kind: ListDelta, Entries: []Entry{removed}}))
 	count(w.handle(Note{ID: 1000, Server: 7, Kind: NoteShare, Value: 0.5}))
-	count(w.handle(Outcome{ID: 1000, Server: 7, Status: ResetConn, Final: true}))
+	count(w.handle(Outcome{ID: 1000, Server: 7, Status: ConnReset, Final: true}))
 	count(w.handle(Probed{Server: 7, Report: []float64{0.1, 0.1}}))
 	for id := uint64(1); id <= 20; id++ {
 		for _, s := range w.front.byID {
@@ -287,12 +287,12 @@
 // Where a request names its holders, only these are used, up to the rung that each holds. Holders not on
 // the list yet are skipped.
 func TestNamedHoldersOnly(t *testing.T) {
-	cfg := Settings{Fleet: 1, Classes: []Class{
-		{Aim: Second, Deadline: 2 * Second, Worth: 1, Scale: 1, Top: 2},
-		{Aim: Second, Deadline: 2 * Second, Worth: 1, Scale: 1, Floor: 1, Top: 2}},
+	cfg := Settings{Fronts: 1, Classes: []Class{
+		{SetupTarget: Second, Deadline: 2 * Second, Worth: 1, Scale: 1, Top: 2},
+		{SetupTarget: Second, Deadline: 2 * Second, Worth: 1, Scale: 1, Floor: 1, Top: 2}},
 		RungKB: []float64{10, 20, 40}, RungWorth: []float64{0.3, 0.6, 1},
 		FleetKB: 1e6, RackKB: 1e6, WeightKB: 1e5, Racks: 1, Cells: 4, KindSlots: []float64{100},
-		StallCost: 8, Join: 1, MaxAttempts: 3}
+		StallCost: 8, ExtraViewerCost: 1, MaxAttempts: 3}
 	place := func(class int, holders []Holder) (server uint32, rung int) {
 		f := New(cfg, 1)
 		var list []Entry
@@ -301,7 +301,7 @@
 		}
 		f.Handle(Second, List{Kind: ListFull, Entries: list})
 		rung = cfg.Classes[class].Floor
-		for _, a := range f.Handle(Second+1, Request{Ask{ID: 1, Title: 1, Copies: 4, Class: class,
+		for _, a := range f.Handle(Second+1, Request{SessionSpec{ID: 1, Title: 1, Copies: 4, Class: class,
 			Top: 2, Deadline: 3 * Second, Holders: holders}}) {
 			switch a := a.(type) {
 			case Send:
--- a/policy/state.go
+++ b/policy/state.go
@@ -95,14 +95,14 @@
 }
 
 // valid tells whether a request fits the settings and has a new ID.
-func (f *Front) valid(a *Ask) bool {
+func (f *Front) valid(a *SessionSpec) bool {
 	return a.Class >= 0 && a.Class < len(f.cfg.Classes) && len(f.cfg.RungKB) > f.cfg.Classes[a.Class].Floor &&
 		len(f.cfg.RungWorth) >= len(f.cfg.RungKB) && f.byID[a.ID] == nil
 }
 
 // addSession records a new session at its floor.
-func (f *Front) addSession(a Ask) *session {
-	s := &session{Ask: a, rung: f.cfg.Classes[a.Class].Floor}
+func (f *Front) addSession(a SessionSpec) *session {
+	s := &session{SessionSpec: a, rung: f.cfg.Classes[a.Class].Floor}
 	s.weight = f.class(s).Worth
 	f.byID[a.ID] = s
 	return s
@@ -173,12 +173,12 @@
 }
 
 // restore records a session that was already playing when the front started.
-func (f *Front) restore(h Handed) {
+func (f *Front) restore(h Restored) {
 	v := f.fleet.get(h.Server)
-	if v == nil || !f.valid(&h.Ask) {
+	if v == nil || !f.valid(&h.SessionSpec) {
 		return
 	}
-	s := f.addSession(h.Ask)
+	s := f.addSession(h.SessionSpec)
 	f.earnProbes()
 	s.attempts, s.playing, s.startedAt = 1, true, f.now
 	f.assign(s, v)
@@ -286,8 +286,8 @@
 	case List:
 		f.updateList(e)
 	case Request:
-		f.handleRequest(e.Ask)
-	case Handed:
+		f.handleRequest(e.SessionSpec)
+	case Restored:
 		f.restore(e)
 	case Playing:
 		f.handlePlaying(e)
@@ -295,7 +295,7 @@
 		f.handleNote(e)
 	case Outcome:
 		f.handleOutcome(e)
-	case Gone:
+	case ViewerLeft:
 		f.viewerLeft(e.ID)
 	case Probed:
 		f.probeResult(e)
@@ -303,14 +303,14 @@
 		if v := f.fleet.get(e.Server); v != nil {
 			v.vacateBy = e.Until
 		}
-	case Alarm:
+	case TimerFired:
 		switch e.Token {
 		case tokenTick:
 			f.housekeeping()
 		case tokenHeld:
 			f.retryHeld(true)
 		case tokenListRetry:
-			f.emit(Follow{})
+			f.emit(Subscribe{})
 		}
 	}
 }
--- a/policy/use.go
+++ b/policy/use.go
@@ -69,7 +69,7 @@
 // count, as they see the same spare capacity and fill it alike. Of hundreds only the square root counts:
 // the own addition is a sample of one, and a single session times hundreds would fill any server.
 func (f *Front) peerMultiplier() float64 {
-	others := float64(max(f.cfg.Fleet-1, 0))
+	others := float64(max(f.cfg.Fronts-1, 0))
 	return min(others, maxFullPeers+math.Sqrt(max(others-maxFullPeers, 0)))
 }
 
@@ -134,7 +134,7 @@
 		return 1
 	}
 	return min(1, max(m.own/max(f.estimatedUse(m)*m.capacity, m.own, 1),
-		1/float64(max(f.cfg.Fleet, 1)))/draw)
+		1/float64(max(f.cfg.Fronts, 1)))/draw)
 }
 
 // highestUse is the estimated use of the link or of the uplink, whichever is higher.
--- a/policy/use_test.go
+++ b/policy/use_test.go
@@ -15,7 +15,7 @@
 
 func TestHeldRequestProbesServersWithOldReports(t *testing.T) {
 	cfg := settings()
-	cfg.MayProbe, cfg.Inline = true, false
+	cfg.MayProbe, cfg.InlineReports = true, false
 	w := newWorld(t, cfg)
 	w.reportUseAll(0.99)
 	w.now += 2 * Second
@@ -31,9 +31,9 @@
 
 func TestUseIsScaledByFrontsWithoutReport(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 3
+	cfg.Fronts = 3
 	w := newWorld(t, cfg)
-	w.handle(Handed{Ask: w.newRequest(1, 0), Server: 1})
+	w.handle(Restored{SessionSpec: w.newRequest(1, 0), Server: 1})
 	w.handle(Note{ID: 1, Server: 1, Kind: NoteRung, Value: 2})
 	if got := w.front.estimatedUse(&w.front.fleet.get(1).link); got < 0.59 || got > 0.61 {
 		t.Fatalf("use %.2f, want 0.6", got)
@@ -43,7 +43,7 @@
 // A restarted front treated servers without a report as idle and assigned top rungs.
 func TestServersWithoutReportsCountAsMeanUse(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet = 3
+	cfg.Fronts = 3
 	w := newWorld(t, cfg)
 	for n := 0; n < 20; n++ {
 		w.reportUse(1, 0.75, 0.3)
@@ -75,7 +75,7 @@
 func TestOwnAdditionsSinceReportCountForOtherFronts(t *testing.T) {
 	estimate := func(fronts int) float64 {
 		cfg := settings()
-		cfg.Fleet = fronts
+		cfg.Fronts = fronts
 		w := newWorld(t, cfg)
 		w.now += 10 * Second
 		w.reportUseAll(0.3)
@@ -91,7 +91,7 @@
 // A choice among busy holders used reports that were 5 to 20 s old.
 func TestChoiceAmongBusyHoldersProbesFirst(t *testing.T) {
 	cfg := settings()
-	cfg.MayProbe, cfg.Inline = true, false
+	cfg.MayProbe, cfg.InlineReports = true, false
 	w := newWorld(t, cfg)
 	w.reportUseAll(0.75)
 	w.now += 4 * Second
@@ -112,7 +112,7 @@
 	w.reportUseAll(0.1)
 	w.now += 4 * Second
 	onlyOne[Send](t, w.handle(Request{w.newRequest(1, 0)})) // enough spare capacity: no probe
-	cfg.Inline = true
+	cfg.InlineReports = true
 	w = newWorld(t, cfg)
 	w.reportUseAll(0.75)
 	w.now += 4 * Second
@@ -122,10 +122,10 @@
 // Restored sessions at the floor were not raised although the links were idle, as there were no reports.
 func TestNewFrontProbesServersForRaises(t *testing.T) {
 	cfg := settings()
-	cfg.MayProbe, cfg.Inline = true, false
+	cfg.MayProbe, cfg.InlineReports = true, false
 	w := newWorld(t, cfg)
 	for id := uint32(1); id <= 4; id++ {
-		w.handle(Handed{Ask: w.newRequest(uint64(id), 0), Server: id})
+		w.handle(Restored{SessionSpec: w.newRequest(uint64(id), 0), Server: id})
 	}
 	w.now += 10 * Second
 	if n := len(actionsOf[Probe](w.run(Second))); n != 4 {
@@ -137,7 +137,7 @@
 // a choice.
 func TestHoldersWithoutReportsAreProbedWithInlineReports(t *testing.T) {
 	cfg := settings()
-	cfg.Fleet, cfg.MayProbe = 200, true
+	cfg.Fronts, cfg.MayProbe = 200, true
 	w := newWorld(t, cfg)
 	w.front.meanUse = 0.7
 	actions := w.handle(Request{w.newRequest(1, 0)})
@@ -161,14 +161,14 @@
 func TestOneSessionOfHundredsOfFrontsDoesNotFillServer(t *testing.T) {
 	use := func(fronts int, reported bool) float64 {
 		cfg := settings()
-		cfg.Fleet, cfg.WeightKB, cfg.RackKB = fronts, 20_000, 80_000
+		cfg.Fronts, cfg.WeightKB, cfg.RackKB = fronts, 20_000, 80_000
 		w := newWorld(t, cfg)
 		if reported {
 			w.now += 10 * Second
 			w.reportUseAll(0.3)
 			w.now += Second
 		}
-		w.handle(Handed{Ask: w.newRequest(1, 0), Server: 1})
+		w.handle(Restored{SessionSpec: w.newRequest(1, 0), Server: 1})
 		w.handle(Note{ID: 1, Server: 1, Kind: NoteRung, Value: 3})
 		return w.front.estimatedUse(&w.front.fleet.get(1).link)
 	}
@@ -216,7 +216,7 @@
 		t.Fatalf("%v probes at the start", w.front.probeTokens)
 	}
 	for id := uint64(1); id <= 30; id++ {
-		w.handle(Handed{Ask: w.newRequest(id, 0), Server: 1})
+		w.handle(Restored{SessionSpec: w.newRequest(id, 0), Server: 1})
 	}
 	if w.front.probeTokens != maxProbes {
 		t.Fatalf("%v probes after 30 sessions", w.front.probeTokens)
--- a/policy/vacate_test.go
+++ b/policy/vacate_test.go
@@ -13,7 +13,7 @@
 	for i := range sessions {
 		a := w.newRequest(uint64(i+1), 0)
 		a.Length, a.Hinted = 10*Second, i%2 == 1
-		w.handle(Handed{Ask: a, Server: 1})
+		w.handle(Restored{SessionSpec: a, Server: 1})
 	}
 	if prepare == nil {
 		prepare = func(w *world) { w.reportUseAll(0.1) }
