--- a/decide/paths/paths.go
+++ b/decide/addresses/addresses.go
@@ -1,11 +1,11 @@
-// Package paths decides how a media server with several addresses is reached: which address is tried first, when the
+// Package addresses decides how a media server with several addresses is reached: which address is tried first, when the
 // next one is tried in parallel, when one is in backoff and tried again, and when the server itself counts as
 // unreachable. It is pure.
 //
 // It follows RFC 8305 for connections: they may race. Set-ups may not: one connection a server carries them, the
 // first that is established, and a set-up once written is never written on another. The order follows the principle
 // of RFC 6724: what needs no network first, then IPv6, then IPv4, unless this front's own record says otherwise.
-package paths
+package addresses
 
 import (
 	"fmt"
--- a/decide/paths/pace.go
+++ b/decide/addresses/pace.go
@@ -1,4 +1,4 @@
-package paths
+package addresses
 
 import "tealledge/policy"
 
--- a/decide/admit/admit_test.go
+++ b/decide/admission/admission_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"testing"
--- a/decide/life/life.go
+++ b/decide/hlssession/hlssession.go
@@ -1,9 +1,9 @@
-// Package life decides when an HLS session expires and which requests belong to it. An RFC 8216 player never
+// Package hlssession decides when an HLS session expires and which requests belong to it. An RFC 8216 player never
 // announces that it leaves; it only stops sending requests. The package is pure; time is passed in.
 //
 // A stream held for too long after its player has left takes up a place and a seat. A session ended too early,
 // between two reloads, makes a playing viewer open it again, and a paid one pay for nothing.
-package life
+package hlssession
 
 import "tealledge/policy"
 
--- a/decide/life/life_test.go
+++ b/decide/hlssession/hlssession_test.go
@@ -1,4 +1,4 @@
-package life
+package hlssession
 
 import (
 	"testing"
--- a/decide/fate/fate.go
+++ b/decide/outcome/outcome.go
@@ -1,10 +1,10 @@
-// Package fate decides what is known of a set-up attempt that ended without a success response: whether it provably
+// Package outcome decides what is known of a set-up attempt that ended without a success response: whether it provably
 // never ran or may have run. The second rule depends on it: a paid set-up is sent again or refused only when every
 // earlier attempt provably never ran.
 //
 // A wrong guess would break that rule, so whatever is not proven here counts as "may have run". The cost: a paid
 // viewer may get "failed" although its set-up never ran.
-package fate
+package outcome
 
 import "tealledge/policy"
 
--- a/decide/fate/fate_test.go
+++ b/decide/outcome/outcome_test.go
@@ -1,4 +1,4 @@
-package fate
+package outcome
 
 import (
 	"testing"
--- a/decide/work/work.go
+++ b/decide/schedule/schedule.go
@@ -1,11 +1,11 @@
-// Package work decides which background work runs next and how much of it: compaction, snapshots, checks of the
+// Package schedule decides which background work runs next and how much of it: compaction, snapshots, checks of the
 // catalogue, re-verification of streams, connections kept warm. It is pure; time and the load of the request path are
 // passed in.
 //
 // Background work must not take the disk and the processor from set-ups that players wait for. So nothing runs while
 // requests are late, each task has a budget in time and bytes, and a step is short. The cost: under permanent load
 // work is postponed. Tasks with a deadline run then all the same, at a tenth of the pace.
-package work
+package schedule
 
 import (
 	"cmp"
--- a/decide/work/work_test.go
+++ b/decide/schedule/schedule_test.go
@@ -1,4 +1,4 @@
-package work
+package schedule
 
 import (
 	"testing"
--- a/decide/members/members.go
+++ b/decide/serverview/serverview.go
@@ -1,10 +1,10 @@
-// Package members maintains a front's view of the server list: which responses of the list service are accepted, and
+// Package serverview maintains a front's view of the server list: which responses of the list service are accepted, and
 // how they combine with a server's own announcement (a REDIRECT). It is pure; time is passed in.
 //
 // A list service that lost its data responds with an empty list, and one that was restored from an old copy with an
 // index that went backwards. Accepting either at once would close the front. The cost: the removal of a whole fleet
 // at once is noticed emptyListDelay later; its connections fail meanwhile, so nothing runs there.
-package members
+package serverview
 
 import (
 	"slices"
--- a/decide/members/members_test.go
+++ b/decide/serverview/serverview_test.go
@@ -1,4 +1,4 @@
-package members
+package serverview
 
 import (
 	"testing"
--- a/internal/work/work.go
+++ b/internal/background/background.go
@@ -1,13 +1,13 @@
-// Package work runs background work on one goroutine, a step at a time, as decide/work says. A task is told how long a
+// Package background runs background work on one goroutine, a step at a time, as decide/schedule says. A task is told how long a
 // step may last and gives back where it stands; what it does with disks and sockets is its own.
-package work
+package background
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"tealledge/decide/work"
+	"tealledge/decide/schedule"
 )
 
 // Step does a part of a task's work within about a budget. It tells the bytes that it moved and whether the run is done.
@@ -16,9 +16,9 @@
 // Scheduler runs tasks. Make one with New.
 type Scheduler struct {
 	mu       sync.Mutex
-	plan     work.Plan
+	plan     schedule.Plan
 	steps    map[string]Step
-	pressure func() work.Pressure
+	pressure func() schedule.Pressure
 	now      func() int64
 	wake     chan struct{}
 	stats    map[string]Stats
@@ -33,12 +33,12 @@
 }
 
 // New makes a scheduler. pressure tells how the request path fares and is called often, from another goroutine.
-func New(now func() int64, pressure func() work.Pressure) *Scheduler {
+func New(now func() int64, pressure func() schedule.Pressure) *Scheduler {
 	return &Scheduler{steps: map[string]Step{}, pressure: pressure, now: now, wake: make(chan struct{}, 1), stats: map[string]Stats{}}
 }
 
 // Add adds a task; false if there are too many or one of its name.
-func (s *Scheduler) Add(t work.Task, step Step) bool {
+func (s *Scheduler) Add(t schedule.Task, step Step) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.plan.Add(s.now(), t) {
--- a/internal/work/work_test.go
+++ b/internal/background/background_test.go
@@ -1,4 +1,4 @@
-package work
+package background
 
 import (
 	"context"
@@ -6,18 +6,18 @@
 	"testing"
 	"time"
 
-	"tealledge/decide/work"
+	"tealledge/decide/schedule"
 )
 
 // TestStepsRunYieldAndEnd: a task's steps run until it is done, not while requests wait, and the scheduler ends with its
 // context.
 func TestStepsRunYieldAndEnd(t *testing.T) {
 	var pressed atomic.Bool
-	s := New(func() int64 { return time.Now().UnixNano() }, func() work.Pressure {
+	s := New(func() int64 { return time.Now().UnixNano() }, func() schedule.Pressure {
 		if pressed.Load() {
-			return work.Pressure{Backlog: 1000}
+			return schedule.Pressure{Backlog: 1000}
 		}
-		return work.Pressure{}
+		return schedule.Pressure{}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -31,7 +31,7 @@
 		}
 	}
 	var steps atomic.Int64
-	if !s.Add(work.Task{Name: "a", Interval: time.Hour.Nanoseconds()}, func(context.Context, time.Duration) (int, bool) { return 10, steps.Add(1)%5 == 0 }) {
+	if !s.Add(schedule.Task{Name: "a", Interval: time.Hour.Nanoseconds()}, func(context.Context, time.Duration) (int, bool) { return 10, steps.Add(1)%5 == 0 }) {
 		t.Fatal("not added")
 	}
 	until("a run of five steps", func() bool { return s.Stats()["a"].Runs == 1 })
@@ -46,7 +46,7 @@
 	}
 	pressed.Store(false)
 	until("a second run", func() bool { return s.Stats()["a"].Runs == 2 })
-	if s.Add(work.Task{Name: "a"}, nil) {
+	if s.Add(schedule.Task{Name: "a"}, nil) {
 		t.Error("a name twice")
 	}
 	cancel()
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"tealledge/internal/audit"
+	"tealledge/internal/hlstoken"
 	"tealledge/internal/record"
-	"tealledge/internal/seal"
 	"tealledge/internal/standin/listsim"
 	"tealledge/internal/standin/mediasim"
 	"tealledge/internal/standin/playersim"
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	keys, err := seal.NewKeys(key)
+	keys, err := hlstoken.NewKeys(key)
 	if err != nil {
 		return err
 	}
--- a/internal/explore/attempts/properties.go
+++ b/internal/explore/attempts/properties.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"strconv"
 
-	"tealledge/internal/exchange"
 	"tealledge/internal/rtsp"
+	"tealledge/internal/rtspclient"
 	"tealledge/policy"
 )
 
@@ -28,9 +28,9 @@
 		return -1
 	}
 	r := attempt{Server: l.server, At: w.now, Out: true}
-	fmt.Sscanf(m.Get(exchange.HeaderAttempt), "f/%d/%d", &r.Session, &r.Attempt)
-	r.Class, _ = strconv.Atoi(m.Get(exchange.HeaderClass))
-	rung, _ := strconv.Atoi(m.Get(exchange.HeaderRung))
+	fmt.Sscanf(m.Get(rtspclient.HeaderAttempt), "f/%d/%d", &r.Session, &r.Attempt)
+	r.Class, _ = strconv.Atoi(m.Get(rtspclient.HeaderClass))
+	rung, _ := strconv.Atoi(m.Get(rtspclient.HeaderRung))
 	class := w.set.Classes[r.Class]
 	for i := range w.watch.Attempts {
 		o := &w.watch.Attempts[i]
--- a/internal/explore/attempts/servers.go
+++ b/internal/explore/attempts/servers.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strconv"
 
-	"tealledge/internal/exchange"
 	"tealledge/internal/rtsp"
+	"tealledge/internal/rtspclient"
 	"tealledge/policy"
 )
 
@@ -96,8 +96,8 @@
 		if status == rtsp.StatusOK {
 			w.streams++
 			x := stream{}
-			fmt.Sscanf(m.Get(exchange.HeaderAttempt), "f/%d/%d", &x.session, &x.attempt)
-			x.class, _ = strconv.Atoi(m.Get(exchange.HeaderClass))
+			fmt.Sscanf(m.Get(rtspclient.HeaderAttempt), "f/%d/%d", &x.session, &x.attempt)
+			x.class, _ = strconv.Atoi(m.Get(rtspclient.HeaderClass))
 			s.streams[w.streams] = x
 			l.pipes = append(l.pipes, piped{m.Get("Pipelined-Requests"), w.streams})
 			l.plays++
--- a/internal/explore/attempts/world.go
+++ b/internal/explore/attempts/world.go
@@ -1,7 +1,7 @@
 // Package attempts puts the front's own core and desk into a world of small numbers, in which whoever explores it picks
 // what happens next: which byte stream is read, which connection breaks and where in it, when time passes, when a player
 // leaves or comes back, when a server drains, what the list service says. Nothing of the front is modelled:
-// internal/front with policy.Front, internal/exchange, decide/paths and decide/members are the code that runs. What is
+// internal/front with policy.Front, internal/rtspclient, decide/addresses and decide/serverview are the code that runs. What is
 // modelled is the rest of the world, and that as plainly as it goes.
 //
 // This file is the world's state and the front's side of it; choices.go is what may happen, servers.go what media
@@ -12,13 +12,13 @@
 	"fmt"
 	"sync"
 
-	"tealledge/decide/members"
-	"tealledge/decide/paths"
-	"tealledge/internal/exchange"
+	"tealledge/decide/addresses"
+	"tealledge/decide/serverview"
 	"tealledge/internal/explore"
 	"tealledge/internal/explore/deep"
 	"tealledge/internal/front"
 	"tealledge/internal/rtsp"
+	"tealledge/internal/rtspclient"
 	"tealledge/policy"
 )
 
@@ -109,8 +109,8 @@
 	now     policy.Time
 	due     bool // the clock stands at an instant that matters, and what is due has not fallen due yet
 	core    *front.Core
-	desk    *exchange.Protocol
-	view    *members.View
+	desk    *rtspclient.Protocol
+	view    *serverview.View
 	index   uint64 // of the list service
 	conns   []*link
 	players []player
@@ -176,10 +176,10 @@
 	w.core = front.New(front.Config{Settings: w.set, Module: module, NewToken: token,
 		AnswerMargin: 60 * policy.Millisecond, FailsafeMargin: 30 * policy.Millisecond, MoveTokenTTL: policy.Second, MaxMoveTokens: 4,
 		ResumeWindow: resumeFor, FirstID: uint64(w.boots-1) * 1000})
-	w.desk = exchange.New(exchange.Config{Front: "f", Fields: w.set.Fields, ProbeTimeout: policy.Second / 4, StallTimeout: 60 * policy.Second,
+	w.desk = rtspclient.New(rtspclient.Config{Front: "f", Fields: w.set.Fields, ProbeTimeout: policy.Second / 4, StallTimeout: 60 * policy.Second,
 		KeepAliveInterval: 3600 * policy.Second, ConnectTimeout: w.set.ConnectTimeout, TitleName: titleName, Random: draw,
 		Aims: []policy.Time{policy.Second, policy.Second, policy.Second}})
-	w.view = &members.View{}
+	w.view = &serverview.View{}
 	w.listed(w.entries())
 }
 
@@ -217,8 +217,8 @@
 
 // listed has the list service answer; what is believed of it goes to core and desk, as in the shell.
 func (w *world) listed(entries []policy.Entry) {
-	list, verdict := w.view.Apply(w.now, members.Response{Index: w.index, Entries: entries})
-	if verdict != members.Accepted {
+	list, verdict := w.view.Apply(w.now, serverview.Response{Index: w.index, Entries: entries})
+	if verdict != serverview.Accepted {
 		return
 	}
 	for i := range w.servers {
@@ -233,11 +233,11 @@
 		}
 	}
 	w.step(front.Listed{List: policy.List{Kind: policy.ListFull, Entries: list}})
-	var known []exchange.Server
+	var known []rtspclient.Server
 	for _, e := range list {
-		s := exchange.Server{ID: e.Server, Addr: fmt.Sprintf("s%d:1", e.Server), StartedAt: e.Started}
+		s := rtspclient.Server{ID: e.Server, Addr: fmt.Sprintf("s%d:1", e.Server), StartedAt: e.Started}
 		for k := range max(w.cfg.Ways, 1) {
-			s.Paths = append(s.Paths, paths.Path{Addr: fmt.Sprintf("s%d:%d", e.Server, k+1), Family: paths.IPv4})
+			s.Paths = append(s.Paths, addresses.Path{Addr: fmt.Sprintf("s%d:%d", e.Server, k+1), Family: addresses.IPv4})
 		}
 		known = append(known, s)
 	}
@@ -293,7 +293,7 @@
 	}
 }
 
-func (w *world) act(a exchange.Effect) {
+func (w *world) act(a rtspclient.Effect) {
 	l := w.conn(a.Conn)
 	switch {
 	case a.Dial != "":
--- a/internal/front/actions.go
+++ b/internal/front/actions.go
@@ -6,7 +6,7 @@
 	"maps"
 	"slices"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/policy"
 )
 
@@ -45,7 +45,7 @@
 		}
 	case policy.Cancel:
 		if s := c.sessions[a.ID]; s != nil && s.inFlight && !s.abandoned && s.attempts-1 == a.Attempt {
-			c.abandon(s, fate.Cancelled)
+			c.abandon(s, outcome.Cancelled)
 		}
 	case policy.Move:
 		c.move(c.sessions[a.ID])
@@ -101,7 +101,7 @@
 		s.request.Name, s.request.Text, timeout})
 }
 
-func (c *Core) abandon(s *session, cause fate.Cause) {
+func (c *Core) abandon(s *session, cause outcome.Cause) {
 	s.abandoned = true
 	c.emit(Abandon{s.id, s.attempts - 1, s.server, cause})
 }
@@ -194,7 +194,7 @@
 		return
 	}
 	if !s.abandoned {
-		c.abandon(s, fate.Cancelled)
+		c.abandon(s, outcome.Cancelled)
 	}
 }
 
--- a/internal/front/api.go
+++ b/internal/front/api.go
@@ -12,7 +12,7 @@
 package front
 
 import (
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/policy"
 )
 
@@ -136,7 +136,7 @@
 	Session uint64
 	Attempt int
 	Server  uint32
-	Cause   fate.Cause
+	Cause   outcome.Cause
 }
 
 // Withdraw cancels the set-ups for a server that were not sent yet; each gets its AttemptEnded.
--- a/internal/front/core.go
+++ b/internal/front/core.go
@@ -1,8 +1,8 @@
 package front
 
 import (
-	"tealledge/decide/admit"
-	"tealledge/decide/fate"
+	"tealledge/decide/admission"
+	"tealledge/decide/outcome"
 	"tealledge/policy"
 )
 
@@ -95,7 +95,7 @@
 			c.feed(policy.TimerFired{Token: t.token})
 		case timerAttempt:
 			if s := c.sessions[t.session]; s != nil && s.inFlight && !s.abandoned && s.attempts-1 == t.attempt {
-				c.abandon(s, fate.Expired)
+				c.abandon(s, outcome.Expired)
 			}
 		case timerFailsafe:
 			c.failUnanswered(c.sessions[t.session])
@@ -169,7 +169,7 @@
 		c.refuse(s, c.cfg.Settings.MaxRetryAfter)
 		return
 	}
-	if admit.PastDeadline(c.now, s.deadline) {
+	if admission.PastDeadline(c.now, s.deadline) {
 		c.fail(s)
 		return
 	}
@@ -199,7 +199,7 @@
 		c.stats.Left++
 		c.feed(policy.ViewerLeft{ID: s.id})
 		if !s.abandoned {
-			c.abandon(s, fate.Cancelled)
+			c.abandon(s, outcome.Cancelled)
 		}
 	default:
 		c.markAnswered(s)
@@ -215,7 +215,7 @@
 		return // the shell tears down abandoned attempts and reports their AttemptEnded
 	}
 	if c.now >= s.deadline { // the player has given up
-		c.abandon(s, fate.Expired)
+		c.abandon(s, outcome.Expired)
 		return
 	}
 	s.inFlight, s.playing = false, true
@@ -269,7 +269,7 @@
 		return
 	}
 	s.inFlight, s.abandoned = false, false
-	s.mayHaveRun = s.mayHaveRun || !fate.NeverRan(e.Status)
+	s.mayHaveRun = s.mayHaveRun || !outcome.NeverRan(e.Status)
 	c.feed(policy.Outcome{ID: s.id, Attempt: e.Attempt, Server: s.server, Status: e.Status, Took: e.Took,
 		Final: s.closed, Report: e.Report})
 	if s.closed && !s.inFlight {
--- a/internal/front/core_test.go
+++ b/internal/front/core_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/policy"
 )
 
@@ -147,7 +147,7 @@
 		out = r.advance(10 * ms)
 	}
 	a := onlyEffect[Abandon](t, out)
-	if a.Cause != fate.Expired || a.Server != s.Server || len(effectsOf[Setup](out)) > 0 {
+	if a.Cause != outcome.Expired || a.Server != s.Server || len(effectsOf[Setup](out)) > 0 {
 		t.Fatalf("%+v", out)
 	}
 	// A late reply does not answer the request; the shell tears the stream down.
@@ -282,7 +282,7 @@
 	// While an attempt is in flight.
 	r = newHarness(t, nil)
 	s := onlyEffect[Setup](t, r.request(0))
-	if a := onlyEffect[Abandon](t, r.step(Leave{s.Session})); a.Cause != fate.Cancelled {
+	if a := onlyEffect[Abandon](t, r.step(Leave{s.Session})); a.Cause != outcome.Cancelled {
 		t.Fatal(a)
 	}
 	if out := r.step(AttemptEnded{Session: s.Session, Status: policy.Cancelled}); answers(out)+len(effectsOf[Setup](out)) > 0 {
--- a/internal/front/timers.go
+++ b/internal/front/timers.go
@@ -1,6 +1,6 @@
 package front
 
-import "tealledge/internal/wheel"
+import "tealledge/internal/timerwheel"
 
 // timerKind is the purpose of a timer.
 type timerKind uint8
@@ -24,11 +24,11 @@
 const wheelTick = Time(1e6)
 
 // timers is a timing wheel that starts with the first event.
-type timers struct{ queue *wheel.Wheel[timer] }
+type timers struct{ queue *timerwheel.Wheel[timer] }
 
 func (t *timers) start(now Time) {
 	if t.queue == nil {
-		t.queue = wheel.New[timer](wheelTick, now)
+		t.queue = timerwheel.New[timer](wheelTick, now)
 	}
 }
 
@@ -48,7 +48,7 @@
 // ComparisonState returns all state that affects the core's future behaviour, so that two states can be compared:
 // sessions, readiness of servers, tokens, the module and the pending timers. Counters are left out.
 func (c *Core) ComparisonState() any {
-	var pending []wheel.PendingTimer[timer]
+	var pending []timerwheel.PendingTimer[timer]
 	if c.timers.queue != nil {
 		pending = c.timers.queue.All()
 	}
@@ -60,7 +60,7 @@
 		Detached map[uint64]uint64
 		Closing  bool
 		NextID   uint64
-		Timers   []wheel.PendingTimer[timer]
+		Timers   []timerwheel.PendingTimer[timer]
 		Module   Module
 	}{c.sessions, c.openRequests, c.readyServers, c.moveTokens, c.detached, c.closing, c.nextID, pending,
 		c.cfg.Module}
--- a/internal/seal/seal.go
+++ b/internal/hlstoken/hlstoken.go
@@ -1,7 +1,7 @@
-// Package seal signs and verifies the tokens in HLS addresses. A token identifies a session and its viewer and holds
+// Package hlstoken signs and verifies the tokens in HLS addresses. A token identifies a session and its viewer and holds
 // everything that another front needs to place the session again. Tokens are signed (HMAC-SHA-256 truncated to 128
 // bits) and expire. Keys rotate with overlap: the first key signs, all keys verify.
-package seal
+package hlstoken
 
 import (
 	"crypto/hmac"
@@ -26,9 +26,9 @@
 
 // Errors for which a token is rejected.
 var (
-	ErrSignature = errors.New("seal: signature matches none of the keys")
-	ErrExpired   = errors.New("seal: token expired")
-	ErrMalformed = errors.New("seal: malformed token")
+	ErrSignature = errors.New("hlstoken: signature matches none of the keys")
+	ErrExpired   = errors.New("hlstoken: token expired")
+	ErrMalformed = errors.New("hlstoken: malformed token")
 )
 
 const (
@@ -47,11 +47,11 @@
 // NewKeys returns Keys that sign with the first key and verify with all of them.
 func NewKeys(list ...[]byte) (*Keys, error) {
 	if len(list) == 0 || len(list) > 8 {
-		return nil, fmt.Errorf("seal: want 1 to 8 keys, got %d", len(list))
+		return nil, fmt.Errorf("hlstoken: want 1 to 8 keys, got %d", len(list))
 	}
 	for i, k := range list {
 		if len(k) < MinKeySize {
-			return nil, fmt.Errorf("seal: key %d has %d bytes, want at least %d", i+1, len(k), MinKeySize)
+			return nil, fmt.Errorf("hlstoken: key %d has %d bytes, want at least %d", i+1, len(k), MinKeySize)
 		}
 	}
 	return &Keys{list}, nil
--- a/internal/seal/seal_test.go
+++ b/internal/hlstoken/hlstoken_test.go
@@ -1,4 +1,4 @@
-package seal
+package hlstoken
 
 import (
 	"bytes"
--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -4,10 +4,10 @@
 import (
 	"sync"
 
-	"tealledge/decide/admit"
+	"tealledge/decide/admission"
 )
 
-// Queue holds the items that wait for the owner. decide/admit chooses what a full queue does with a new item.
+// Queue holds the items that wait for the owner. decide/admission chooses what a full queue does with a new item.
 type Queue struct {
 	mu       sync.Mutex
 	notFull  sync.Cond
@@ -32,22 +32,22 @@
 
 // Put adds an item; it returns false if the item was rejected or the queue is closed. Items of kind News block until
 // there is room.
-func (q *Queue) Put(kind admit.Kind, item any) bool {
+func (q *Queue) Put(kind admission.Kind, item any) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for {
 		if q.closed {
 			return false
 		}
-		switch admit.Admit(kind, len(q.events)+len(q.requests), q.maxItems) {
-		case admit.Refuse:
+		switch admission.Admit(kind, len(q.events)+len(q.requests), q.maxItems) {
+		case admission.Refuse:
 			q.rejected++
 			return false
-		case admit.Wait:
+		case admission.Wait:
 			q.notFull.Wait()
 			continue
 		}
-		if kind == admit.Request {
+		if kind == admission.Request {
 			q.requests = append(q.requests, item)
 			q.signal()
 		} else {
--- a/internal/inbox/inbox_test.go
+++ b/internal/inbox/inbox_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"tealledge/decide/admit"
+	"tealledge/decide/admission"
 )
 
 // TestFullQueueRejectsRequestsAndKeepsNews guards against a full queue that drops news, starves requests, or blocks
@@ -12,20 +12,20 @@
 func TestFullQueueRejectsRequestsAndKeepsNews(t *testing.T) {
 	q := New(16)
 	for i := range 8 {
-		if !q.Put(admit.Request, i) {
+		if !q.Put(admission.Request, i) {
 			t.Fatal("request rejected before the queue was full")
 		}
 	}
-	if q.Put(admit.Request, 8) {
+	if q.Put(admission.Request, 8) {
 		t.Fatal("request accepted past its share of the queue")
 	}
 	for i := 8; i < 16; i++ {
-		if !q.Put(admit.Outcome, i) {
+		if !q.Put(admission.Outcome, i) {
 			t.Fatal("news rejected")
 		}
 	}
 	got := make(chan bool)
-	go func() { got <- q.Put(admit.Outcome, 16) }()
+	go func() { got <- q.Put(admission.Outcome, 16) }()
 	select {
 	case <-got:
 		t.Fatal("Put of news did not block on a full queue")
@@ -39,10 +39,10 @@
 	if rest, _ := q.Take(100, nil); len(rest) != 8 {
 		t.Fatal(rest)
 	}
-	go func() { got <- q.Put(admit.Outcome, 1) }()
+	go func() { got <- q.Put(admission.Outcome, 1) }()
 	<-got
 	q.Close()
-	if q.Put(admit.Outcome, 1) {
+	if q.Put(admission.Outcome, 1) {
 		t.Fatal("item accepted after Close")
 	}
 }
--- a/internal/load/echo.go
+++ b/internal/load/echo.go
@@ -8,7 +8,7 @@
 	"github.com/cloudwego/netpoll"
 	"github.com/gobwas/ws"
 
-	"tealledge/internal/pipe"
+	"tealledge/internal/transport"
 )
 
 // Echo is a bare WebSocket echo on the same libraries, which a front's cost is measured against: it reads each
@@ -24,7 +24,7 @@
 
 // NewEcho listens.
 func NewEcho(addr string) (*Echo, error) {
-	ln, err := pipe.Listen(addr)
+	ln, err := transport.Listen(addr)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/manifest/hub.go
+++ b/internal/manifest/hub.go
@@ -24,11 +24,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tealledge/decide/life"
+	"tealledge/decide/hlssession"
 	"tealledge/internal/config"
 	"tealledge/internal/front"
 	"tealledge/internal/hls"
-	"tealledge/internal/seal"
+	"tealledge/internal/hlstoken"
 	"tealledge/policy"
 )
 
@@ -45,7 +45,7 @@
 type Hub struct {
 	cfg    *config.Config
 	owner  Owner
-	keys   *seal.Keys
+	keys   *hlstoken.Keys
 	origin *origin
 	ln     net.Listener
 	srv    *http.Server
@@ -74,7 +74,7 @@
 		}
 		list = append(list, b)
 	}
-	keys, err := seal.NewKeys(list...)
+	keys, err := hlstoken.NewKeys(list...)
 	if err != nil {
 		return nil, err
 	}
@@ -135,7 +135,7 @@
 		var dead []*session
 		for _, s := range h.byKey {
 			s.mu.Lock()
-			if s.state == over || s.state != opening && now >= life.ExpiresAt(s.opened, s.heard, s.list) {
+			if s.state == over || s.state != opening && now >= hlssession.ExpiresAt(s.opened, s.heard, s.list) {
 				dead = append(dead, s)
 			}
 			s.mu.Unlock()
@@ -168,7 +168,7 @@
 }
 
 // wish turns claims into what the core is asked.
-func (h *Hub) wish(c seal.Claims) (a front.Request, ok bool) {
+func (h *Hub) wish(c hlstoken.Claims) (a front.Request, ok bool) {
 	t, ok := h.cfg.Place(c.Title, c.Class)
 	if !ok || c.Class < 0 || c.Class >= len(h.cfg.Classes) {
 		return a, false
@@ -205,7 +205,7 @@
 }
 
 // claims reads what a request asks for, and who asks.
-func (h *Hub) claims(w http.ResponseWriter, r *http.Request, title string) (c seal.Claims, named bool, err error) {
+func (h *Hub) claims(w http.ResponseWriter, r *http.Request, title string) (c hlstoken.Claims, named bool, err error) {
 	q := r.URL.Query()
 	if _, ok := h.cfg.Place(title, 0); !ok {
 		return c, false, errNoTitle
@@ -238,7 +238,7 @@
 			viewer, carried = k.Value, k.Value != ""
 		}
 	}
-	named = life.OwnsSession(carried, viewer != "")
+	named = hlssession.OwnsSession(carried, viewer != "")
 	if viewer == "" { // told from all others, also from itself if this answer is lost
 		var b [12]byte
 		rand.Read(b[:])
@@ -305,7 +305,7 @@
 }
 
 // create makes a session under a fresh key, in place of whatever its viewer had. The caller holds the hub.
-func (h *Hub) create(c seal.Claims, same viewerKey) *session {
+func (h *Hub) create(c hlstoken.Claims, same viewerKey) *session {
 	var b [8]byte
 	rand.Read(b[:])
 	c.Session = binary.LittleEndian.Uint64(b[:])
@@ -314,7 +314,7 @@
 	return h.adopt(c, same, h.keys.Sign(c))
 }
 
-func (h *Hub) adopt(c seal.Claims, same viewerKey, token string) *session {
+func (h *Hub) adopt(c hlstoken.Claims, same viewerKey, token string) *session {
 	s := &session{hub: h, key: c.Session, claims: c, token: token, same: same, opened: h.owner.Now()}
 	h.byKey[s.key], h.same[same] = s, s
 	return s
@@ -369,7 +369,7 @@
 func (h *Hub) find(w http.ResponseWriter, token string) *session {
 	c, err := h.keys.Verify(token, time.Now().Unix())
 	switch {
-	case errors.Is(err, seal.ErrExpired):
+	case errors.Is(err, hlstoken.ErrExpired):
 		http.Error(w, "the address has expired: open the title anew", http.StatusGone)
 		return nil
 	case err != nil:
@@ -423,8 +423,8 @@
 		return
 	}
 	s.mu.Lock()
-	if now := h.owner.Now(); life.ReloadsTooFast(now, s.told, s.list) {
-		if s.fast++; life.ThrottlesReload(s.fast) {
+	if now := h.owner.Now(); hlssession.ReloadsTooFast(now, s.told, s.list) {
+		if s.fast++; hlssession.ThrottlesReload(s.fast) {
 			s.heard = now
 			s.mu.Unlock()
 			w.Header().Set("Retry-After", "1")
@@ -458,7 +458,7 @@
 		v.next = max(v.next, next)
 		s.told = now
 		m := lists[effective]
-		s.list = life.Playlist{TargetDuration: front.Time(m.Target), TotalDuration: front.Time(m.Total()), Ended: m.Ended}
+		s.list = hlssession.Playlist{TargetDuration: front.Time(m.Target), TotalDuration: front.Time(m.Total()), Ended: m.Ended}
 	}
 	s.mu.Unlock()
 	if !ok {
--- a/internal/manifest/origin.go
+++ b/internal/manifest/origin.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"tealledge/decide/life"
+	"tealledge/decide/hlssession"
 	"tealledge/internal/front"
 	"tealledge/internal/hls"
 )
@@ -57,11 +57,11 @@
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-func (e *entry) list() life.Playlist {
+func (e *entry) list() hlssession.Playlist {
 	if e.media == nil {
-		return life.Playlist{Ended: true} // a multivariant playlist does not change
+		return hlssession.Playlist{Ended: true} // a multivariant playlist does not change
 	}
-	return life.Playlist{TargetDuration: front.Time(e.media.Target), TotalDuration: front.Time(e.media.Total()), Ended: e.media.Ended}
+	return hlssession.Playlist{TargetDuration: front.Time(e.media.Target), TotalDuration: front.Time(e.media.Total()), Ended: e.media.Ended}
 }
 
 // get gives a playlist, from the server at an address if it is not at hand. The error is the fetch's if nothing usable
@@ -79,7 +79,7 @@
 		e.used = now
 		have := e.media != nil || e.multi != nil
 		switch {
-		case have && life.Fresh(now-e.at, e.list()):
+		case have && hlssession.Fresh(now-e.at, e.list()):
 			o.Stats.Shared++
 			c := *e
 			o.mu.Unlock()
@@ -132,7 +132,7 @@
 
 // old gives what is known though it could not be had anew, if that is better than nothing.
 func (o *origin) old(e *entry, now front.Time) (*entry, error) {
-	if (e.media != nil || e.multi != nil) && life.Usable(now-e.at, e.list()) {
+	if (e.media != nil || e.multi != nil) && hlssession.Usable(now-e.at, e.list()) {
 		o.Stats.Stale++
 		c := *e
 		return &c, nil
--- a/internal/manifest/session.go
+++ b/internal/manifest/session.go
@@ -4,18 +4,18 @@
 	"sync"
 	"sync/atomic"
 
-	"tealledge/decide/life"
+	"tealledge/decide/hlssession"
 	"tealledge/internal/front"
 	"tealledge/internal/hls"
+	"tealledge/internal/hlstoken"
 	"tealledge/internal/players"
-	"tealledge/internal/seal"
 )
 
 // session is one HLS player's session, over all servers that it plays from. It is small: playlists are shared.
 type session struct {
 	hub    *Hub
 	key    uint64 // stays the same; in its token
-	claims seal.Claims
+	claims hlstoken.Claims
 	token  string
 	same   viewerKey
 
@@ -31,7 +31,7 @@
 	moved  uint64 // token of a move, for the next request
 	opened front.Time
 	heard  front.Time
-	list   life.Playlist
+	list   hlssession.Playlist
 	told   front.Time // when it was told a playlist last: too fast counts from there, so that waiting ends it
 	fast   int        // reloads in a row that came too fast
 	views  []*view    // by rung asked for
--- a/internal/media/connect.go
+++ b/internal/media/connect.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"tealledge/internal/pipe"
+	"tealledge/internal/transport"
 )
 
 // connect opens a connection to HOST:PORT, or to a Unix socket given as a path that begins with '/'.
@@ -19,7 +19,7 @@
 		}
 		return net.DialTimeout("unix", addr, within)
 	}
-	return pipe.DialTCP(addr, within)
+	return transport.DialTCP(addr, within)
 }
 
 // trusted checks a Unix socket before it is connected to: it must be a socket of this user or of root, in a place that
--- a/internal/media/media.go
+++ b/internal/media/media.go
@@ -1,5 +1,5 @@
 // Package media carries the connections to the media servers: it dials, reads whole RTSP messages and
-// writes without holding anyone up. What is said on them is internal/exchange's matter.
+// writes without holding anyone up. What is said on them is internal/rtspclient's matter.
 package media
 
 import (
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"tealledge/internal/exchange"
-	"tealledge/internal/pipe"
 	"tealledge/internal/rtsp"
+	"tealledge/internal/rtspclient"
+	"tealledge/internal/transport"
 )
 
 // Sink takes what the connections bring. Its methods are called from many goroutines; they may wait.
@@ -24,17 +24,17 @@
 type Links struct {
 	sink  Sink
 	wait  time.Duration
-	links *pipe.Conns
+	links *transport.Conns
 	dials atomic.Int64
 }
 
 // New makes an empty set: a dial may take wait, a write writeWait, and most bytes may wait on one connection.
 func New(sink Sink, wait, writeWait time.Duration, most int) *Links {
-	return &Links{sink: sink, wait: wait, links: pipe.NewConns(most, writeWait)}
+	return &Links{sink: sink, wait: wait, links: transport.NewConns(most, writeWait)}
 }
 
 // Do carries out an act of the desk. It never waits.
-func (l *Links) Do(a exchange.Effect) {
+func (l *Links) Do(a rtspclient.Effect) {
 	switch {
 	case a.Dial != "":
 		l.dials.Add(1)
@@ -46,9 +46,9 @@
 	}
 }
 
-func (l *Links) dial(a exchange.Effect) {
+func (l *Links) dial(a rtspclient.Effect) {
 	var d rtsp.Decoder
-	l.links.Dial(a.Conn, func() (net.Conn, error) { return connect(a.Dial, min(l.wait, time.Duration(a.Timeout))) }, pipe.Handler{
+	l.links.Dial(a.Conn, func() (net.Conn, error) { return connect(a.Dial, min(l.wait, time.Duration(a.Timeout))) }, transport.Handler{
 		Connected: func() { l.sink.Connected(a.Server, a.Conn) },
 		Failed:    func(err error) { l.sink.DialFailed(a.Server, a.Conn, err) },
 		Closed:    func(begun uint64) { l.sink.Lost(a.Server, a.Conn, begun) },
--- a/internal/platform/node/clients.go
+++ b/internal/platform/node/clients.go
@@ -14,9 +14,9 @@
 
 	"github.com/cloudwego/netpoll"
 
-	"tealledge/internal/pipe"
 	"tealledge/internal/platform/viewers"
 	"tealledge/internal/platform/wire"
+	"tealledge/internal/transport"
 )
 
 // clients holds the connections from viewers.
@@ -46,7 +46,7 @@
 type client struct {
 	id          uint64
 	conn        netpoll.Connection
-	writer      *pipe.Writer
+	writer      *transport.Writer
 	closing     atomic.Bool  // being closed: further input is read and dropped
 	unprocessed atomic.Int32 // reads that the owner goroutine has not processed yet
 	mu          sync.Mutex
@@ -95,7 +95,7 @@
 // returned only after listenTimeout.
 func listenWithRetry(addr string) (ln netpoll.Listener, err error) {
 	for startedAt := time.Now(); ; time.Sleep(listenRetryInterval) {
-		if ln, err = pipe.Listen(addr); !errors.Is(err, syscall.EADDRINUSE) || time.Since(startedAt) >= listenTimeout {
+		if ln, err = transport.Listen(addr); !errors.Is(err, syscall.EADDRINUSE) || time.Since(startedAt) >= listenTimeout {
 			return ln, err
 		}
 	}
@@ -156,7 +156,7 @@
 
 // onPrepare is called by the event loop before any other callback of an accepted connection.
 func (c *clients) onPrepare(nc netpoll.Connection) context.Context {
-	pipe.OnClose(nc, func() {
+	transport.OnClose(nc, func() {
 		c.openConns.Add(-1)
 		select {
 		case c.slotFreed <- struct{}{}:
@@ -168,14 +168,14 @@
 
 // onConnect registers a new connection.
 func (c *clients) onConnect(ctx context.Context, nc netpoll.Connection) context.Context {
-	pipe.SetTCPOptions(nc)
-	k := &client{id: c.lastID.Add(1), conn: nc, writer: pipe.NewWriter(nc, maxClientQueueBytes, clientWriteTimeout),
+	transport.SetTCPOptions(nc)
+	k := &client{id: c.lastID.Add(1), conn: nc, writer: transport.NewWriter(nc, maxClientQueueBytes, clientWriteTimeout),
 		splitter: wire.NewSplitter(wire.MaxMessage)}
 	c.mu.Lock()
 	c.conns[k.id] = k
 	c.mu.Unlock()
 	c.events.accepted(k.id) // before its closed event
-	pipe.OnClose(nc, func() { c.onClose(k) })
+	transport.OnClose(nc, func() { c.onClose(k) })
 	return context.WithValue(ctx, clientKey{}, k)
 }
 
@@ -281,7 +281,7 @@
 	if !ok {
 		return false, false
 	}
-	closed, unread = pipe.Poll(c.Fd())
+	closed, unread = transport.Poll(c.Fd())
 	// IsActive is called last: the descriptor can't have been reused while the connection is active.
 	return closed || !k.conn.IsActive(), unread
 }
@@ -312,7 +312,7 @@
 	if c.peekBuffer == nil {
 		c.peekBuffer = make([]byte, wire.MaxMessage)
 	}
-	n := pipe.Peek(k.conn.(netpoll.Conn).Fd(), c.peekBuffer)
+	n := transport.Peek(k.conn.(netpoll.Conn).Fd(), c.peekBuffer)
 	return !k.splitter.ContainsClose(c.peekBuffer[:n], session)
 }
 
@@ -347,7 +347,7 @@
 			return false
 		}
 	}
-	_, pendingAccept := pipe.Poll(c.listener.Fd())
+	_, pendingAccept := transport.Poll(c.listener.Fd())
 	return !pendingAccept
 }
 
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -12,10 +12,10 @@
 
 	"tealledge/internal/front"
 	"tealledge/internal/inbox"
-	"tealledge/internal/pipe"
 	"tealledge/internal/platform/servers"
 	"tealledge/internal/platform/viewers"
 	"tealledge/internal/platform/watch"
+	"tealledge/internal/transport"
 	"tealledge/policy"
 )
 
@@ -54,8 +54,8 @@
 	servers        *servers.Protocol
 	viewers        *viewers.Protocol
 	follower       *watch.Follower
-	serverConns    *pipe.Conns
-	journalConns   *pipe.Conns
+	serverConns    *transport.Conns
+	journalConns   *transport.Conns
 	clients        *clients
 	queue          *inbox.Queue
 	serverIDs      serverIDs
@@ -84,8 +84,8 @@
 		MaxOpenRequests: maxOpenPerConn, Silent: silentTimeout, PartialLineTimeout: partialLineTimeout, Idle: idleTimeout,
 		NoPendingInput: func(conn uint64) bool { return n.clients.inputDrained(conn) }})
 	n.follower = watch.New(cfg.Journal, cfg.JournalPos, rand.Float64)
-	n.serverConns, n.journalConns = pipe.NewConns(maxServerQueueBytes, serverWriteTimeout),
-		pipe.NewConns(maxServerQueueBytes, serverWriteTimeout)
+	n.serverConns, n.journalConns = transport.NewConns(maxServerQueueBytes, serverWriteTimeout),
+		transport.NewConns(maxServerQueueBytes, serverWriteTimeout)
 	var err error
 	n.clients, err = listen(cfg.Listen, eventQueue{n})
 	if err != nil {
--- a/internal/platform/node/owner.go
+++ b/internal/platform/node/owner.go
@@ -8,7 +8,7 @@
 
 	"github.com/rs/zerolog"
 
-	"tealledge/decide/admit"
+	"tealledge/decide/admission"
 	"tealledge/internal/front"
 	"tealledge/internal/platform/wire"
 	"tealledge/policy"
@@ -25,7 +25,7 @@
 	statsAt = last + statsInterval
 	for {
 		now := n.now()
-		if wait := admit.ReadWindowAfterStall(now - last); wait > 0 {
+		if wait := admission.ReadWindowAfterStall(now - last); wait > 0 {
 			readUntil = now + wait
 			n.log.Warn().Int64("ms", (now-last)/policy.Millisecond).Msg("owner goroutine stalled")
 		}
--- a/internal/platform/node/sockets.go
+++ b/internal/platform/node/sockets.go
@@ -7,12 +7,12 @@
 	"syscall"
 	"time"
 
-	"tealledge/decide/admit"
+	"tealledge/decide/admission"
 	"tealledge/internal/front"
-	"tealledge/internal/pipe"
 	"tealledge/internal/platform/servers"
 	"tealledge/internal/platform/viewers"
 	"tealledge/internal/platform/wire"
+	"tealledge/internal/transport"
 )
 
 // Queue items: events of the sockets and calls of other goroutines for the owner goroutine.
@@ -56,15 +56,15 @@
 
 func (s eventQueue) received(from *client, list []viewers.Input, readErr error, partial bool) {
 	// Lines of one connection must keep their order: a request must not be overtaken by its withdrawal.
-	s.node.queue.Put(admit.Outcome, clientReceived{from, s.node.now(), list, readErr, partial})
+	s.node.queue.Put(admission.Outcome, clientReceived{from, s.node.now(), list, readErr, partial})
 }
 
 // dialServer opens a connection to a server.
 func (n *Node) dialServer(conn uint64, addr string, timeout time.Duration) {
-	n.serverConns.Dial(conn, dialer(addr, timeout), pipe.Handler{
+	n.serverConns.Dial(conn, dialer(addr, timeout), transport.Handler{
 		Connected: func() { n.queue.Force(serverConnected{conn}) },
 		Failed:    func(err error) { n.queue.Force(serverDialFailed{conn, classifyDialError(err)}) },
-		Read:      func(b []byte) { n.queue.Put(admit.Outcome, serverReceived{conn, bytes.Clone(b)}) },
+		Read:      func(b []byte) { n.queue.Put(admission.Outcome, serverReceived{conn, bytes.Clone(b)}) },
 		Closed:    func(submitted uint64) { n.queue.Force(serverClosed{conn, submitted}) }})
 }
 
@@ -83,7 +83,7 @@
 // dialJournal opens a connection to the journal service.
 func (n *Node) dialJournal(conn uint64, addr string, timeout time.Duration) {
 	splitter := wire.NewSplitter(wire.MaxEvent)
-	n.journalConns.Dial(conn, dialer(addr, timeout), pipe.Handler{
+	n.journalConns.Dial(conn, dialer(addr, timeout), transport.Handler{
 		Connected: func() { n.queue.Force(journalConnected{conn}) },
 		Failed:    func(error) { n.queue.Force(journalClosed{conn}) },
 		Closed:    func(uint64) { n.queue.Force(journalClosed{conn}) },
@@ -98,11 +98,11 @@
 				}
 				message.lines = append(message.lines, bytes.Clone(line))
 			}
-			n.queue.Put(admit.Outcome, message)
+			n.queue.Put(admission.Outcome, message)
 		}})
 }
 
 // dialer returns a function that opens a TCP connection.
 func dialer(addr string, timeout time.Duration) func() (net.Conn, error) {
-	return func() (net.Conn, error) { return pipe.DialTCP(addr, timeout) }
+	return func() (net.Conn, error) { return transport.DialTCP(addr, timeout) }
 }
--- a/internal/platform/servers/connections.go
+++ b/internal/platform/servers/connections.go
@@ -1,7 +1,7 @@
 package servers
 
 import (
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/platform/wire"
 	"tealledge/policy"
@@ -41,7 +41,7 @@
 		p.Stats.Crowded++
 		p.giveTurn(remote)
 		remote.redialAt = p.now + minRedialDelay
-		p.failUnsent(remote, fate.Cancelled)
+		p.failUnsent(remote, outcome.Cancelled)
 		if remote.probePending {
 			remote.probePending = false
 			p.events = append(p.events, front.Probed{Server: remote.server, Status: policy.NotSent})
@@ -165,7 +165,7 @@
 	}
 	remote.redialAt = now + min(minRedialDelay<<min(max(remote.refusedDials, remote.timedOutDials,
 		maxTimedOutDials)-maxTimedOutDials, 8), maxRedialDelay)
-	p.failUnsent(remote, fate.DialFailed)
+	p.failUnsent(remote, outcome.DialFailed)
 	if remote.probePending {
 		remote.probePending = false
 		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect,
@@ -240,9 +240,9 @@
 			a.retried, a.conn = true, nil
 			remote.unsent = append(remote.unsent, a)
 		case begun < a.end:
-			p.end(a, fate.StatusOf(fate.PartlyWritten, fate.ConnectionLost, 0), nil)
+			p.end(a, outcome.StatusOf(outcome.PartlyWritten, outcome.ConnectionLost, 0), nil)
 		default:
-			p.end(a, fate.StatusOf(fate.Written, fate.ConnectionLost, 0), nil)
+			p.end(a, outcome.StatusOf(outcome.Written, outcome.ConnectionLost, 0), nil)
 		}
 	}
 	for _, id := range sorted(c.probes) {
--- a/internal/platform/servers/connections_test.go
+++ b/internal/platform/servers/connections_test.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"testing"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/platform/wire"
 	"tealledge/policy"
@@ -17,14 +17,14 @@
 	old := r.connect()
 	r.setup(6)
 	r.now += 200 * ms
-	r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Expired})
+	r.do(front.Abandon{Session: 5, Server: 1, Cause: outcome.Expired})
 	r.setup(7)
 	fresh := r.connect()
 	r.checkWritten(fresh, wire.SetUp)
 	if r.closed[old] {
 		t.Fatal("connection closed while a set-up is open on it")
 	}
-	r.do(front.Abandon{Session: 6, Server: 1, Cause: fate.Expired})
+	r.do(front.Abandon{Session: 6, Server: 1, Cause: outcome.Expired})
 	r.advance(50 * ms)
 	if !r.halfClosed[old] || r.closed[old] || r.halfClosed[fresh] {
 		t.Error("the old connection is not half-closed:", r.halfClosed)
--- a/internal/platform/servers/invariants_test.go
+++ b/internal/platform/servers/invariants_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/platform/wire"
 )
@@ -100,7 +100,7 @@
 			if sim == nil || !sim.pending || sim.setup.Attempt != e.Attempt {
 				o.Fatalf("%+v of %+v", e, sim)
 			}
-			if sim.pending = false; fate.NeverRan(e.Status) && sim.established {
+			if sim.pending = false; outcome.NeverRan(e.Status) && sim.established {
 				o.Fatalf("%+v of an established session", e)
 			}
 		case front.Leave:
@@ -181,9 +181,9 @@
 		o.connected = append(o.connected, a.Conn)
 		o.p.Connected(o.now, a.Server, a.Conn)
 	case n == 7 && haveSession && sim.pending && !sim.established:
-		cause := fate.Expired
+		cause := outcome.Expired
 		if rapid.Bool().Draw(o.T, "left") {
-			cause, o.clientGone[session] = fate.Cancelled, true
+			cause, o.clientGone[session] = outcome.Cancelled, true
 		}
 		o.p.Apply(o.now, front.Abandon{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server,
 			Cause: cause})
--- a/internal/platform/servers/servers.go
+++ b/internal/platform/servers/servers.go
@@ -1,5 +1,5 @@
 // Package servers implements the protocol of one front with the operators' media servers: binary messages over
-// persistent, pipelined connections. It is a pure state machine, as internal/exchange is for RTSP: it takes the
+// persistent, pipelined connections. It is a pure state machine, as internal/rtspclient is for RTSP: it takes the
 // core's effects and the bytes received on connections, and gives bytes to write and events for the core. It reads no
 // clock and owns no socket.
 //
@@ -13,7 +13,7 @@
 	"math"
 	"slices"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/platform/wire"
 	"tealledge/policy"
@@ -175,7 +175,7 @@
 		p.abandon(e)
 	case front.Withdraw:
 		if remote := p.peers[e.Server]; remote != nil {
-			p.failUnsent(remote, fate.Cancelled)
+			p.failUnsent(remote, outcome.Cancelled)
 		}
 	case front.Stop:
 		p.stop(e)
--- a/internal/platform/servers/setups.go
+++ b/internal/platform/servers/setups.go
@@ -4,7 +4,7 @@
 	"slices"
 	"strconv"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/platform/wire"
 	"tealledge/policy"
@@ -37,14 +37,14 @@
 	case remote.draining || remote.removed || p.displaced(remote):
 		// Sent after the drain grace, it would be new work for a server that is leaving, or reach another server at its
 		// address.
-		p.end(a, fate.StatusOf(fate.Unsent, fate.Cancelled, 0), nil)
+		p.end(a, outcome.StatusOf(outcome.Unsent, outcome.Cancelled, 0), nil)
 		return
 	case p.cfg.ClientWaiting != nil && !p.cfg.ClientWaiting(e.Session):
 		// The client has left, but that event is still queued or unread at the owner: the server would play for no
 		// viewer, which the operators count. The core gets the client's leave before the end of the attempt.
 		p.Stats.Left++
 		p.events = append(p.events, front.Leave{Session: e.Session})
-		p.end(a, fate.StatusOf(fate.Unsent, fate.Cancelled, 0), nil)
+		p.end(a, outcome.StatusOf(outcome.Unsent, outcome.Cancelled, 0), nil)
 		return
 	case remote.current == nil: // an earlier unsent set-up found that the connection has ended
 		remote.unsent = append(remote.unsent, a)
@@ -111,7 +111,7 @@
 	}
 	remote := p.peers[a.setup.Server]
 	if a.conn == nil {
-		p.end(a, fate.StatusOf(fate.Unsent, e.Cause, 0), nil)
+		p.end(a, outcome.StatusOf(outcome.Unsent, e.Cause, 0), nil)
 		return
 	}
 	c := a.conn
@@ -122,18 +122,18 @@
 		remote.abandoned[e.Session] = p.now + abandonedTTL
 		// If an answer never comes, the connection itself may be dead, and every set-up written there would time out
 		// too. The cost: a server that is only slow gets one connection more.
-		if e.Cause == fate.Expired && c.lastReadAt <= a.startedAt {
+		if e.Cause == outcome.Expired && c.lastReadAt <= a.startedAt {
 			p.retire(remote, c)
 		}
 	}
-	p.end(a, fate.StatusOf(fate.Written, e.Cause, 0), nil)
+	p.end(a, outcome.StatusOf(outcome.Written, e.Cause, 0), nil)
 }
 
 // failUnsent ends the set-ups that were not sent.
-func (p *Protocol) failUnsent(remote *peer, cause fate.Cause) {
+func (p *Protocol) failUnsent(remote *peer, cause outcome.Cause) {
 	waiting := remote.unsent
 	remote.unsent = nil
 	for _, a := range waiting {
-		p.end(a, fate.StatusOf(fate.Unsent, cause, 0), nil)
+		p.end(a, outcome.StatusOf(outcome.Unsent, cause, 0), nil)
 	}
 }
--- a/internal/platform/servers/setups_test.go
+++ b/internal/platform/servers/setups_test.go
@@ -4,7 +4,7 @@
 	"reflect"
 	"testing"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/platform/wire"
 	"tealledge/policy"
@@ -74,9 +74,9 @@
 			r.p.Received(r.now, 1, conn, b[:len(b)-1])
 			r.advance(partialMessageTimeout + 50*ms)
 		}, policy.ConnReset},
-		{"expired", func(r *rig, conn uint64) { r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Expired}) },
+		{"expired", func(r *rig, conn uint64) { r.do(front.Abandon{Session: 5, Server: 1, Cause: outcome.Expired}) },
 			policy.TimedOut},
-		{"withdrawn", func(r *rig, conn uint64) { r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Cancelled}) },
+		{"withdrawn", func(r *rig, conn uint64) { r.do(front.Abandon{Session: 5, Server: 1, Cause: outcome.Cancelled}) },
 			policy.Cancelled},
 	} {
 		r := newRig(t)
@@ -115,7 +115,7 @@
 	}
 	r.checkEnded(7, policy.NoConnect) // it is retried once only
 	r.setup(8)
-	r.do(front.Abandon{Session: 8, Server: 1, Cause: fate.Expired})
+	r.do(front.Abandon{Session: 8, Server: 1, Cause: outcome.Expired})
 	r.checkEnded(8, policy.NoConnect)
 }
 
@@ -132,13 +132,13 @@
 	r := newRig(t)
 	r.setup(5)
 	conn := r.connect()
-	r.do(front.Abandon{Session: 5, Server: 1, Cause: fate.Cancelled})
+	r.do(front.Abandon{Session: 5, Server: 1, Cause: outcome.Cancelled})
 	r.serverSends(conn, ready(5))
 	r.checkEnded(5, policy.Cancelled)
 	r.checkWritten(conn, wire.SetUp, wire.Release, wire.Release)
 	r.setup(6) // answer and timeout in one turn: the core abandons a session that has just begun
 	r.serverSends(conn, ready(6))
-	r.do(front.Abandon{Session: 6, Server: 1, Cause: fate.Expired})
+	r.do(front.Abandon{Session: 6, Server: 1, Cause: outcome.Expired})
 	r.events = r.events[1:]
 	r.checkEnded(6, policy.TimedOut)
 	if m := r.written[conn]; m[len(m)-1].Type != wire.Release || m[len(m)-1].Session != 6 {
--- a/internal/players/players.go
+++ b/internal/players/players.go
@@ -20,7 +20,7 @@
 	"tealledge/internal/config"
 	"tealledge/internal/front"
 	"tealledge/internal/jsonrpc"
-	"tealledge/internal/pipe"
+	"tealledge/internal/transport"
 	"tealledge/internal/wsock"
 	"tealledge/policy"
 )
@@ -74,7 +74,7 @@
 // Conn is one player connection. Sessions is the owner's: the sessions that end with it.
 type Conn struct {
 	hub      *Hub
-	pipe     *pipe.Writer
+	pipe     *transport.Writer
 	mu       sync.Mutex // of what follows: the connection's reader, or the door that lets it in
 	sock     *wsock.Conn
 	held     []byte // of a handshake that is not whole yet, or waits at the door
@@ -102,7 +102,7 @@
 	h := &Hub{cfg: cfg, owner: owner, conns: map[*Conn]struct{}{}, stop: make(chan struct{}),
 		byTen: make([]atomic.Int32, max(len(cfg.Tenants), 1)),
 		door:  overload.HandshakeLimiter{PerSecond: float64(cfg.Front.Handshakes), Burst: float64(cfg.Front.Handshakes) / 4, MaxDelay: policy.Time(cfg.Front.HandshakeLine)}}
-	ln, err := pipe.Listen(cfg.Front.Listen)
+	ln, err := transport.Listen(cfg.Front.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("players: %w", err)
 	}
@@ -144,9 +144,9 @@
 
 func (h *Hub) connect(ctx context.Context, nc netpoll.Connection) context.Context {
 	c := &Conn{hub: h, sock: wsock.New(Path, h.cfg.Front.Message), Sessions: map[uint64]struct{}{},
-		pipe: pipe.NewWriter(nc, h.cfg.Front.WriteBuffer, h.cfg.Front.WriteWait)}
+		pipe: transport.NewWriter(nc, h.cfg.Front.WriteBuffer, h.cfg.Front.WriteWait)}
 	c.read.Store(int64(h.owner.Now()))
-	pipe.OnClose(nc, c.leave)
+	transport.OnClose(nc, c.leave)
 	h.mu.Lock()
 	full := len(h.conns) >= h.cfg.Front.Connections
 	if !full {
--- a/internal/exchange/connection.go
+++ b/internal/rtspclient/connection.go
@@ -1,9 +1,9 @@
-package exchange
+package rtspclient
 
 import (
 	"slices"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/rtsp"
 	"tealledge/policy"
@@ -52,7 +52,7 @@
 // unreachable ends everything that waited for a server when none of its addresses could be connected.
 func (p *Protocol) unreachable(peer *peerState) {
 	peer.connState = disconnected
-	p.cancelWaiting(peer, fate.DialFailed)
+	p.cancelWaiting(peer, outcome.DialFailed)
 	for _, a := range slices.Clone(peer.streams) { // the streams can't be verified and are lost to their players
 		p.endAttempt(a, policy.ConnReset, nil)
 		// If only the network path failed, the server would keep playing for nobody. Found by the exhaustive check.
@@ -66,11 +66,11 @@
 }
 
 // cancelWaiting ends the peer's set-ups that were not sent.
-func (p *Protocol) cancelWaiting(peer *peerState, cause fate.Cause) {
+func (p *Protocol) cancelWaiting(peer *peerState, cause outcome.Cause) {
 	unsent := peer.unsent
 	peer.unsent = nil
 	for _, a := range unsent {
-		p.endAttempt(a, fate.StatusOf(fate.Unsent, cause, 0), nil)
+		p.endAttempt(a, outcome.StatusOf(outcome.Unsent, cause, 0), nil)
 	}
 }
 
@@ -118,7 +118,7 @@
 				p.queueTeardown(peer, r.owner) // SETUP was accepted, and PLAY may have reached the server
 				fallthrough
 			case r.kind == requestSetup || r.kind == requestPlay:
-				p.endAttempt(r.owner, fate.StatusOf(progress(r.owner, maxWritten), fate.ConnectionLost, 0), nil)
+				p.endAttempt(r.owner, outcome.StatusOf(progress(r.owner, maxWritten), outcome.ConnectionLost, 0), nil)
 			case r.kind == requestTeardown && !processGone:
 				p.queueTeardown(peer, r.owner)
 			}
@@ -134,21 +134,21 @@
 		}
 	}
 	if processGone {
-		p.cancelWaiting(peer, fate.ConnectionLost)
+		p.cancelWaiting(peer, outcome.ConnectionLost)
 	}
 	if len(peer.streams) > 0 || len(peer.unsent) > 0 || len(peer.pendingTeardowns) > 0 {
 		p.dial(peer)
 	}
 }
 
-func progress(a *attempt, maxWritten uint64) fate.Progress {
+func progress(a *attempt, maxWritten uint64) outcome.Progress {
 	switch {
 	case a.sessionID != "":
-		return fate.Accepted
+		return outcome.Accepted
 	case maxWritten < a.setupEnd:
-		return fate.PartlyWritten
+		return outcome.PartlyWritten
 	}
-	return fate.Written
+	return outcome.Written
 }
 
 // Received handles a message from a server.
@@ -185,7 +185,7 @@
 	switch r.kind {
 	case requestSetup:
 		if m.Status != rtsp.StatusOK {
-			p.endAttempt(a, fate.StatusOf(fate.Written, fate.ErrorResponse, m.Status), p.report(m))
+			p.endAttempt(a, outcome.StatusOf(outcome.Written, outcome.ErrorResponse, m.Status), p.report(m))
 			return
 		}
 		a.sessionID = m.Session()
@@ -198,7 +198,7 @@
 			p.events = append(p.events, front.AttemptStarted{Session: a.setup.Session, Attempt: a.setup.Attempt,
 				Took: p.now - a.startedAt, Report: p.report(m)})
 		default: // set up but not playing: torn down
-			status := fate.StatusOf(fate.Accepted, fate.ErrorResponse, m.Status)
+			status := outcome.StatusOf(outcome.Accepted, outcome.ErrorResponse, m.Status)
 			p.teardown(peer, a)
 			a.ended = false
 			p.endAttempt(a, status, p.report(m))
--- a/internal/exchange/race.go
+++ b/internal/rtspclient/race.go
@@ -1,10 +1,10 @@
-package exchange
+package rtspclient
 
 import (
 	"cmp"
 	"slices"
 
-	"tealledge/decide/paths"
+	"tealledge/decide/addresses"
 	"tealledge/internal/rtsp"
 )
 
@@ -32,7 +32,7 @@
 }
 
 func (s *peerState) pathIndex(addr string) int {
-	return slices.IndexFunc(s.pathSet.Paths, func(p paths.Path) bool { return p.Addr == addr })
+	return slices.IndexFunc(s.pathSet.Paths, func(p addresses.Path) bool { return p.Addr == addr })
 }
 
 // dial starts a race, unless a connection is established or a race is running.
@@ -249,7 +249,7 @@
 	if class := first.setup.Class; class >= 0 && class < len(p.cfg.Aims) {
 		aim = p.cfg.Aims[class]
 	}
-	return paths.FallbackFits(p.now-first.startedAt, aim)
+	return addresses.FallbackFits(p.now-first.startedAt, aim)
 }
 
 // NextTick returns the time at which Tick should be called for a race, if one is running.
@@ -269,7 +269,7 @@
 }
 
 // Paths returns the state of a server's addresses, for tests and the metrics page.
-func (p *Protocol) Paths(server uint32) *paths.Set {
+func (p *Protocol) Paths(server uint32) *addresses.Set {
 	if peer := p.peers[server]; peer != nil {
 		return &peer.pathSet
 	}
--- a/internal/exchange/restore.go
+++ b/internal/rtspclient/restore.go
@@ -1,4 +1,4 @@
-package exchange
+package rtspclient
 
 import "tealledge/internal/front"
 
--- a/internal/exchange/exchange.go
+++ b/internal/rtspclient/rtspclient.go
@@ -1,18 +1,18 @@
-// Package exchange implements one front's side of RTSP 2.0 (RFC 7826) with the media servers, over one persistent,
+// Package rtspclient implements one front's side of RTSP 2.0 (RFC 7826) with the media servers, over one persistent,
 // pipelined connection per server. It is a pure state machine: it takes the core's effects and the connections' input,
 // and returns bytes to write and events for the core. The shell that owns the sockets is internal/media.
 //
 // An attempt is a SETUP and a PLAY written together and linked by a Pipelined-Requests header (section 18.33), so that
 // it takes one round trip. An abandoned attempt is followed by a TEARDOWN with the same header: a server that executes
 // the set-up after all tears it down at once, whether or not its reply is ever read.
-package exchange
+package rtspclient
 
 import (
 	"slices"
 	"strconv"
 
-	"tealledge/decide/fate"
-	"tealledge/decide/paths"
+	"tealledge/decide/addresses"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/rtsp"
 	"tealledge/policy"
@@ -62,7 +62,7 @@
 	lastConn     uint64
 	lastPipeline uint64
 	attempts     map[uint64]*attempt // by session: waiting, in flight or playing
-	pacer        paths.Pacer
+	pacer        addresses.Pacer
 	effects      []Effect
 	events       []front.Event
 }
@@ -81,7 +81,7 @@
 	server            uint32
 	addr              string // address for players
 	listed            bool
-	pathSet           paths.Set
+	pathSet           addresses.Set
 	connAddr          string // address of the connection
 	connectedAt       Time
 	connAnswered      bool // a response was read on the connection
@@ -168,7 +168,7 @@
 type Server struct {
 	ID        uint32
 	Addr      string
-	Paths     []paths.Path
+	Paths     []addresses.Path
 	StartedAt Time
 }
 
@@ -234,7 +234,7 @@
 		p.abandon(e)
 	case front.Withdraw:
 		if peer := p.peers[e.Server]; peer != nil {
-			p.cancelWaiting(peer, fate.Cancelled)
+			p.cancelWaiting(peer, outcome.Cancelled)
 		}
 	case front.Stop:
 		if a := p.attempts[e.Session]; a != nil && a.setup.Attempt == e.Attempt {
--- a/internal/exchange/exchange_test.go
+++ b/internal/rtspclient/rtspclient_test.go
@@ -1,12 +1,12 @@
-package exchange
+package rtspclient
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"tealledge/decide/fate"
-	"tealledge/decide/paths"
+	"tealledge/decide/addresses"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/rtsp"
 	"tealledge/policy"
@@ -64,7 +64,7 @@
 func serverOne(started Time, addrs ...string) []Server {
 	s := Server{ID: 1, Addr: addrs[0], StartedAt: started}
 	for _, a := range addrs {
-		s.Paths = append(s.Paths, paths.Path{Addr: a, Family: paths.IPv4})
+		s.Paths = append(s.Paths, addresses.Path{Addr: a, Family: addresses.IPv4})
 	}
 	return []Server{s}
 }
@@ -187,7 +187,7 @@
 				b.lost(b.protocol.peers[1].bytesSent)
 			} else {
 				want = policy.TimedOut
-				b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
+				b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: outcome.Expired})
 				b.collect()
 				last := b.lastRequest()
 				if by := last.Session(); last.Method != rtsp.Teardown || (by == "q") != (cut >= firstEnd) ||
@@ -219,10 +219,10 @@
 	}{
 		"refused": {func(b *harness) { b.protocol.DialFailed(b.now, 1, b.conn) }, policy.NoConnect},
 		"timeout": {func(b *harness) {
-			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
+			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: outcome.Expired})
 		}, policy.NoConnect},
 		"player left": {func(b *harness) {
-			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Cancelled})
+			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: outcome.Cancelled})
 		}, policy.NotSent},
 		"drain notice": {func(b *harness) { b.protocol.Apply(b.now, front.Withdraw{Server: 1}) }, policy.NotSent},
 		"new process": {func(b *harness) {
@@ -271,7 +271,7 @@
 	b := newHarness(t)
 	b.setup(1)
 	b.connect()
-	b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
+	b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: outcome.Expired})
 	b.collect()
 	onlyEvent[front.AttemptEnded](b)
 	b.reply((&rtsp.Message{Status: 200, CSeq: 2}).Set("Session", "q"))
@@ -334,7 +334,7 @@
 	for name, lose := range map[string]func(b *harness){
 		"lost after SETUP was accepted": func(b *harness) {},
 		"abandoned, TEARDOWN unanswered": func(b *harness) {
-			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: fate.Expired})
+			b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: outcome.Expired})
 			b.collect()
 		},
 	} {
--- a/internal/exchange/setups.go
+++ b/internal/rtspclient/setups.go
@@ -1,11 +1,11 @@
-package exchange
+package rtspclient
 
 import (
 	"fmt"
 	"slices"
 	"strconv"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/internal/front"
 	"tealledge/internal/rtsp"
 	"tealledge/policy"
@@ -102,16 +102,16 @@
 	peer := p.peers[a.setup.Server]
 	if a.sentConn == 0 {
 		peer.unsent = slices.DeleteFunc(peer.unsent, func(o *attempt) bool { return o == a })
-		p.endAttempt(a, fate.StatusOf(fate.Unsent, e.Cause, 0), nil)
+		p.endAttempt(a, outcome.StatusOf(outcome.Unsent, e.Cause, 0), nil)
 		return
 	}
-	progress := fate.Written
+	progress := outcome.Written
 	if a.sessionID != "" {
-		progress = fate.Accepted
+		progress = outcome.Accepted
 	}
 	p.teardown(peer, a)
 	a.ended = false
-	p.endAttempt(a, fate.StatusOf(progress, e.Cause, 0), nil)
+	p.endAttempt(a, outcome.StatusOf(progress, e.Cause, 0), nil)
 }
 
 // teardown makes the server end a stream or an unanswered set-up. The TEARDOWN of an unanswered set-up goes to the
--- a/internal/serve/effects.go
+++ b/internal/serve/effects.go
@@ -3,9 +3,9 @@
 import (
 	"strconv"
 
-	"tealledge/internal/exchange"
 	"tealledge/internal/front"
 	"tealledge/internal/players"
+	"tealledge/internal/rtspclient"
 	"tealledge/policy"
 )
 
@@ -31,7 +31,7 @@
 		}
 		for _, n := range news {
 			now := s.now()
-			if r, ok := n.(exchange.Redirected); ok {
+			if r, ok := n.(rtspclient.Redirected); ok {
 				s.redirected(now, r.Server)
 				continue
 			}
--- a/internal/serve/events.go
+++ b/internal/serve/events.go
@@ -1,7 +1,7 @@
 package serve
 
 import (
-	"tealledge/decide/admit"
+	"tealledge/decide/admission"
 	"tealledge/decide/overload"
 	"tealledge/internal/config"
 	"tealledge/internal/front"
@@ -52,7 +52,7 @@
 
 // open takes a request of any kind of player.
 func (s *Server) open(call Caller, ask front.Request) {
-	if !s.queue.Put(admit.Request, asked{call, ask}) {
+	if !s.queue.Put(admission.Request, asked{call, ask}) {
 		// The queue is full of work already taken: turned away before any work is spent, and never begun.
 		busy(call, s.comeBack())
 	}
@@ -64,7 +64,7 @@
 }
 
 func (o owner) Resume(call *players.Call, session, token uint64) {
-	o.s.queue.Put(admit.Outcome, resumed{call, session, token})
+	o.s.queue.Put(admission.Outcome, resumed{call, session, token})
 }
 
 func (o owner) Limited() bool { return o.s.limited.Load() }
@@ -86,7 +86,7 @@
 
 // comeBack is the time told to those turned away before they were taken.
 func (s *Server) comeBack() front.Time {
-	return admit.RetryAfter(s.cfg.Service.MaxRetryAfter, float64(s.now()%1000)/1000)
+	return admission.RetryAfter(s.cfg.Service.MaxRetryAfter, float64(s.now()%1000)/1000)
 }
 
 // weights gives the gate's flows: classes by tenants, a class's worth times a tenant's share.
@@ -122,7 +122,7 @@
 }
 
 func (o owner) Close(call *players.Call, session uint64) {
-	o.s.queue.Put(admit.Outcome, closed{call, session})
+	o.s.queue.Put(admission.Outcome, closed{call, session})
 }
 func (o owner) Gone(conn *players.Conn) { o.s.queue.Force(playerGone{conn.Sessions}) }
 
@@ -135,7 +135,7 @@
 	k.s.queue.Force(dialFailed{uint64(server), conn})
 }
 func (k sink) Received(server uint32, conn uint64, list []*rtsp.Message) {
-	k.s.queue.Put(admit.Outcome, received{uint64(server), conn, list})
+	k.s.queue.Put(admission.Outcome, received{uint64(server), conn, list})
 }
 func (k sink) Lost(server uint32, conn uint64, begun uint64) {
 	k.s.queue.Force(lost{uint64(server), conn, begun})
--- a/internal/serve/hls.go
+++ b/internal/serve/hls.go
@@ -4,7 +4,7 @@
 	"strconv"
 	"strings"
 
-	"tealledge/decide/admit"
+	"tealledge/decide/admission"
 	"tealledge/internal/front"
 	"tealledge/internal/manifest"
 )
@@ -23,7 +23,7 @@
 	o.s.open(c, ask)
 }
 
-func (o hlsOwner) End(session uint64) { o.s.queue.Put(admit.Outcome, ended{session}) }
+func (o hlsOwner) End(session uint64) { o.s.queue.Put(admission.Outcome, ended{session}) }
 
 func (o hlsOwner) Number(name string) (uint64, bool) {
 	text, ok := strings.CutPrefix(name, o.s.cfg.Front.Name+"-")
--- a/internal/serve/hls_test.go
+++ b/internal/serve/hls_test.go
@@ -14,8 +14,8 @@
 
 	"github.com/grafov/m3u8"
 
+	"tealledge/internal/hlstoken"
 	"tealledge/internal/record"
-	"tealledge/internal/seal"
 	"tealledge/internal/standin/mediasim"
 	"tealledge/internal/standin/playersim"
 )
@@ -204,11 +204,11 @@
 	x := newSite(t, hlsForm)
 	p := x.web("v", "safe", "a")
 	now := time.Now().Unix()
-	c := seal.Claims{Session: 5, Viewer: 7, Title: "a", Top: 2, Issued: now - 100, Expires: now - 1}
+	c := hlstoken.Claims{Session: 5, Viewer: 7, Title: "a", Top: 2, Issued: now - 100, Expires: now - 1}
 	if code, _ := p.reload("/hls/s/" + hlsKeys.Sign(c) + "/0.m3u8"); code != 410 {
 		t.Error("expired:", code)
 	}
-	other, _ := seal.NewKeys([]byte("another key of some length"))
+	other, _ := hlstoken.NewKeys([]byte("another key of some length"))
 	c.Expires = now + 100
 	if code, _ := p.reload("/hls/s/" + other.Sign(c) + "/0.m3u8"); code != 403 {
 		t.Error("forged:", code)
--- a/internal/serve/keeper.go
+++ b/internal/serve/keeper.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"tealledge/decide/fate"
+	"tealledge/decide/outcome"
 	"tealledge/decide/recovery"
 	"tealledge/internal/front"
 	"tealledge/internal/store"
@@ -166,7 +166,7 @@
 	case front.Withdraw:
 		for id, h := range k.waiting {
 			if h.setup.Server == e.Server {
-				k.withdraw(id, fate.Cancelled)
+				k.withdraw(id, outcome.Cancelled)
 			}
 		}
 	case front.RungChanged: // else it would come back at the rung that it began with
@@ -183,13 +183,13 @@
 }
 
 // withdraw ends a set-up that waits for its record: it was never sent.
-func (k *keeper) withdraw(session uint64, cause fate.Cause) bool {
+func (k *keeper) withdraw(session uint64, cause outcome.Cause) bool {
 	h, ok := k.waiting[session]
 	if !ok {
 		return false
 	}
 	delete(k.waiting, session)
-	k.s.later = append(k.s.later, front.AttemptEnded{Session: session, Attempt: h.setup.Attempt, Status: fate.StatusOf(fate.Unsent, cause, 0),
+	k.s.later = append(k.s.later, front.AttemptEnded{Session: session, Attempt: h.setup.Attempt, Status: outcome.StatusOf(outcome.Unsent, cause, 0),
 		Took: k.s.now() - h.since})
 	return true
 }
--- a/internal/serve/keeper_test.go
+++ b/internal/serve/keeper_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/rs/zerolog"
 
-	"tealledge/decide/paths"
+	"tealledge/decide/addresses"
 	"tealledge/decide/recovery"
 	"tealledge/internal/config"
 	"tealledge/internal/front"
@@ -53,7 +53,7 @@
 			defer s.keep.close()
 			now := s.now()
 			s.believe(policy.ListFull, []serverlist.Entry{{Entry: policy.Entry{Server: 1, Size: 1}, Addr: "127.0.0.1:1",
-				Paths: []paths.Path{{Addr: "127.0.0.1:1", Family: paths.IPv4}}}}, now)
+				Paths: []addresses.Path{{Addr: "127.0.0.1:1", Family: addresses.IPv4}}}}, now)
 			ask := func() {
 				s.step(now, front.Request{Player: 1, ReadAt: now, Title: 1, Copies: 3, Class: 1, Viewer: 9, Top: 2})
 			}
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -1,9 +1,9 @@
 package serve
 
 import (
-	"tealledge/decide/members"
-	"tealledge/internal/exchange"
+	"tealledge/decide/serverview"
 	"tealledge/internal/front"
+	"tealledge/internal/rtspclient"
 	"tealledge/internal/serverlist"
 	"tealledge/policy"
 )
@@ -22,13 +22,13 @@
 	for _, e := range a.Entries {
 		entries = append(entries, e.Entry)
 	}
-	list, verdict := s.view.Apply(now, members.Response{Index: a.Index, Entries: entries})
+	list, verdict := s.view.Apply(now, serverview.Response{Index: a.Index, Entries: entries})
 	s.index.set(s.view.Index())
 	if s.view.EmptyPending() { // asked again from the start, so that the service answers at once
 		s.index.set(0)
 	}
-	if verdict != members.Accepted {
-		if verdict != members.Unchanged && !s.doubt {
+	if verdict != serverview.Accepted {
+		if verdict != serverview.Unchanged && !s.doubt {
 			s.doubt = true
 			s.log.Warn().Uint64("index", a.Index).Int("entries", len(entries)).Msg("server list not believed; the old one stands")
 		}
@@ -57,13 +57,13 @@
 func (s *Server) believe(kind policy.ListKind, list []serverlist.Entry, now front.Time) {
 	now = max(now, s.now())
 	s.fleet.kind, s.fleet.list = kind, list
-	var servers []exchange.Server
+	var servers []rtspclient.Server
 	var entries []policy.Entry
 	ready := 0
 	s.https = make(map[uint32]string, len(list))
 	for _, e := range list {
 		s.https[e.Server] = e.HTTP
-		servers = append(servers, exchange.Server{ID: e.Server, Addr: e.Addr, Paths: e.Paths, StartedAt: e.Started})
+		servers = append(servers, rtspclient.Server{ID: e.Server, Addr: e.Addr, Paths: e.Paths, StartedAt: e.Started})
 		told := s.overlay(e.Entry, now)
 		entries = append(entries, told)
 		if told.Health == policy.Ready {
--- a/internal/serve/owner.go
+++ b/internal/serve/owner.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tealledge/decide/admit"
+	"tealledge/decide/admission"
 	"tealledge/internal/front"
 	"tealledge/internal/players"
 )
@@ -20,7 +20,7 @@
 	var drainBy, closeBy, readUntil front.Time
 	for {
 		now := s.now()
-		if wait := admit.ReadWindowAfterStall(now - last); wait > 0 {
+		if wait := admission.ReadWindowAfterStall(now - last); wait > 0 {
 			readUntil = now + wait
 			s.log.Warn().Dur("gap", time.Duration(now-last)).Msg("stood still")
 		}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -13,20 +13,20 @@
 
 	"github.com/rs/zerolog"
 
-	"tealledge/decide/admit"
-	"tealledge/decide/members"
+	"tealledge/decide/admission"
 	"tealledge/decide/overload"
+	"tealledge/decide/serverview"
+	"tealledge/internal/background"
 	"tealledge/internal/baseline"
 	"tealledge/internal/catalogue"
 	"tealledge/internal/config"
-	"tealledge/internal/exchange"
 	"tealledge/internal/front"
 	"tealledge/internal/inbox"
 	"tealledge/internal/manifest"
 	"tealledge/internal/media"
 	"tealledge/internal/players"
+	"tealledge/internal/rtspclient"
 	"tealledge/internal/serverlist"
-	"tealledge/internal/work"
 	"tealledge/policy"
 )
 
@@ -44,12 +44,12 @@
 	log        zerolog.Logger
 	start      time.Time
 	core       *front.Core
-	desk       *exchange.Protocol
+	desk       *rtspclient.Protocol
 	links      *media.Links
 	hub        *players.Hub
 	hls        *manifest.Hub // nil: not served
 	queue      *inbox.Queue
-	view       members.View
+	view       serverview.View
 	index      indexBox
 	cache      serverlist.Cache
 	source     serverlist.Source
@@ -59,7 +59,7 @@
 	byID       map[uint64]Caller // sessions that play or wait, by session id
 	later      []front.Event     // that arose while effects were carried out
 	keep       *keeper
-	work       *work.Scheduler
+	work       *background.Scheduler
 	titleDir   *catalogue.Dir
 	keptTitles uint64       // version
 	waiting    atomic.Int64 // events, when the owner looked last
@@ -112,7 +112,7 @@
 	for _, k := range cfg.Service.Classes {
 		aims = append(aims, k.SetupTarget)
 	}
-	s.desk = exchange.New(exchange.Config{Front: cfg.Front.Name, Fields: cfg.Service.Fields,
+	s.desk = rtspclient.New(rtspclient.Config{Front: cfg.Front.Name, Fields: cfg.Service.Fields,
 		ProbeTimeout: policy.Time(cfg.Front.ProbeWait), StallTimeout: policy.Time(cfg.Front.Stall),
 		KeepAliveInterval: policy.Time(cfg.Front.KeepAlive), TitleName: s.titleName, ConnectTimeout: cfg.Service.ConnectTimeout, IdleTimeout: idleClose,
 		Aims: aims, Random: rand.Float64})
@@ -180,7 +180,7 @@
 	go func() {
 		defer s.group.Done()
 		serverlist.Follow(s.ctx, s.source, s.index.get, func(a serverlist.Answer, err error) {
-			s.queue.Put(admit.Advisory, listAnswer{a, err})
+			s.queue.Put(admission.Advisory, listAnswer{a, err})
 		})
 	}()
 	s.background(s.ctx)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -17,8 +17,8 @@
 
 	"tealledge/internal/audit"
 	"tealledge/internal/config"
+	"tealledge/internal/hlstoken"
 	"tealledge/internal/record"
-	"tealledge/internal/seal"
 	"tealledge/internal/standin/listsim"
 	"tealledge/internal/standin/mediasim"
 	"tealledge/internal/standin/playersim"
@@ -26,7 +26,7 @@
 
 const hlsKey = "000102030405060708090a0b0c0d0e0f"
 
-var hlsKeys, _ = seal.NewKeys([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15})
+var hlsKeys, _ = hlstoken.NewKeys([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15})
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
--- a/internal/serve/titles.go
+++ b/internal/serve/titles.go
@@ -6,9 +6,9 @@
 	"path/filepath"
 	"time"
 
-	plan "tealledge/decide/work"
+	plan "tealledge/decide/schedule"
+	"tealledge/internal/background"
 	"tealledge/internal/catalogue"
-	"tealledge/internal/work"
 	"tealledge/policy"
 )
 
@@ -52,7 +52,7 @@
 
 // background starts the background work.
 func (s *Server) background(ctx context.Context) {
-	s.work = work.New(s.now, func() plan.Pressure {
+	s.work = background.New(s.now, func() plan.Pressure {
 		return plan.Pressure{Backlog: int(s.waiting.Load()), Wait: s.waitedFor.Load()}
 	})
 	if s.cfg.Catalogue != nil {
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -1,6 +1,6 @@
 // Package serverlist brings the server list to a front: from Consul's health API over HTTP with blocking queries,
 // or from a file; and keeps the last list on disk for the next start. What is believed of an answer is
-// decide/members' choice.
+// decide/serverview' choice.
 package serverlist
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/hashicorp/consul/api"
 
-	"tealledge/decide/paths"
+	"tealledge/decide/addresses"
 	"tealledge/internal/config"
 	"tealledge/internal/sexp"
 	"tealledge/policy"
@@ -29,7 +29,7 @@
 type Entry struct {
 	policy.Entry
 	Addr  string
-	Paths []paths.Path
+	Paths []addresses.Path
 	HTTP  string // HOST:PORT at which it delivers HLS segments; "": it does not
 }
 
@@ -37,12 +37,12 @@
 func (e *Entry) addresses(list []string) error {
 	var errs []error
 	for _, a := range list {
-		p, err := paths.Parse(a)
+		p, err := addresses.Parse(a)
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		if e.Addr == "" && p.Family != paths.Unix {
+		if e.Addr == "" && p.Family != addresses.Unix {
 			e.Addr = p.Addr
 		}
 		e.Paths = append(e.Paths, p)
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/hashicorp/consul/api"
 
-	"tealledge/decide/paths"
+	"tealledge/decide/addresses"
 	"tealledge/policy"
 )
 
@@ -24,7 +24,7 @@
 		t.Fatal(list, err)
 	}
 	want := Entry{policy.Entry{Server: 7, Zone: 1, Kind: 1, Cell: 3, Health: policy.Draining, Size: 2.5, Started: 99}, "h:1",
-		[]paths.Path{{Addr: "h:1", Family: paths.IPv4}}, ""}
+		[]addresses.Path{{Addr: "h:1", Family: addresses.IPv4}}, ""}
 	if !reflect.DeepEqual(list[0], want) || list[1].Size != 1 || list[1].Health != policy.Ready {
 		t.Fatalf("%+v", list)
 	}
@@ -68,7 +68,7 @@
 		t.Fatal("a first start has no list and no error:", list, err)
 	}
 	want := []Entry{{policy.Entry{Server: 3, Cell: 2, Zone: 1, Kind: 1, Size: 1.25, Started: 5, Health: policy.Draining}, "h:3",
-		[]paths.Path{{Addr: "/run/x", Family: paths.Unix}, {Addr: "h:3", Family: paths.IPv4}, {Addr: "[::1]:3", Family: paths.IPv6}}, "h:80"}}
+		[]addresses.Path{{Addr: "/run/x", Family: addresses.Unix}, {Addr: "h:3", Family: addresses.IPv4}, {Addr: "[::1]:3", Family: addresses.IPv6}}, "h:80"}}
 	if err := c.Save(want); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/mediasim/farm.go
+++ b/internal/standin/mediasim/farm.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"tealledge/internal/hlstoken"
 	"tealledge/internal/record"
-	"tealledge/internal/seal"
 	"tealledge/internal/standin/ports"
 )
 
@@ -41,7 +41,7 @@
 	Families    []string // more ways in besides IPv4: "ipv6", "unix" (in Dir)
 	Dir         string
 	HTTP        bool // servers deliver HLS playlists and segments too
-	Keys        *seal.Keys
+	Keys        *hlstoken.Keys
 }
 
 // Farm is a set of servers and their racks.
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
--- a/internal/pipe/poll_test.go
+++ b/internal/transport/poll_test.go
@@ -1,4 +1,4 @@
-package pipe
+package transport
 
 import (
 	"net"
--- a/internal/pipe/writer.go
+++ b/internal/transport/writer.go
@@ -1,6 +1,6 @@
-// Package pipe holds the TCP connections of a front: non-blocking writers with bounded queues, the connections
+// Package transport holds the TCP connections of a front: non-blocking writers with bounded queues, the connections
 // that the front dials, a listener for netpoll, and socket options.
-package pipe
+package transport
 
 import (
 	"io"
