--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -35,7 +35,7 @@
 		`(server 1 (address "h:1") (zone "c"))`:                 "not among",
 		`(server 1 (address "h:1") (health well))`:              "none of ready",
 		`(server 1 (address "h:1") (started -4))`:               "no time",
-		`(server 1 (address "nowhere"))`:                        "no HOST:PORT",
+		`(server 1 (address "nowhere"))`:                        "neither HOST:PORT",
 		`(host 1)`:                                              "want (server",
 	} {
 		if _, err := parse("f", in, names); err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "f:1:") {
