--- a/internal/platform/node/clients.go
+++ b/internal/platform/node/clients.go
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	list, readErr, partial, ok := k.parse(b)
+	list, partial, ok, readErr := k.parse(b)
 	r.Release()
 	if ok {
 		c.events.received(k, list, readErr, partial)
@@ -210,11 +210,11 @@
 }
 
 // parse splits input into lines. It records withdrawn sessions at once, because the owner goroutine may be behind.
-func (k *client) parse(b []byte) (list []viewers.Input, readErr error, partial, ok bool) {
+func (k *client) parse(b []byte) (list []viewers.Input, partial, ok bool, readErr error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.unreadable {
-		return nil, nil, false, false
+		return nil, false, false, nil
 	}
 	k.unprocessed.Add(1)
 	k.splitter.Feed(b)
@@ -237,7 +237,7 @@
 		}
 		list = append(list, in)
 	}
-	return list, readErr, k.splitter.Partial(), true
+	return list, k.splitter.Partial(), true, readErr
 }
 
 // processed records that the owner goroutine has handled a result of parse.
--- a/internal/platform/servers/invariants_test.go
+++ b/internal/platform/servers/invariants_test.go
@@ -17,7 +17,6 @@
 	p           *Protocol
 	now         Time
 	maxConns    int
-	open        int // connections counted here: being opened or not closed by the Protocol
 	dials       []Effect
 	connections map[uint64]*simulatedConn
 	connected   []uint64
--- a/internal/platform/servers/reconnect_test.go
+++ b/internal/platform/servers/reconnect_test.go
@@ -20,7 +20,6 @@
 	conns           []*serverConn
 	queue           []delivery
 	pendingReleases []*wire.Message // releases that no connection could carry
-	seen            int             // messages of the Protocol seen, by connection
 	endedAt         map[uint64]Time // by session: when its end was reported to the core
 	endCount        map[uint64]int
 }
--- a/internal/rtspclient/rtspclient.go
+++ b/internal/rtspclient/rtspclient.go
@@ -145,8 +145,7 @@
 	setupEnd   uint64 // offset of the end of SETUP in the bytes sent on the connection
 	sentConn   uint64 // connection that it was written to; 0: none yet
 	sessionID  string // RTSP session ID from the server; "" until SETUP is accepted
-	report     []float64
-	ended      bool // its AttemptEnded was emitted, or it is being torn down
+	ended      bool   // its AttemptEnded was emitted, or it is being torn down
 	playing    bool
 	unverified bool // it plays, but its connection was lost and the server has not confirmed it since
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -17,12 +17,13 @@
 	maxList  = 1 << 20
 )
 
-// Start and Stop are events that start and stop a front.
 type (
+	// Start is the event that starts a front.
 	Start struct {
 		Seed     uint64
 		Settings string
 	}
+	// Stop is the event that stops a front.
 	Stop struct{}
 )
 
