--- a/internal/fleet/core/core.go
+++ b/internal/fleet/core/core.go
@@ -1,9 +1,11 @@
-// Package core is one front's part in its fleet: who is here, what is agreed, and the work that follows from it. It is a
-// pure state machine: events and the time go in, effects come out. It owns no socket, disk, clock or goroutine; its shell
-// is internal/fleet/node. What is let go and when is decided in decide/upkeep. It may import decide, ledger and quorum.
+// Package core implements one front's membership in its fleet: the member list, the replicated record and the
+// maintenance work recorded in it. It is a pure state machine: events and the time go in, effects come out. It owns no
+// socket, disk, clock or goroutine; its shell is internal/fleet/node. Which work is granted and when is decided in
+// decide/upkeep. It may import decide, ledger and quorum.
 //
-// Three kinds of front: voters hold the agreed record between them; one of them leads and plans; all others follow, and
-// are given what was agreed by the voters. A front that hears nothing goes on by what it knew (see Keeps).
+// A front has one of three roles: voters replicate the record among themselves; one of them is the leader and plans
+// work; all other fronts are followers, to which the voters send committed entries. A front that receives nothing
+// continues with the state that it has (see Reservations).
 package core
 
 import (
@@ -19,61 +21,61 @@
 	"tealledge/internal/fleet/quorum"
 )
 
-// Time is a clock reading or span in nanoseconds. Now is Unix time.
+// Time is a point of time or a duration in nanoseconds. Points of time are Unix time.
 type Time = int64
 
-// Handy spans.
+// Units of time.
 const (
 	millisecond Time = 1_000_000
 	second      Time = 1_000_000_000
 )
 
-// Config is what a front's part is started with.
+// Config holds the settings of a Core.
 type Config struct {
 	Me      string
 	Zone    int
 	Cluster string   // the fleet's name
-	Voters  []string // names of the fronts that vote, the same everywhere
+	Voters  []string // names of the fronts that vote, the same on every front
 	Limits  upkeep.Limits
 	Times   upkeep.Timeouts
-	// Stale is the age from which a front's report of its sessions is taken at its worst.
+	// StaleTimeout is the age from which a front's report of its sessions is replaced by its recent maxima.
 	Stale  Time
 	RackKB float64
-	Draw   func() uint64 // random numbers
+	Draw   func() uint64 // returns a random number
 	Log    raft.Logger
 }
 
-// Spans of the dialogue.
+// Intervals and limits of the protocol between fronts.
 const (
-	TickEvery    = 100 * millisecond // of the quorum: call Tick this often
-	planEvery    = 500 * millisecond
-	partEvery    = 5 * second        // a front tells the leader what stands where
-	quickEvery   = 500 * millisecond // and at once after a change that work waits for, but no more often
-	askEvery     = 1 * second        // commands and questions of a start are repeated
-	pushEvery    = 1 * second        // what a follower has not acknowledged is sent again
-	pollEvery    = 10 * second       // a follower that hears nothing asks a voter
-	commandFor   = 10 * second       // a command without an answer has failed
-	freshFor     = 15 * second       // what was agreed is known to be new this long after hearing from a voter
-	commandsMost = 256
-	goneFor      = 60 * second // a front that left is remembered with its sessions
+	TickEvery            = 100 * millisecond // interval at which Tick is to be called
+	planInterval         = 500 * millisecond
+	reportInterval       = 5 * second        // a front reports its sessions by server to the leader
+	urgentReportInterval = 500 * millisecond // minimum between reports after a change that work may wait for
+	retryInterval        = 1 * second        // commands, start-up queries and proposals are repeated
+	pushInterval         = 1 * second        // updates that a follower has not acknowledged are sent again
+	pollInterval         = 10 * second       // a follower that receives nothing requests updates from a voter
+	commandTimeout       = 10 * second       // a command without a reply fails after this
+	freshWindow          = 15 * second       // the state counts as fresh for this long after contact with a voter
+	maxCommands          = 256
+	goneFrontTTL         = 60 * second // a front that left is kept with its sessions for this long
 )
 
-// Member is a front that membership knows.
+// Member is a front in the member list.
 type Member struct {
 	Name  string
 	Alive bool
 	Meta  Meta
 }
 
-// Meta is what every front tells all others of itself.
+// Meta is what every front announces about itself to all others.
 type Meta struct {
 	Zone     int              `json:"z,omitempty"`
 	Format   int              `json:"v,omitempty"`
-	Identity *quorum.Identity `json:"i,omitempty"` // of a voter
-	Formed   bool             `json:"f,omitempty"` // it holds the record
+	Identity *quorum.Identity `json:"i,omitempty"` // voters only
+	Formed   bool             `json:"f,omitempty"` // the voter holds the record
 }
 
-// Server is a media server on this front's list.
+// Server is a media server on this front's server list.
 type Server struct {
 	ID         uint32
 	Rack, Zone int
@@ -81,103 +83,104 @@
 	Ready      bool
 }
 
-// Standing is what stands on a server from this front.
+// ServerLoad is the load of one front's sessions on one server.
 type Standing struct {
 	Sessions int
 	KB       float64
 	Paid     int
 }
 
-// Core is one front's part. One owner drives it.
+// Core is one front's state in its fleet. It is not safe for use by several goroutines.
 type Core struct {
-	cfg   Config
-	now   Time
-	state *ledger.State
-	heard Time // from a voter, or a majority
-	fresh bool // as it was when what is to be kept was told last
-	lead  string
-
-	members map[string]Member
-	left    map[string]Time // fronts that were here, since when they are gone
-	voter   *voter          // nil: this front follows
-	follow  follow
-	leader  leader
-
-	servers  []Server
-	groups   [][]uint32
-	mine     map[uint32]Standing
-	born     int64
-	seq      uint64
-	partAt   Time
-	partSoon bool
-
-	commands map[string]*command
-	whys     map[uint64]upkeep.Answer // as the leader said last,
-	whysAt   Time                     // and when
-	out      []Effect
-	Stats    Stats
+	cfg           Config
+	now           Time
+	state         *ledger.State
+	lastContactAt Time // last contact with a voter, or on the leader with a majority
+	wasFresh      bool // value of Fresh when Reservations were last emitted
+	leaderName    string
+
+	members  map[string]Member
+	leftAt   map[string]Time // fronts that left, by the time they left
+	voter    *voter          // nil: this front is a follower
+	follower followerState
+	leader   leaderState
+
+	servers    []Server
+	groups     [][]uint32
+	ownLoad    map[uint32]Standing
+	startedAt  int64
+	seq        uint64
+	reportedAt Time
+	reportSoon bool
+
+	commands      map[string]*command
+	waitReasons   map[uint64]upkeep.Answer // most recent reply of the leader,
+	waitReasonsAt Time                     // and when it came
+	effects       []Effect
+	Stats         Stats
 }
 
-// Stats counts what peers did, and what was refused of them.
+// Stats counts messages sent and received, and messages of peers that were rejected.
 type Stats struct {
 	Unreadable, Misplaced, Strangers, Stale, Broken uint64
 	Sent, SentBytes, Received, ReceivedBytes        uint64
 	LastBad                                         string
 }
 
-// Effect is something for the shell to do, in order.
+// Effect is an action that the shell carries out, in order.
 type Effect interface{}
 
-// Effects.
+// The effects.
 type (
-	// Write puts on disk, synced before anything that follows is done. Nil and zero parts stay as they are.
+	// Write stores data on disk, synced before the effects after it are carried out. Nil and zero parts stay unchanged.
 	Write struct {
-		Wipe     bool // all but the lives, first
+		Wipe     bool // first deletes everything but the incarnations
 		Identity *quorum.Identity
 		Lives    quorum.Lives
 		Hard     *pb.HardState
 		Snap     *pb.Snapshot
 		Entries  []*pb.Entry
-		First    uint64 // entries before it are forgotten; 0: none
-		State    []byte // a follower's state, to start from
+		First    uint64 // entries before it are deleted; 0: none
+		State    []byte // a follower's state, for its next start
 	}
-	// Send passes bytes to a member: best effort, in any order, perhaps never. Large ones by stream.
+	// Send sends a message to a member, best effort: it may be reordered or lost. Large messages use a stream.
 	Send struct {
 		To string
 		B  []byte
 	}
-	// Tell has membership tell all others a new Meta.
+	// AnnounceMeta announces a new Meta to all other members.
 	Tell struct{ Meta Meta }
-	// Keeps says which servers and fronts nothing new may go to, and which are to be taken for just started, since when.
+	// Reservations lists the servers and fronts that take no new sessions, by the work that reserves each, and the
+	// servers that count as just started, with the time they came back.
 	Keeps struct {
 		Servers  map[uint32]uint64
-		Until    map[uint32]Time // what stands there is to be gone by then
+		Until    map[uint32]Time // sessions there are to have moved or ended by then
 		Fronts   map[string]uint64
 		Returned map[uint32]Time
 	}
-	// Reply answers a command.
+	// Reply carries the result of a command.
 	Reply struct {
 		Handle uint64
 		Answer ledger.Answer
 	}
-	// Changed tells of agreed steps, for the log.
+	// PhaseChanged reports a committed change of phase, for the log.
 	Changed struct{ Change ledger.Change }
-	// Note is a line for the log.
+	// LogMessage is a message for the log.
 	Note struct{ Text string }
 )
 
-// Start is what a shell found on disk.
+// StoredState is the data that the shell read from disk.
 type Start struct {
 	Identity quorum.Identity
 	Lives    quorum.Lives
 	Disk     *quorum.Disk
-	State    []byte // a follower's
+	State    []byte // a follower's state
 }
 
-// New makes a front's part in its fleet.
+// New returns the Core of a front.
 func New(now Time, cfg Config, start Start) (*Core, error) {
-	c := &Core{cfg: cfg, now: now, state: ledger.New(), members: map[string]Member{}, left: map[string]Time{}, mine: map[uint32]Standing{},
-		commands: map[string]*command{}, leader: leader{parts: map[string]*part{}, failed: map[uint32]Time{}}}
+	c := &Core{cfg: cfg, now: now, state: ledger.New(), members: map[string]Member{}, leftAt: map[string]Time{}, ownLoad: map[uint32]Standing{},
+		commands: map[string]*command{}, leader: leaderState{reports: map[string]*report{}, failedAt: map[uint32]Time{}}}
 	if slices.Contains(cfg.Voters, cfg.Me) {
 		if err := c.startVoter(start); err != nil {
 			return nil, err
@@ -185,76 +188,76 @@
 	} else if s, err := ledger.Restore(start.State); err == nil {
 		c.state = s
 	}
-	c.tellMeta()
-	c.keeps()
+	c.announceMeta()
+	c.emitReservations()
 	return c, nil
 }
 
-// Take gives the effects since the last call.
+// TakeEffects returns the effects since the last call.
 func (c *Core) Take() []Effect {
-	out := c.out
-	c.out = nil
+	out := c.effects
+	c.effects = nil
 	return out
 }
 
-func (c *Core) do(e Effect) { c.out = append(c.out, e) }
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) note(text string) { c.do(Note{text}) }
+func (c *Core) log(text string) { c.emit(Note{text}) }
 
-// State is what is agreed, as far as this front knows. It is not to be changed.
+// State returns this front's copy of the replicated state. The caller must not change it.
 func (c *Core) State() *ledger.State { return c.state }
 
-// Fresh tells whether what this front knows is new: a voter or a majority was heard of lately.
-func (c *Core) Fresh() bool { return c.heard > 0 && c.now-c.heard < freshFor }
+// Fresh reports whether this front's state is current: a voter or a majority was in contact within freshWindow.
+func (c *Core) Fresh() bool { return c.lastContactAt > 0 && c.now-c.lastContactAt < freshWindow }
 
-// Lead names the leader as far as it is known.
-func (c *Core) Lead() string { return c.lead }
+// Leader returns the name of the leader, empty if unknown.
+func (c *Core) Lead() string { return c.leaderName }
 
-// Tick lets time pass; it is to be called every TickEvery.
+// Tick advances the time; it is to be called every TickInterval.
 func (c *Core) Tick(now Time) {
 	c.now = max(c.now, now)
 	if c.voter != nil {
 		c.tickVoter()
 	} else {
-		c.tickFollow()
+		c.tickFollower()
 	}
-	c.tickParts()
+	c.tickReports()
 	c.tickCommands()
-	c.lapse()
-	if c.fresh != c.Fresh() { // what had lapsed counts again
-		c.keeps()
+	c.checkExpired()
+	if c.wasFresh != c.Fresh() { // reservations that had expired apply again
+		c.emitReservations()
 	}
 }
 
-// Members takes what membership knows.
+// SetMembers replaces the member list.
 func (c *Core) Members(now Time, list []Member) {
 	c.now = max(c.now, now)
-	was := c.members
+	previous := c.members
 	c.members = make(map[string]Member, len(list))
 	for _, m := range list {
 		c.members[m.Name] = m
 		if m.Alive {
-			delete(c.left, m.Name)
-		} else if _, known := c.left[m.Name]; !known {
-			c.left[m.Name] = c.now
+			delete(c.leftAt, m.Name)
+		} else if _, known := c.leftAt[m.Name]; !known {
+			c.leftAt[m.Name] = c.now
 		}
 	}
-	for name, m := range was {
+	for name, m := range previous {
 		if _, still := c.members[name]; !still && m.Alive {
-			c.left[name] = c.now
+			c.leftAt[name] = c.now
 		}
 	}
-	for name, at := range c.left {
-		if c.now-at > goneFor {
-			delete(c.left, name)
-			delete(c.leader.parts, name)
+	for name, at := range c.leftAt {
+		if c.now-at > goneFrontTTL {
+			delete(c.leftAt, name)
+			delete(c.leader.reports, name)
 		}
 	}
-	c.metaChanged()
+	c.recordIncarnations()
 }
 
-// Alive tells how many fronts are here, this one included.
-func (c *Core) Alive() int {
+// AliveFronts returns the number of live fronts, this one included.
+func (c *Core) AliveFronts() int {
 	n := 1
 	for _, m := range c.members {
 		if m.Alive && m.Name != c.cfg.Me {
@@ -264,42 +267,42 @@
 	return n
 }
 
-// Servers takes this front's list, sorted by ID, and the sets of servers that hold titles.
+// SetServers replaces this front's server list, sorted by ID, and the sets of servers that hold titles together.
 func (c *Core) Servers(now Time, list []Server, groups [][]uint32) {
 	c.now = max(c.now, now)
 	c.servers, c.groups = list, groups
-	c.sawServers()
+	c.updateFailedServers()
 }
 
-// Mine takes what stands on servers from this front.
-func (c *Core) Mine(now Time, mine map[uint32]Standing) {
+// SetOwnLoad replaces the load of this front's sessions, by server.
+func (c *Core) Mine(now Time, load map[uint32]Standing) {
 	c.now = max(c.now, now)
-	kept, _ := c.state.Kept()
-	for id := range kept {
-		if c.mine[id].Sessions > 0 && mine[id].Sessions == 0 {
-			c.partSoon = true // work may wait for this
+	reserved, _ := c.state.Reserved()
+	for id := range reserved {
+		if c.ownLoad[id].Sessions > 0 && load[id].Sessions == 0 {
+			c.reportSoon = true // work may wait for this
 		}
 	}
-	c.mine = mine
+	c.ownLoad = load
 }
 
-// ---- What is sent ----
+// ---- Messages ----
 
-// A message is a letter for its kind and the bytes of a library's own message, or JSON.
+// A message is one byte for its kind, followed by a raftpb.Message, an encoded ledger entry or JSON.
 const (
-	msgRaft    = 'r' // between voters: raftpb.Message
-	msgLife    = 'l' // a voter that starts asks the others whether they know a later life of its disk
-	msgKnown   = 'k' // and is told
-	msgPart    = 'p' // what stands where, to the leader
-	msgCommand = 'c' // an entry to be agreed on, to a voter
-	msgFetch   = 'f' // a follower tells how far it has come: raftpb.Message
-	msgWhy     = 'w' // to the leader: why do works wait?
-	msgBecause = 'b' // its answer
-	msgAgreed  = 'a' // and is sent what was agreed since: raftpb.Message, its Snapshot or its Entries
+	msgRaft             = 'r' // between voters: raftpb.Message
+	msgIncarnation      = 'l' // from a voter that starts: does the receiver know a later incarnation of its disk?
+	msgIncarnationReply = 'k' // reply to msgIncarnation
+	msgReport           = 'p' // to the leader: a front's sessions by server
+	msgCommand          = 'c' // to a voter: an entry to propose
+	msgFetch            = 'f' // to a voter: the index that a follower has applied; raftpb.Message
+	msgWaitRequest      = 'w' // to the leader: a request for the reasons why work waits
+	msgWaitReply        = 'b' // reply to msgWaitRequest
+	msgUpdate           = 'a' // to a follower: entries or a snapshot after its index; raftpb.Message
 )
 
-// MessageMost bounds a message.
-const MessageMost = 8 << 20
+// MaxMessageBytes limits the size of a message.
+const MaxMessageBytes = 8 << 20
 
 func (c *Core) send(to string, kind byte, b []byte) {
 	if to == c.cfg.Me || to == "" {
@@ -307,7 +310,7 @@
 	}
 	c.Stats.Sent++
 	c.Stats.SentBytes += uint64(len(b) + 1)
-	c.do(Send{to, append([]byte{kind}, b...)})
+	c.emit(Send{to, append([]byte{kind}, b...)})
 }
 
 func (c *Core) sendJSON(to string, kind byte, v any) {
@@ -316,15 +319,16 @@
 	}
 }
 
-// bad counts a message that can't be used.
-func (c *Core) bad(n *uint64, from string, err error) {
+// countBad counts a rejected message and keeps its error for Stats.
+func (c *Core) countBad(n *uint64, from string, err error) {
 	*n++
 	c.Stats.LastBad = from + ": " + err.Error()
 }
 
-// voterID is a voter's id for a new disk: its upper half tells the name, so that a replaced disk's id is known as such.
-func voterID(name string, draw uint64) uint64 {
-	return uint64(nameHash(name))<<32 | draw&(1<<32-1)
+// voterID returns a voter's ID for a new disk. The upper half is a hash of the name, so that the IDs of one voter's
+// replaced disks are recognized.
+func voterID(name string, random uint64) uint64 {
+	return uint64(nameHash(name))<<32 | random&(1<<32-1)
 }
 
 func nameHash(name string) uint32 {
@@ -333,8 +337,8 @@
 	return max(h.Sum32(), 1)
 }
 
-// named finds the voter that an id belongs to.
-func (c *Core) named(id uint64) string {
+// voterName returns the name of the voter that an ID belongs to, empty if none.
+func (c *Core) voterName(id uint64) string {
 	for _, v := range c.cfg.Voters {
 		if uint64(nameHash(v)) == id>>32 {
 			return v
--- a/internal/fleet/core/core_test.go
+++ b/internal/fleet/core/core_test.go
@@ -8,21 +8,21 @@
 	"tealledge/internal/fleet/ledger"
 )
 
-type quiet struct{ raft.Logger }
+type silentLogger struct{ raft.Logger }
 
-func (quiet) Debugf(string, ...any)   {}
-func (quiet) Infof(string, ...any)    {}
-func (quiet) Warningf(string, ...any) {}
-func (quiet) Errorf(string, ...any)   {}
-func (quiet) Info(...any)             {}
-func (quiet) Panicf(f string, a ...any) {
+func (silentLogger) Debugf(string, ...any)   {}
+func (silentLogger) Infof(string, ...any)    {}
+func (silentLogger) Warningf(string, ...any) {}
+func (silentLogger) Errorf(string, ...any)   {}
+func (silentLogger) Info(...any)             {}
+func (silentLogger) Panicf(f string, a ...any) {
 	panic(f)
 }
 
-func alone(t testing.TB, me string) *Core {
+func newTestCore(t testing.TB, me string) *Core {
 	t.Helper()
 	n := uint64(0)
-	c, err := New(1, Config{Me: me, Cluster: "t", Voters: []string{"a", "b", "c"}, Draw: func() uint64 { n++; return n }, Log: quiet{}}, Start{})
+	c, err := New(1, Config{Me: me, Cluster: "t", Voters: []string{"a", "b", "c"}, Draw: func() uint64 { n++; return n }, Log: silentLogger{}}, Start{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,28 +32,28 @@
 	return c
 }
 
-// Whatever a member sends, nobody falls over; what can't be used is counted and changes nothing that is agreed.
+// No message of a member makes a front panic; invalid messages are counted and don't change the replicated state.
 func FuzzMessage(f *testing.F) {
-	for _, kind := range []byte{msgRaft, msgLife, msgKnown, msgPart, msgCommand, msgFetch, msgAgreed, msgWhy, msgBecause, 'z'} {
+	for _, kind := range []byte{msgRaft, msgIncarnation, msgIncarnationReply, msgReport, msgCommand, msgFetch, msgUpdate, msgWaitRequest, msgWaitReply, 'z'} {
 		f.Add("b", append([]byte{kind}, `{"i":{"id":1},"l":1,"n":1,"s":{"1":{"Sessions":-1}}}`...))
 		f.Add("x", []byte{kind, 8, 3, 16, 1, 24, 2, 32, 9, 48, 200, 1})
 	}
 	f.Fuzz(func(t *testing.T, from string, b []byte) {
 		for _, me := range []string{"a", "x"} {
-			c := alone(t, me)
+			c := newTestCore(t, me)
 			c.Message(4, from, b)
 			c.Tick(int64(second))
 			c.Take()
 			if len(c.State().Works) > 0 && (me == "a" || from != "b") {
-				t.Fatal("one letter made a work")
+				t.Fatal("a single message created work")
 			}
 		}
 	})
 }
 
-// A front that does not vote may ask, cancel and report; to grant is the leader's, whoever says otherwise.
-func TestACommandThatIsNotForOperators(t *testing.T) {
-	c := alone(t, "a")
+// Followers may request and cancel work and report it done. Only the leader may grant, advance or refuse it.
+func TestRejectsLeaderCommandsFromFollowers(t *testing.T) {
+	c := newTestCore(t, "a")
 	for _, kind := range []ledger.Kind{ledger.KindGrant, ledger.KindAdvance, ledger.KindRefuse} {
 		b, _ := ledger.Entry{Kind: kind, ID: 3, Key: "k"}.Encode()
 		c.Message(5, "x", append([]byte{msgCommand}, b...))
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestMachinesByName(t *testing.T) {
-	c := alone(t, "a")
+func TestResolveRejectsUnknownNames(t *testing.T) {
+	c := newTestCore(t, "a")
 	c.Servers(4, []Server{{ID: 1, Rack: 0}, {ID: 2, Rack: 1, Zone: 1}, {ID: 3, Rack: 1, Zone: 1}}, nil)
 	a, err := c.Resolve([]string{"3", "rack:1", "front:x", "server:1"})
 	if err != nil || len(a.Servers) != 3 || a.Servers[0] != (ledger.Place{Server: 1}) || len(a.Fronts) != 1 {
@@ -72,18 +72,18 @@
 	}
 	for _, name := range []string{"server:9", "rack:7", "front:nobody", "shelf:1", "server:x", "-1", ""} {
 		if a, err := c.Resolve([]string{name}); err == nil {
-			t.Errorf("%q is %+v", name, a)
+			t.Errorf("Resolve(%q) = %+v, want an error", name, a)
 		}
 	}
 	if _, err := c.Resolve(nil); err == nil {
-		t.Error("no machine at all")
+		t.Error("Resolve accepted an empty list of names")
 	}
 }
 
-// Letters past the bound, or with nothing in them, are counted and read no further.
-func TestALetterPastTheBound(t *testing.T) {
-	c := alone(t, "a")
-	c.Message(5, "x", make([]byte, MessageMost+1))
+// Messages that are empty or longer than MaxMessageBytes are counted and not parsed.
+func TestRejectsOversizedAndEmptyMessages(t *testing.T) {
+	c := newTestCore(t, "a")
+	c.Message(5, "x", make([]byte, MaxMessageBytes+1))
 	c.Message(5, "x", nil)
 	if c.Stats.Unreadable != 2 || c.Stats.LastBad == "" {
 		t.Fatalf("%+v", c.Stats)
--- a/internal/fleet/core/follow.go
+++ b/internal/fleet/core/follow.go
@@ -10,43 +10,45 @@
 	"tealledge/internal/fleet/ledger"
 )
 
-// How fronts that do not vote come to know what was agreed: every voter sends what is new to its share of them until they
-// say that they have it, and a front that hears nothing asks. What arrives out of order or twice does no harm.
+// Replication to followers: every voter pushes committed entries to its share of the followers until they acknowledge
+// them, and a follower that receives nothing requests updates. Reordered and duplicate messages are harmless.
 
-type follow struct {
-	pollAt Time
-	turn   int
+// followerState is the state of requests for updates.
+type followerState struct {
+	polledAt  Time
+	voterTurn int // counts up to take the voters in turn
 }
 
+// ack is what a voter knows of one follower.
 type ack struct {
-	index  uint64
-	sentAt Time
-	sent   uint64 // up to this index
+	index     uint64 // acknowledged by the follower
+	sentAt    Time
+	sentIndex uint64 // last index sent
 }
 
-// apply takes an agreed entry.
+// apply applies a committed entry.
 func (c *Core) apply(index uint64, data []byte) {
 	changes := c.state.Apply(index, data)
 	for _, x := range changes {
-		c.do(Changed{x})
+		c.emit(Changed{x})
 	}
-	c.answerCommands()
+	c.replyToCommands()
 	if len(changes) == 0 {
 		return
 	}
-	c.keeps()
-	c.partSoon = true
+	c.emitReservations()
+	c.reportSoon = true
 	if c.voter != nil {
-		c.voter.planAt = 0 // what waits may be able to go now
+		c.voter.plannedAt = 0 // plan at once: waiting work may be granted now
 	}
 }
 
-// keeps tells the front what it is to keep free, and what has just come back.
-func (c *Core) keeps() {
-	c.fresh = c.Fresh()
-	servers, fronts := c.state.Kept()
+// emitReservations emits the servers and fronts that take no new sessions, and the servers that have just come back.
+func (c *Core) emitReservations() {
+	c.wasFresh = c.Fresh()
+	servers, fronts := c.state.Reserved()
 	for _, w := range c.state.Works {
-		if w.Phase.Kept() && c.lapsed(w) {
+		if w.Phase.Reserved() && c.expired(w) {
 			for _, p := range w.Ask.Servers {
 				delete(servers, p.Server)
 			}
@@ -55,48 +57,49 @@
 			}
 		}
 	}
-	until := map[uint32]Time{}
+	deadlines := map[uint32]Time{}
 	for id, work := range servers {
 		switch w := c.state.Work(work); w.Phase {
-		case ledger.Granted: // draining begins by then, at the latest
-			until[id] = w.Until + c.cfg.Times.DrainTimeout
+		case ledger.Granted: // draining starts by w.Deadline at the latest
+			deadlines[id] = w.Until + c.cfg.Times.DrainTimeout
 		case ledger.Draining:
-			until[id] = w.Until
+			deadlines[id] = w.Until
 		default:
-			until[id] = w.Since
+			deadlines[id] = w.Since
 		}
 	}
-	c.do(Keeps{Servers: servers, Until: until, Fronts: fronts, Returned: c.state.Returned()})
+	c.emit(Keeps{Servers: servers, Until: deadlines, Fronts: fronts, Returned: c.state.Returned()})
 }
 
-// lapsed tells whether work must long be over by what this front knows, though it heard nothing of its end. Danger: a
-// front that is cut off for good would never use the machines again. Harm: one whose work took longer than agreed gets
-// requests, at a pace for cold servers, from fronts that are cut off.
-func (c *Core) lapsed(w *ledger.Work) bool {
-	return !c.Fresh() && w.Phase.Kept() && c.now > w.Since+c.cfg.Times.MaxDuration(w.Ask.For)
+// expired reports whether work has exceeded its maximum duration on a front that is out of contact and received no end
+// of it. Without this rule a front that is permanently partitioned would never use the machines again. The cost: a
+// machine whose work takes longer than requested gets requests from partitioned fronts, at the rate for cold servers.
+func (c *Core) expired(w *ledger.Work) bool {
+	return !c.Fresh() && w.Phase.Reserved() && c.now > w.Since+c.cfg.Times.MaxDuration(w.Ask.For)
 }
 
-// lapse looks at what has lapsed once in a while.
-func (c *Core) lapse() {
+// checkExpired logs work that expired within the last tick and emits the reservations without it.
+func (c *Core) checkExpired() {
 	for _, w := range c.state.Works {
-		if over := w.Since + c.cfg.Times.MaxDuration(w.Ask.For); w.Phase.Kept() && c.now > over && c.now <= over+TickEvery && c.lapsed(w) {
-			c.note(fmt.Sprintf("work %d has lapsed: nothing was heard of its end", w.ID))
-			c.keeps()
+		if deadline := w.Since + c.cfg.Times.MaxDuration(w.Ask.For); w.Phase.Reserved() && c.now > deadline && c.now <= deadline+TickEvery && c.expired(w) {
+			c.log(fmt.Sprintf("work %d has expired: its end was not reported", w.ID))
+			c.emitReservations()
 		}
 	}
 }
 
-func (c *Core) tickFollow() {
-	if c.now-c.heard >= pollEvery && c.now-c.follow.pollAt >= askEvery {
-		c.follow.pollAt = c.now
-		c.fetch("")
+func (c *Core) tickFollower() {
+	if c.now-c.lastContactAt >= pollInterval && c.now-c.follower.polledAt >= retryInterval {
+		c.follower.polledAt = c.now
+		c.requestUpdates("")
 	}
 }
 
-// fetch tells a voter how far this front has come, and so asks for what is new: the one given, or one after another.
-func (c *Core) fetch(to string) {
+// requestUpdates sends a voter this front's index and so requests newer entries. Without a name it takes the voters in
+// turn.
+func (c *Core) requestUpdates(to string) {
 	if to == "" {
-		to = c.someVoter()
+		to = c.nextVoter()
 	}
 	t, index := pb.MsgAppResp, c.state.Index
 	if b, err := proto.Marshal(&pb.Message{Type: &t, Index: &index, Context: []byte(c.state.Cluster)}); err == nil {
@@ -104,50 +107,50 @@
 	}
 }
 
-// someVoter gives a voter that is here, another each time.
-func (c *Core) someVoter() string {
+// nextVoter returns the next live voter in turn.
+func (c *Core) nextVoter() string {
 	n := len(c.cfg.Voters)
 	for range n {
-		c.follow.turn++
-		if name := c.cfg.Voters[c.follow.turn%n]; name != c.cfg.Me && c.members[name].Alive {
+		c.follower.voterTurn++
+		if name := c.cfg.Voters[c.follower.voterTurn%n]; name != c.cfg.Me && c.members[name].Alive {
 			return name
 		}
 	}
-	return c.cfg.Voters[c.follow.turn%n]
+	return c.cfg.Voters[c.follower.voterTurn%n]
 }
 
-// fetched is a follower that tells how far it has come.
-func (c *Core) fetched(from string, b []byte) {
+// receiveFetch handles the index that a follower has applied.
+func (c *Core) receiveFetch(from string, b []byte) {
 	m := &pb.Message{}
 	if err := proto.Unmarshal(b, m); err != nil {
-		c.bad(&c.Stats.Unreadable, from, err)
+		c.countBad(&c.Stats.Unreadable, from, err)
 		return
 	}
 	if c.voter == nil || c.voter.broken || !c.voter.formed || slices.Contains(c.cfg.Voters, from) {
 		return
 	}
-	a := c.voter.acked[from]
-	asked := a.index == m.GetIndex() && a.sent <= a.index // it has heard nothing new: it wants to know that there is nothing
-	a.index = min(m.GetIndex(), c.state.Index)            // it may have heard more than this voter
+	a := c.voter.acks[from]
+	asksForUpdates := a.index == m.GetIndex() && a.sentIndex <= a.index // it received nothing newer and requests a reply even if there is nothing
+	a.index = min(m.GetIndex(), c.state.Index)                          // it may be ahead of this voter
 	if string(m.GetContext()) != c.state.Cluster {
-		a.index, a.sent = 0, 0 // it knows nothing of this record
+		a.index, a.sentIndex = 0, 0 // it holds another record or none
 	}
-	c.voter.acked[from] = a
-	if a.index < c.state.Index || asked {
-		c.agreed(from, a.index)
+	c.voter.acks[from] = a
+	if a.index < c.state.Index || asksForUpdates {
+		c.sendUpdates(from, a.index)
 	}
 }
 
-// agreed sends a follower what came after an index.
-func (c *Core) agreed(to string, index uint64) {
+// sendUpdates sends a follower the entries after an index.
+func (c *Core) sendUpdates(to string, index uint64) {
 	t, commit := pb.MsgApp, c.state.Index
 	m := &pb.Message{Type: &t, Index: &index, Commit: &commit, Context: []byte(c.state.Cluster)}
 	if lead := c.voter.node.Status().Lead; lead != 0 {
 		m.From = &lead
 	}
-	entries, ok := c.voter.node.Committed(index+1, c.state.Index)
+	entries, ok := c.voter.node.CommittedEntries(index+1, c.state.Index)
 	upTo := index
-	if !ok { // compacted: the state stands for them
+	if !ok { // compacted: send a snapshot of the state instead
 		state, err := c.state.Snapshot()
 		if err != nil {
 			return
@@ -164,15 +167,15 @@
 		upTo = e.GetIndex()
 	}
 	if b, err := proto.Marshal(m); err == nil {
-		c.send(to, msgAgreed, b)
-		a := c.voter.acked[to]
-		a.sent, a.sentAt = max(a.sent, upTo), c.now
-		c.voter.acked[to] = a
+		c.send(to, msgUpdate, b)
+		a := c.voter.acks[to]
+		a.sentIndex, a.sentAt = max(a.sentIndex, upTo), c.now
+		c.voter.acks[to] = a
 	}
 }
 
-// push sends what is new to this voter's share of the followers.
-func (c *Core) push() {
+// pushUpdates sends new entries to this voter's share of the followers.
+func (c *Core) pushUpdates() {
 	v := c.voter
 	if !v.formed || v.broken {
 		return
@@ -184,9 +187,9 @@
 		}
 	}
 	share := slices.Index(voters, c.cfg.Me)
-	for name := range v.acked {
+	for name := range v.acks {
 		if !c.members[name].Alive {
-			delete(v.acked, name)
+			delete(v.acks, name)
 		}
 	}
 	for name, m := range c.members {
@@ -196,75 +199,76 @@
 		if slices.Contains(c.cfg.Voters, name) || int(nameHash(name))%len(voters) != share {
 			continue
 		}
-		a := v.acked[name]
-		if a.index >= c.state.Index || a.sent >= c.state.Index && c.now-a.sentAt < pushEvery {
+		a := v.acks[name]
+		if a.index >= c.state.Index || a.sentIndex >= c.state.Index && c.now-a.sentAt < pushInterval {
 			continue
 		}
-		c.agreed(name, a.index)
+		c.sendUpdates(name, a.index)
 	}
 }
 
-// hearAgreed takes what a voter sent.
-func (c *Core) hearAgreed(from string, b []byte) {
-	m := &pb.Message{}
-	if err := proto.Unmarshal(b, m); err != nil {
-		c.bad(&c.Stats.Unreadable, from, err)
+// receiveUpdate handles entries or a snapshot from a voter.
+func (c *Core) receiveUpdate(from string, b []byte) {
+	message := &pb.Message{}
+	if err := proto.Unmarshal(b, message); err != nil {
+		c.countBad(&c.Stats.Unreadable, from, err)
 		return
 	}
 	if !slices.Contains(c.cfg.Voters, from) || c.voter != nil {
-		c.bad(&c.Stats.Strangers, from, fmt.Errorf("what was agreed is told by voters to followers"))
+		c.countBad(&c.Stats.Strangers, from, fmt.Errorf("updates are sent by voters to followers only"))
 		return
 	}
-	was, other := c.state.Index, string(m.GetContext()) != c.state.Cluster
-	if s := m.GetSnapshot(); s != nil && (s.GetMetadata().GetIndex() > c.state.Index || other) {
-		if err := c.takeSnapshot(s); err != nil {
-			c.bad(&c.Stats.Misplaced, from, err)
+	previous, otherRecord := c.state.Index, string(message.GetContext()) != c.state.Cluster
+	if s := message.GetSnapshot(); s != nil && (s.GetMetadata().GetIndex() > c.state.Index || otherRecord) {
+		if err := c.restoreSnapshot(s); err != nil {
+			c.countBad(&c.Stats.Misplaced, from, err)
 			return
 		}
-	} else if other { // entries of another record than this front knows: its state first
-		c.fetch(from)
+	} else if otherRecord { // entries of another record than this front's: fetch its state first
+		c.requestUpdates(from)
 		return
 	}
-	for _, e := range m.GetEntries() {
+	for _, e := range message.GetEntries() {
 		if e.GetIndex() <= c.state.Index {
 			continue
 		}
 		if e.GetIndex() != c.state.Index+1 {
-			break // a part before it was lost: asked for below
+			break // an earlier message was lost: its entries are requested below
 		}
 		c.apply(e.GetIndex(), e.GetData())
 	}
-	c.heard = c.now
-	if lead := c.named(m.GetFrom()); lead != "" {
-		c.lead = lead
+	c.lastContactAt = c.now
+	if lead := c.voterName(message.GetFrom()); lead != "" {
+		c.leaderName = lead
 	}
-	if c.state.Index != was {
-		c.keepState()
+	if c.state.Index != previous {
+		c.storeState()
 	}
-	if c.state.Index != was || m.GetCommit() > c.state.Index {
-		c.fetch(from)
+	if c.state.Index != previous || message.GetCommit() > c.state.Index {
+		c.requestUpdates(from)
 	}
 }
 
-func (c *Core) takeSnapshot(snap *pb.Snapshot) error {
+// restoreSnapshot replaces a follower's state by a snapshot.
+func (c *Core) restoreSnapshot(snap *pb.Snapshot) error {
 	s, err := ledger.Restore(snap.GetData())
 	if err != nil {
 		return err
 	}
 	s.Index = max(s.Index, snap.GetMetadata().GetIndex())
 	if c.state.Cluster != "" && s.Cluster != c.state.Cluster {
-		c.note(fmt.Sprintf("the fleet's record is %s now, it was %s", s.Cluster, c.state.Cluster))
+		c.log(fmt.Sprintf("the fleet's record is %s now, it was %s", s.Cluster, c.state.Cluster))
 	}
 	c.state = s
-	c.answerCommands()
-	c.keeps()
-	c.partSoon = true
+	c.replyToCommands()
+	c.emitReservations()
+	c.reportSoon = true
 	return nil
 }
 
-// keepState has a follower's state kept for its next start.
-func (c *Core) keepState() {
+// storeState writes a follower's state to disk for its next start.
+func (c *Core) storeState() {
 	if b, err := c.state.Snapshot(); err == nil {
-		c.do(Write{State: b})
+		c.emit(Write{State: b})
 	}
 }
--- a/internal/fleet/core/lead.go
+++ b/internal/fleet/core/lead.go
@@ -8,80 +8,82 @@
 	"tealledge/internal/fleet/ledger"
 )
 
-// The leader plans: it lets go what decide/upkeep says may go, one grant at a time, moves on what was let go, and says of
-// the rest why it waits. All of it are proposals: a leader that is none any more proposes to nobody.
+// The leader plans: it grants work that decide/upkeep allows, one grant at a time, advances granted work to its next
+// phase, and keeps the reasons why the rest waits. Each step is a proposal: proposals of a former leader are not
+// committed.
 
-// plan proposes the next steps.
+// plan proposes the next steps of all work.
 func (c *Core) plan() {
-	if c.leader.since == 0 || c.voter.node.Status().Term != c.leader.term {
-		// A new leader knows no parts yet: it waits for them, and nobody is let go on what an earlier one knew.
-		c.leader.since, c.leader.term, c.leader.steps = c.now, c.voter.node.Status().Term, map[uint64]Time{}
-		c.partSoon = true
+	if c.leader.leadsSince == 0 || c.voter.node.Status().Term != c.leader.term {
+		// A new leader has no reports yet: it waits for them and grants nothing on the data of an earlier term.
+		c.leader.leadsSince, c.leader.term, c.leader.stepProposedAt = c.now, c.voter.node.Status().Term, map[uint64]Time{}
+		c.reportSoon = true
 	}
-	for id := range c.leader.steps {
+	for id := range c.leader.stepProposedAt {
 		if w := c.state.Work(id); w == nil || w.Phase.Ended() {
-			delete(c.leader.steps, id)
+			delete(c.leader.stepProposedAt, id)
 		}
 	}
-	c.sawServers()
-	asks, world := c.asks(), c.world()
+	c.updateFailedServers()
+	requests, fleet := c.requests(), c.fleetState()
 	for _, w := range c.state.Works {
-		if !w.Phase.Counts() || c.now-c.leader.steps[w.ID] < askEvery {
+		if !w.Phase.CountsAsOut() || c.now-c.leader.stepProposedAt[w.ID] < retryInterval {
 			continue
 		}
 		if w.Phase == ledger.Granted || w.Phase == ledger.Draining {
-			if why := upkeep.ExceededLimit(c.cfg.Limits, world, asks, w.ID); why != "" {
-				c.leader.steps[w.ID] = c.now
-				c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, Was: w.Phase, To: ledger.Asked, Why: "taken back: " + why})
+			if reason := upkeep.ExceededLimit(c.cfg.Limits, fleet, requests, w.ID); reason != "" {
+				c.leader.stepProposedAt[w.ID] = c.now
+				c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, PrevPhase: w.Phase, NextPhase: ledger.Asked, Reason: "taken back: " + reason})
 				continue
 			}
 		}
-		to, until, why, ok := c.cfg.Times.Next(c.now, c.course(w))
+		to, until, reason, ok := c.cfg.Times.Next(c.now, c.progress(w))
 		if !ok {
 			continue
 		}
-		c.leader.steps[w.ID] = c.now
-		c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, Was: w.Phase, To: phases[to], Until: until, Why: why})
+		c.leader.stepProposedAt[w.ID] = c.now
+		c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, PrevPhase: w.Phase, NextPhase: stepPhases[to], Deadline: until, Reason: reason})
 	}
-	c.leader.why = map[uint64]upkeep.Answer{}
-	for _, a := range upkeep.Decide(c.now, c.cfg.Limits, world, asks) {
-		c.leader.why[a.ID] = a
+	c.leader.answers = map[uint64]upkeep.Answer{}
+	for _, a := range upkeep.Decide(c.now, c.cfg.Limits, fleet, requests) {
+		c.leader.answers[a.ID] = a
 		switch a.Verdict {
 		case upkeep.Refuse:
-			if c.now-c.leader.steps[a.ID] >= askEvery {
-				c.leader.steps[a.ID] = c.now
-				c.propose(ledger.Entry{Kind: ledger.KindRefuse, ID: a.ID, Why: a.Limit + ": " + a.Why})
+			if c.now-c.leader.stepProposedAt[a.ID] >= retryInterval {
+				c.leader.stepProposedAt[a.ID] = c.now
+				c.propose(ledger.Entry{Kind: ledger.KindRefuse, ID: a.ID, Reason: a.Limit + ": " + a.Why})
 			}
 		case upkeep.Grant:
-			// One at a time: the next is weighed against what this one takes, once it is agreed.
-			if c.leader.proposed == c.state.Granted && c.now-c.leader.at < askEvery && c.leader.at > 0 {
+			// One grant at a time: the next is decided with this one taken into account, once it is committed.
+			if c.leader.proposedBasis == c.state.LastGrant && c.now-c.leader.proposedAt < retryInterval && c.leader.proposedAt > 0 {
 				continue
 			}
-			c.leader.proposed, c.leader.at = c.state.Granted, c.now
-			c.propose(ledger.Entry{Kind: ledger.KindGrant, ID: a.ID, Basis: c.state.Granted, Until: c.now + c.cfg.Times.AckTimeout, Why: "within every limit"})
+			c.leader.proposedBasis, c.leader.proposedAt = c.state.LastGrant, c.now
+			c.propose(ledger.Entry{Kind: ledger.KindGrant, ID: a.ID, Basis: c.state.LastGrant, Deadline: c.now + c.cfg.Times.AckTimeout, Reason: "within every limit"})
 		}
 	}
 }
 
-var phases = map[upkeep.Step]ledger.Phase{upkeep.Draining: ledger.Draining, upkeep.Out: ledger.Out, upkeep.Back: ledger.Back, upkeep.Done: ledger.Done}
+// stepPhases maps the steps of decide/upkeep to phases of the ledger.
+var stepPhases = map[upkeep.Step]ledger.Phase{upkeep.Draining: ledger.Draining, upkeep.Out: ledger.Out, upkeep.Back: ledger.Back, upkeep.Done: ledger.Done}
 
-// asks gives all that is out and all that waits.
-func (c *Core) asks() (list []upkeep.Request) {
+// requests returns all work that counts as out and all that waits.
+func (c *Core) requests() (list []upkeep.Request) {
 	for _, w := range c.state.Works {
 		if w.Phase.Ended() {
 			continue
 		}
-		a := upkeep.Request{ID: w.ID, RequestedAt: w.Asked, Deadline: w.Ask.By, WorkDuration: w.Ask.For, Fronts: w.Ask.Fronts, Granted: w.Phase.Counts(),
+		request := upkeep.Request{ID: w.ID, RequestedAt: w.Asked, Deadline: w.Ask.By, WorkDuration: w.Ask.For, Fronts: w.Ask.Fronts, Granted: w.Phase.CountsAsOut(),
 			Drained: w.Phase == ledger.Out || w.Phase == ledger.Back}
 		for _, p := range w.Ask.Servers {
-			a.Servers = append(a.Servers, p.Server)
+			request.Servers = append(request.Servers, p.Server)
 		}
-		list = append(list, a)
+		list = append(list, request)
 	}
 	return list
 }
 
-// propose hands the quorum an entry of this leader's own. What gets lost is proposed again.
+// propose proposes an entry of this leader. An entry that is lost is proposed again by plan.
 func (c *Core) propose(e ledger.Entry) {
 	e.At, e.From = c.now, c.cfg.Me
 	b, err := e.Encode()
@@ -89,143 +91,143 @@
 		err = c.voter.node.Propose(b)
 	}
 	if err != nil {
-		c.Stats.LastBad = "own proposal: " + err.Error()
+		c.Stats.LastBad = "proposal of this leader failed: " + err.Error()
 	}
-	c.ready()
+	c.processReady()
 }
 
-// Why tells why work waits, as far as this front knows: the leader knows best.
+// WaitReason returns the decision on waiting work; ok is false on a front that is not the leader.
 func (c *Core) Why(id uint64) (upkeep.Answer, bool) {
-	a, ok := c.leader.why[id]
-	return a, ok && c.lead == c.cfg.Me
+	a, ok := c.leader.answers[id]
+	return a, ok && c.leaderName == c.cfg.Me
 }
 
 // ---- Commands ----
 
-// command is one that was given at this front and has no answer yet.
+// command is a command received at this front that has no reply yet.
 type command struct {
-	handle uint64
-	data   []byte
-	until  Time
-	at     Time
+	handle   uint64
+	data     []byte
+	deadline Time
+	sentAt   Time
 }
 
-// Command has an entry agreed on that somebody asked for at this front. Exactly one Reply follows. Its key makes repeats
-// harmless: the same command may be given again, here or at another front.
+// Command proposes an entry that was requested at this front. Exactly one Reply follows. Its key makes it idempotent:
+// the same command may be sent again, here or to another front.
 func (c *Core) Command(now Time, handle uint64, e ledger.Entry) {
 	c.now = max(c.now, now)
 	e.At, e.From = c.now, c.cfg.Me
 	data, err := e.Encode()
 	switch {
 	case e.Key == "":
-		err = errors.New("a command without a key")
-	case len(c.commands) >= commandsMost:
-		err = fmt.Errorf("%d commands are under way", len(c.commands))
+		err = errors.New("command has no key")
+	case len(c.commands) >= maxCommands:
+		err = fmt.Errorf("%d commands are already in flight", len(c.commands))
 	case c.commands[e.Key] != nil:
-		err = errors.New("this command is under way")
+		err = errors.New("this command is already in flight")
 	}
 	if err != nil {
-		c.do(Reply{handle, ledger.Answer{Err: err.Error()}})
+		c.emit(Reply{handle, ledger.Answer{Err: err.Error()}})
 		return
 	}
 	if a, done := c.state.Keys[e.Key]; done {
-		c.do(Reply{handle, a})
+		c.emit(Reply{handle, a})
 		return
 	}
-	c.commands[e.Key] = &command{handle: handle, data: data, until: c.now + commandFor}
+	c.commands[e.Key] = &command{handle: handle, data: data, deadline: c.now + commandTimeout}
 	c.tickCommands()
 }
 
-// tickCommands hands on what has no answer yet, again and again.
+// tickCommands sends commands without a reply again and fails those past their deadline.
 func (c *Core) tickCommands() {
-	for key, k := range c.commands {
+	for key, pending := range c.commands {
 		switch {
-		case c.now >= k.until:
+		case c.now >= pending.deadline:
 			delete(c.commands, key)
-			c.do(Reply{k.handle, ledger.Answer{Err: ErrUnknown}})
-		case c.now-k.at >= askEvery || k.at == 0:
-			k.at = c.now
+			c.emit(Reply{pending.handle, ledger.Answer{Err: ErrUnknown}})
+		case c.now-pending.sentAt >= retryInterval || pending.sentAt == 0:
+			pending.sentAt = c.now
 			if c.voter != nil {
-				c.take(k.data)
+				c.proposeCommand(pending.data)
 			} else {
-				c.send(c.someVoter(), msgCommand, k.data)
+				c.send(c.nextVoter(), msgCommand, pending.data)
 			}
 		}
 	}
 }
 
-// ErrUnknown is said of a command that no majority has answered.
+// ErrUnknown is the error of a command whose outcome is unknown: no majority replied in time. Clients compare this text.
 const ErrUnknown = "no majority answered in time: it may still come to be; give the same command with the same key, or look at the list"
 
-// take has a voter propose a command; raft hands it to the leader.
-func (c *Core) take(data []byte) {
+// proposeCommand proposes a command on a voter; raft forwards it to the leader.
+func (c *Core) proposeCommand(data []byte) {
 	if c.voter.broken {
 		return
 	}
 	if err := c.voter.node.Propose(data); err == nil {
-		c.ready()
+		c.processReady()
 	}
 }
 
-// hearCommand takes a command from a front that does not vote.
-func (c *Core) hearCommand(from string, b []byte) {
+// receiveCommand handles a command forwarded by a follower.
+func (c *Core) receiveCommand(from string, b []byte) {
 	e, newer, err := ledger.Decode(b)
 	switch {
 	case err != nil:
-		c.bad(&c.Stats.Unreadable, from, err)
-	case c.voter == nil, newer && len(b) > ledger.EntryMost:
-		c.bad(&c.Stats.Misplaced, from, errors.New("a command for a voter"))
+		c.countBad(&c.Stats.Unreadable, from, err)
+	case c.voter == nil, newer && len(b) > ledger.MaxEntryBytes:
+		c.countBad(&c.Stats.Misplaced, from, errors.New("command sent to a front that is not a voter, or too long"))
 	case !newer && (e.Key == "" || e.Kind != ledger.KindAsk && e.Kind != ledger.KindCancel && e.Kind != ledger.KindDone):
-		c.bad(&c.Stats.Strangers, from, fmt.Errorf("it may not give %q", e.Kind)) // grants are the leader's
+		c.countBad(&c.Stats.Strangers, from, fmt.Errorf("a follower must not propose %q", e.Kind)) // only the leader may grant
 	default:
 		if _, done := c.state.Keys[e.Key]; !done {
-			c.take(b)
+			c.proposeCommand(b)
 		}
 	}
 }
 
-// answerCommands replies to those that were agreed on.
-func (c *Core) answerCommands() {
-	for key, k := range c.commands {
+// replyToCommands replies to the commands whose results are known.
+func (c *Core) replyToCommands() {
+	for key, pending := range c.commands {
 		if a, done := c.state.Keys[key]; done {
 			delete(c.commands, key)
-			c.do(Reply{k.handle, a})
+			c.emit(Reply{pending.handle, a})
 		}
 	}
 }
 
-// ---- What others say ----
+// ---- Received messages ----
 
-// Message takes what a member sent.
+// Receive handles a message from a member.
 func (c *Core) Message(now Time, from string, b []byte) {
 	c.now = max(c.now, now)
 	c.Stats.Received++
 	c.Stats.ReceivedBytes += uint64(len(b))
-	if len(b) < 1 || len(b) > MessageMost {
-		c.bad(&c.Stats.Unreadable, from, fmt.Errorf("a message of %d bytes", len(b)))
+	if len(b) < 1 || len(b) > MaxMessageBytes {
+		c.countBad(&c.Stats.Unreadable, from, fmt.Errorf("a message of %d bytes", len(b)))
 		return
 	}
 	kind, body := b[0], b[1:]
 	switch kind {
 	case msgRaft:
-		c.hearRaft(from, body)
-	case msgLife:
-		c.asksLife(from, body)
-	case msgKnown:
-		c.knowsLife(from, body)
-	case msgPart:
-		c.hearPart(from, body)
+		c.receiveRaft(from, body)
+	case msgIncarnation:
+		c.receiveIncarnation(from, body)
+	case msgIncarnationReply:
+		c.receiveIncarnationReply(from, body)
+	case msgReport:
+		c.receiveReport(from, body)
 	case msgCommand:
-		c.hearCommand(from, body)
-	case msgWhy:
-		c.asksWhy(from)
-	case msgBecause:
-		c.hearBecause(from, body)
+		c.receiveCommand(from, body)
+	case msgWaitRequest:
+		c.receiveWaitRequest(from)
+	case msgWaitReply:
+		c.receiveWaitReply(from, body)
 	case msgFetch:
-		c.fetched(from, body)
-	case msgAgreed:
-		c.hearAgreed(from, body)
+		c.receiveFetch(from, body)
+	case msgUpdate:
+		c.receiveUpdate(from, body)
 	default:
-		c.bad(&c.Stats.Unreadable, from, fmt.Errorf("no kind of message: %q", kind))
+		c.countBad(&c.Stats.Unreadable, from, fmt.Errorf("unknown kind of message: %q", kind))
 	}
 }
--- a/internal/fleet/core/names.go
+++ b/internal/fleet/core/names.go
@@ -12,18 +12,18 @@
 	"tealledge/internal/fleet/ledger"
 )
 
-// Machines by their names, and the questions that operators ask.
+// Resolving machine names, and the status that operators query.
 
-// Bounds of one ask.
+// Limits of one request for work.
 const (
-	namesMost   = 256
-	serversMost = 4096
+	maxNames   = 256
+	maxServers = 4096
 )
 
-// Resolve finds machines by names: server:ID (or ID alone), rack:NUMBER, front:NAME.
+// Resolve returns a request for the machines with the given names: server:ID (or ID alone), rack:NUMBER, front:NAME.
 func (c *Core) Resolve(names []string) (a ledger.Ask, err error) {
-	if len(names) == 0 || len(names) > namesMost {
-		return a, fmt.Errorf("%d machines named, 1 to %d may be", len(names), namesMost)
+	if len(names) == 0 || len(names) > maxNames {
+		return a, fmt.Errorf("%d machines named, want 1 to %d", len(names), maxNames)
 	}
 	a.Names = names
 	add := func(s Server) {
@@ -40,8 +40,8 @@
 		switch kind {
 		case "front":
 			if _, known := c.members[rest]; !known && rest != c.cfg.Me {
-				if _, gone := c.left[rest]; !gone {
-					return a, fmt.Errorf("no front %q is here or was lately", rest)
+				if _, gone := c.leftAt[rest]; !gone {
+					return a, fmt.Errorf("no front %q is a member or was one recently", rest)
 				}
 			}
 			if !slices.Contains(a.Fronts, rest) {
@@ -50,7 +50,7 @@
 		case "server", "rack":
 			number, err := strconv.ParseUint(rest, 10, 32)
 			if err != nil {
-				return a, fmt.Errorf("%q: a %s is told by its number", name, kind)
+				return a, fmt.Errorf("%q: a %s is named by its number", name, kind)
 			}
 			found := false
 			for _, s := range c.servers {
@@ -60,41 +60,42 @@
 				}
 			}
 			if !found {
-				return a, fmt.Errorf("no %s %d is on this front's list", kind, number)
+				return a, fmt.Errorf("no %s %d on this front's server list", kind, number)
 			}
 		default:
 			return a, fmt.Errorf("%q: want server:ID, rack:NUMBER or front:NAME", name)
 		}
 	}
-	if len(a.Servers) > serversMost {
-		return a, fmt.Errorf("%d servers named, %d may be", len(a.Servers), serversMost)
+	if len(a.Servers) > maxServers {
+		return a, fmt.Errorf("%d servers named, at most %d allowed", len(a.Servers), maxServers)
 	}
 	slices.SortFunc(a.Servers, func(a, b ledger.Place) int { return cmp.Compare(a.Server, b.Server) })
 	return a, nil
 }
 
-// because is the leader's answer to a front that asks why works wait.
-type because struct {
+// waitReply is the leader's reply to a request for the reasons why work waits.
+type waitReply struct {
 	Answers []upkeep.Answer `json:"w"`
 	At      Time            `json:"at"`
 }
 
-// AskWhy asks the leader why works wait. What comes back is in Whys.
+// RequestWaitReasons requests from the leader why work waits. WaitReasons returns its reply.
 func (c *Core) AskWhy(now Time) {
 	c.now = max(c.now, now)
-	if c.lead != c.cfg.Me {
-		c.send(c.lead, msgWhy, nil)
+	if c.leaderName != c.cfg.Me {
+		c.send(c.leaderName, msgWaitRequest, nil)
 		return
 	}
-	c.whys, c.whysAt = c.answers(), c.now
+	c.waitReasons, c.waitReasonsAt = c.waitingAnswers(), c.now
 }
 
-// Whys gives what the leader said last of what waits, and when that came.
-func (c *Core) Whys() (map[uint64]upkeep.Answer, Time) { return c.whys, c.whysAt }
+// WaitReasons returns the most recent reply of the leader and when it was received.
+func (c *Core) Whys() (map[uint64]upkeep.Answer, Time) { return c.waitReasons, c.waitReasonsAt }
 
-func (c *Core) answers() map[uint64]upkeep.Answer {
+// waitingAnswers returns the decisions on all waiting work.
+func (c *Core) waitingAnswers() map[uint64]upkeep.Answer {
 	list := map[uint64]upkeep.Answer{}
-	for id, a := range c.leader.why {
+	for id, a := range c.leader.answers {
 		if w := c.state.Work(id); w != nil && w.Phase == ledger.Asked {
 			list[id] = a
 		}
@@ -102,50 +103,50 @@
 	return list
 }
 
-func (c *Core) asksWhy(from string) {
-	if c.lead != c.cfg.Me {
+func (c *Core) receiveWaitRequest(from string) {
+	if c.leaderName != c.cfg.Me {
 		return
 	}
-	b := because{At: c.now}
-	for _, a := range c.answers() {
-		b.Answers = append(b.Answers, a)
+	reply := waitReply{At: c.now}
+	for _, a := range c.waitingAnswers() {
+		reply.Answers = append(reply.Answers, a)
 	}
-	slices.SortFunc(b.Answers, func(x, y upkeep.Answer) int { return cmp.Compare(x.ID, y.ID) })
-	c.sendJSON(from, msgBecause, b)
+	slices.SortFunc(reply.Answers, func(x, y upkeep.Answer) int { return cmp.Compare(x.ID, y.ID) })
+	c.sendJSON(from, msgWaitReply, reply)
 }
 
-func (c *Core) hearBecause(from string, b []byte) {
-	var x because
-	if err := json.Unmarshal(b, &x); err != nil || from != c.lead || len(x.Answers) > ledger.OpenMost {
-		c.bad(&c.Stats.Unreadable, from, fmt.Errorf("no answer of the leader: %v", err))
+func (c *Core) receiveWaitReply(from string, b []byte) {
+	var reply waitReply
+	if err := json.Unmarshal(b, &reply); err != nil || from != c.leaderName || len(reply.Answers) > ledger.MaxOpenWorks {
+		c.countBad(&c.Stats.Unreadable, from, fmt.Errorf("invalid wait reply, or not from the leader: %v", err))
 		return
 	}
-	c.whys, c.whysAt = map[uint64]upkeep.Answer{}, c.now
-	for _, a := range x.Answers {
-		c.whys[a.ID] = a
+	c.waitReasons, c.waitReasonsAt = map[uint64]upkeep.Answer{}, c.now
+	for _, a := range reply.Answers {
+		c.waitReasons[a.ID] = a
 	}
 }
 
-// Status is how a front's part stands.
+// Status is the state of a front in its fleet.
 type Status struct {
-	Name    string `json:"name"`
-	Cluster string `json:"cluster"`
-	Lead    string `json:"lead"`
-	Fresh   bool   `json:"fresh"`
-	HeardMs Time   `json:"heard_ms"` // since a voter or a majority was heard; -1: never
-	Index   uint64 `json:"index"`
-	Voter   bool   `json:"voter"`
-	Silent  bool   `json:"silent"` // a voter that does not take part yet
-	Broken  bool   `json:"broken"`
-	Voters  int    `json:"voters"` // by the record
-	Here    []Here `json:"here"`
-	Open    int    `json:"open"`  // works that have not ended
-	Newer   int    `json:"newer"` // the newest format of an entry that was not understood
-	Stats   Stats  `json:"stats"`
+	Name      string        `json:"name"`
+	Cluster   string        `json:"cluster"`
+	Lead      string        `json:"lead"`
+	Fresh     bool          `json:"fresh"`
+	HeardMs   Time          `json:"heard_ms"` // since contact with a voter or a majority; -1: never
+	Index     uint64        `json:"index"`
+	Voter     bool          `json:"voter"`
+	Silent    bool          `json:"silent"` // a voter that does not take part in elections yet
+	Broken    bool          `json:"broken"`
+	Voters    int           `json:"voters"` // in the record
+	Here      []FrontStatus `json:"here"`
+	OpenWorks int           `json:"open"`  // work that has not ended
+	Newer     int           `json:"newer"` // the newest unsupported format of an entry; 0: none
+	Stats     Stats         `json:"stats"`
 }
 
-// Here is a front that membership knows.
-type Here struct {
+// FrontStatus is a front that is a member or was one recently.
+type FrontStatus struct {
 	Name  string `json:"name"`
 	Zone  int    `json:"zone"`
 	Voter bool   `json:"voter"`
@@ -153,11 +154,11 @@
 	Life  uint64 `json:"life,omitempty"`
 }
 
-// Status tells how things stand.
+// Status returns the state of this front.
 func (c *Core) Status() Status {
-	s := Status{Name: c.cfg.Me, Cluster: c.state.Cluster, Lead: c.lead, Fresh: c.Fresh(), HeardMs: -1, Index: c.state.Index, Newer: c.state.Newer, Stats: c.Stats}
-	if c.heard > 0 {
-		s.HeardMs = (c.now - c.heard) / millisecond
+	s := Status{Name: c.cfg.Me, Cluster: c.state.Cluster, Lead: c.leaderName, Fresh: c.Fresh(), HeardMs: -1, Index: c.state.Index, Newer: c.state.Newer, Stats: c.Stats}
+	if c.lastContactAt > 0 {
+		s.HeardMs = (c.now - c.lastContactAt) / millisecond
 	}
 	if c.voter != nil {
 		s.Voter, s.Silent, s.Broken = true, c.voter.node.Silent(), c.voter.broken
@@ -165,25 +166,25 @@
 	}
 	for _, w := range c.state.Works {
 		if !w.Phase.Ended() {
-			s.Open++
+			s.OpenWorks++
 		}
 	}
 	here, gone := c.fronts()
 	for _, name := range here {
-		h := Here{Name: name, Zone: c.members[name].Meta.Zone, Voter: slices.Contains(c.cfg.Voters, name), Here: true}
+		h := FrontStatus{Name: name, Zone: c.members[name].Meta.Zone, Voter: slices.Contains(c.cfg.Voters, name), Here: true}
 		if id := c.members[name].Meta.Identity; id != nil {
 			h.Life = id.Life
 		}
 		if name == c.cfg.Me {
 			h.Zone = c.cfg.Zone
 			if c.voter != nil {
-				h.Life = c.voter.me.Life
+				h.Life = c.voter.identity.Life
 			}
 		}
 		s.Here = append(s.Here, h)
 	}
 	for _, name := range gone {
-		s.Here = append(s.Here, Here{Name: name, Voter: slices.Contains(c.cfg.Voters, name)})
+		s.Here = append(s.Here, FrontStatus{Name: name, Voter: slices.Contains(c.cfg.Voters, name)})
 	}
 	return s
 }
--- a/internal/fleet/core/parts.go
+++ b/internal/fleet/core/parts.go
@@ -10,119 +10,120 @@
 	"tealledge/internal/fleet/ledger"
 )
 
-// What each front knows of the sessions that stand, put together by the leader. Each front tells its own part; together
-// with how far the front has come in what was agreed, for that is its word that it sends nothing more to what was
-// granted.
+// The leader collects reports of every front's sessions. Each report carries the index that the front has applied: by
+// it the front confirms that it sends no new sessions to machines granted up to that index.
 
-// part is one front's report.
-type part struct {
-	Life    int64               `json:"l"` // when its process started: a later one replaces all that an earlier one told
-	Seq     uint64              `json:"n"`
-	Applied uint64              `json:"a"`
-	Servers map[uint32]Standing `json:"s,omitempty"`
-	at      Time
-	worst   map[uint32]Standing // the most that it told of each server lately, for when it falls silent
+// report is one front's report of its sessions.
+type report struct {
+	StartedAt  int64               `json:"l"` // when its process started: reports of a later process replace those of an earlier one
+	Seq        uint64              `json:"n"`
+	Applied    uint64              `json:"a"`
+	Servers    map[uint32]Standing `json:"s,omitempty"`
+	receivedAt Time
+	maxLoad    map[uint32]Standing // recent maxima by server, used once the front stops reporting
 }
 
-// partServers bounds what is taken of one report.
-const partServers = 8192
+// maxReportServers limits the servers in one report.
+const maxReportServers = 8192
 
-func (c *Core) tickParts() {
-	wait := partEvery
-	if c.partSoon {
-		wait = quickEvery
+// tickReports sends a report when one is due.
+func (c *Core) tickReports() {
+	interval := reportInterval
+	if c.reportSoon {
+		interval = urgentReportInterval
 	}
-	if c.partAt == 0 {
-		c.partAt = c.now - Time(c.cfg.Draw()%uint64(partEvery)) // fronts that start together do not speak together
+	if c.reportedAt == 0 {
+		c.reportedAt = c.now - Time(c.cfg.Draw()%uint64(reportInterval)) // random phase: fronts that start together do not report together
 	}
-	if c.now-c.partAt < wait {
+	if c.now-c.reportedAt < interval {
 		return
 	}
-	c.partAt, c.partSoon = c.now, false
+	c.reportedAt, c.reportSoon = c.now, false
 	c.seq++
-	p := part{Life: c.life(), Seq: c.seq, Applied: c.state.Index, Servers: map[uint32]Standing{}}
-	for id, s := range c.mine {
-		if s != (Standing{}) && len(p.Servers) < partServers {
-			p.Servers[id] = s
+	r := report{StartedAt: c.processStart(), Seq: c.seq, Applied: c.state.Index, Servers: map[uint32]Standing{}}
+	for id, s := range c.ownLoad {
+		if s != (Standing{}) && len(r.Servers) < maxReportServers {
+			r.Servers[id] = s
 		}
 	}
-	if c.lead == c.cfg.Me {
-		c.tookPart(c.cfg.Me, p)
-	} else if c.lead != "" {
-		c.sendJSON(c.lead, msgPart, p)
+	if c.leaderName == c.cfg.Me {
+		c.storeReport(c.cfg.Me, r)
+	} else if c.leaderName != "" {
+		c.sendJSON(c.leaderName, msgReport, r)
 	}
 }
 
-// life tells this process from an earlier one of the same name.
-func (c *Core) life() int64 {
-	if c.born == 0 {
-		c.born = c.now
+// processStart returns the time of the first report, by which this process differs from earlier ones of its name.
+func (c *Core) processStart() int64 {
+	if c.startedAt == 0 {
+		c.startedAt = c.now
 	}
-	return c.born
+	return c.startedAt
 }
 
-func (c *Core) hearPart(from string, b []byte) {
-	var p part
-	if err := json.Unmarshal(b, &p); err != nil || len(p.Servers) > partServers {
-		c.bad(&c.Stats.Unreadable, from, fmt.Errorf("no report: %v, %d servers", err, len(p.Servers)))
+func (c *Core) receiveReport(from string, b []byte) {
+	var r report
+	if err := json.Unmarshal(b, &r); err != nil || len(r.Servers) > maxReportServers {
+		c.countBad(&c.Stats.Unreadable, from, fmt.Errorf("invalid report: %v, %d servers", err, len(r.Servers)))
 		return
 	}
-	for id, s := range p.Servers {
+	for id, s := range r.Servers {
 		if s.Sessions < 0 || s.Paid < 0 || s.Paid > s.Sessions || !(s.KB >= 0 && s.KB < 1e12) {
-			c.bad(&c.Stats.Unreadable, from, fmt.Errorf("a report of %d sessions, %d paid, %g kB a second at server %d", s.Sessions, s.Paid, s.KB, id))
+			c.countBad(&c.Stats.Unreadable, from, fmt.Errorf("invalid report: %d sessions, %d paid, %g kB/s at server %d", s.Sessions, s.Paid, s.KB, id))
 			return
 		}
 	}
-	c.tookPart(from, p)
+	c.storeReport(from, r)
 }
 
-func (c *Core) tookPart(from string, p part) {
-	was := c.leader.parts[from]
-	if was != nil && (p.Life < was.Life || p.Life == was.Life && p.Seq <= was.Seq) {
-		return // overtaken by a later one
+// storeReport keeps a report unless a later one was received.
+func (c *Core) storeReport(from string, r report) {
+	previous := c.leader.reports[from]
+	if previous != nil && (r.StartedAt < previous.StartedAt || r.StartedAt == previous.StartedAt && r.Seq <= previous.Seq) {
+		return // reordered: a later report was received before
 	}
-	p.at, p.worst = c.now, map[uint32]Standing{}
-	if was != nil && c.now-was.at < c.cfg.Stale {
-		for id, s := range was.Servers {
-			p.worst[id] = s
+	r.receivedAt, r.maxLoad = c.now, map[uint32]Standing{}
+	if previous != nil && c.now-previous.receivedAt < c.cfg.Stale {
+		for id, s := range previous.Servers {
+			r.maxLoad[id] = s
 		}
 	}
-	for id, s := range p.Servers {
-		w := p.worst[id]
-		p.worst[id] = Standing{max(w.Sessions, s.Sessions), max(w.KB, s.KB), max(w.Paid, s.Paid)}
+	for id, s := range r.Servers {
+		peak := r.maxLoad[id]
+		r.maxLoad[id] = Standing{max(peak.Sessions, s.Sessions), max(peak.KB, s.KB), max(peak.Paid, s.Paid)}
 	}
-	c.leader.parts[from] = &p
+	c.leader.reports[from] = &r
 }
 
-// leader is what the leader knows beside what is agreed.
-type leader struct {
-	parts    map[string]*part
-	failed   map[uint32]Time // servers that are not ready and not for work, since when
-	proposed uint64          // Granted when the last grant was proposed,
-	at       Time            // and when
-	why      map[uint64]upkeep.Answer
-	steps    map[uint64]Time // works, by when their next step was proposed
-	since    Time            // this front leads since then,
-	term     uint64          // in this term
+// leaderState is what the leader keeps beside the replicated state.
+type leaderState struct {
+	reports        map[string]*report
+	failedAt       map[uint32]Time // servers that are not ready though no work reserves them, by the time they failed
+	proposedBasis  uint64          // LastGrant when the last grant was proposed,
+	proposedAt     Time            // and when
+	answers        map[uint64]upkeep.Answer
+	stepProposedAt map[uint64]Time // when the next step of each work was proposed
+	leadsSince     Time            // when this front became the leader,
+	term           uint64          // and of which term
 }
 
-// sawServers notes which servers fail, and since when.
-func (c *Core) sawServers() {
-	kept, _ := c.state.Kept()
-	was := c.leader.failed
-	c.leader.failed = map[uint32]Time{}
+// updateFailedServers records which servers have failed, and when.
+func (c *Core) updateFailedServers() {
+	reserved, _ := c.state.Reserved()
+	previous := c.leader.failedAt
+	c.leader.failedAt = map[uint32]Time{}
 	for _, s := range c.servers {
-		if _, forWork := kept[s.ID]; !s.Ready && !forWork {
-			at, known := was[s.ID]
+		if _, forWork := reserved[s.ID]; !s.Ready && !forWork {
+			at, known := previous[s.ID]
 			if !known {
 				at = c.now
 			}
-			c.leader.failed[s.ID] = at
+			c.leader.failedAt[s.ID] = at
 		}
 	}
 }
 
-// fronts names the fronts that are here, this one included, and those that were here lately.
+// fronts returns the names of the live fronts, this one included, and of those that left recently.
 func (c *Core) fronts() (here, gone []string) {
 	here = []string{c.cfg.Me}
 	for name, m := range c.members {
@@ -130,16 +131,16 @@
 			here = append(here, name)
 		}
 	}
-	gone = slices.Collect(maps.Keys(c.left))
+	gone = slices.Collect(maps.Keys(c.leftAt))
 	slices.Sort(here)
 	slices.Sort(gone)
 	return here, gone
 }
 
-// world puts together what decide/upkeep rests on. Fronts that have not told lately are taken at the most that they told;
-// of one that is here and never told, nothing is known: nothing that holds servers may go.
-func (c *Core) world() *upkeep.Fleet {
-	w := &upkeep.Fleet{RackKB: c.cfg.RackKB, Groups: c.groups}
+// fleetState returns the input of decide/upkeep. Fronts whose report is stale count with their recent maxima. The load
+// of a live front that never reported is unknown: then no work on servers may be granted.
+func (c *Core) fleetState() *upkeep.Fleet {
+	fleet := &upkeep.Fleet{RackKB: c.cfg.RackKB, Groups: c.groups}
 	here, gone := c.fronts()
 	total := map[uint32]Standing{}
 	sum := func(from map[uint32]Standing) {
@@ -150,56 +151,56 @@
 	}
 	var silent []string
 	for _, name := range here {
-		switch p := c.leader.parts[name]; {
+		switch p := c.leader.reports[name]; {
 		case p == nil:
 			silent = append(silent, name)
-		case c.now-p.at >= c.cfg.Stale:
-			sum(p.worst)
+		case c.now-p.receivedAt >= c.cfg.Stale:
+			sum(p.maxLoad)
 		default:
 			sum(p.Servers)
 		}
-		w.Fronts = append(w.Fronts, upkeep.Front{Name: name})
+		fleet.Fronts = append(fleet.Fronts, upkeep.Front{Name: name})
 	}
-	for _, name := range gone { // its sessions may play on
-		if p := c.leader.parts[name]; p != nil {
-			sum(p.worst)
+	for _, name := range gone { // its sessions may still play
+		if p := c.leader.reports[name]; p != nil {
+			sum(p.maxLoad)
 		}
-		w.Fronts = append(w.Fronts, upkeep.Front{Name: name, Failed: true})
+		fleet.Fronts = append(fleet.Fronts, upkeep.Front{Name: name, Failed: true})
 	}
 	if len(silent) > 0 {
-		w.UncertainReason = fmt.Sprintf("nothing is known yet of what stands at %d fronts, %s first", len(silent), silent[0])
+		fleet.UncertainReason = fmt.Sprintf("nothing is known yet of what stands at %d fronts, %s first", len(silent), silent[0])
 	}
 	listed := map[uint32]bool{}
 	for _, s := range c.servers {
-		_, failed := c.leader.failed[s.ID]
+		_, failed := c.leader.failedAt[s.ID]
 		listed[s.ID] = true
 		t := total[s.ID]
-		w.Servers = append(w.Servers, upkeep.Server{ID: s.ID, Rack: s.Rack, Zone: s.Zone, LinkKB: s.KB, NeededKB: t.KB, Paid: t.Paid, Failed: failed})
+		fleet.Servers = append(fleet.Servers, upkeep.Server{ID: s.ID, Rack: s.Rack, Zone: s.Zone, LinkKB: s.KB, NeededKB: t.KB, Paid: t.Paid, Failed: failed})
 	}
-	for _, k := range c.state.Works { // what is out may be off the list: it counts where it stood
-		if !k.Phase.Counts() {
+	for _, work := range c.state.Works { // servers that are out may have left the list: they count with the rack and zone they had
+		if !work.Phase.CountsAsOut() {
 			continue
 		}
-		for _, p := range k.Ask.Servers {
+		for _, p := range work.Ask.Servers {
 			if !listed[p.Server] {
 				listed[p.Server] = true
-				w.Servers = append(w.Servers, upkeep.Server{ID: p.Server, Rack: p.Rack, Zone: p.Zone, NeededKB: total[p.Server].KB, Paid: total[p.Server].Paid})
+				fleet.Servers = append(fleet.Servers, upkeep.Server{ID: p.Server, Rack: p.Rack, Zone: p.Zone, NeededKB: total[p.Server].KB, Paid: total[p.Server].Paid})
 			}
 		}
 	}
-	slices.SortFunc(w.Servers, func(a, b upkeep.Server) int { return int(int64(a.ID) - int64(b.ID)) })
-	w.HoldReason = c.held()
-	return w
+	slices.SortFunc(fleet.Servers, func(a, b upkeep.Server) int { return int(int64(a.ID) - int64(b.ID)) })
+	fleet.HoldReason = c.holdReason()
+	return fleet
 }
 
-// held tells why nothing may be granted at all.
-func (c *Core) held() string {
+// holdReason returns why no work may be granted at all, empty if it may.
+func (c *Core) holdReason() string {
 	if c.state.Newer > ledger.Format {
 		return fmt.Sprintf("entries were agreed on in format %d, this front knows %d", c.state.Newer, ledger.Format)
 	}
 	oldest := Time(0)
 	for _, w := range c.state.Works {
-		if w.Phase.Counts() && (oldest == 0 || w.Asked < oldest) {
+		if w.Phase.CountsAsOut() && (oldest == 0 || w.Asked < oldest) {
 			oldest = w.Asked
 		}
 	}
@@ -207,8 +208,8 @@
 		return ""
 	}
 	var failed []uint32
-	for id, at := range c.leader.failed {
-		if at > c.leader.since && at >= oldest {
+	for id, at := range c.leader.failedAt {
+		if at > c.leader.leadsSince && at >= oldest {
 			failed = append(failed, id)
 		}
 	}
@@ -219,49 +220,49 @@
 	return ""
 }
 
-// gone tells whether a front has left.
-func (c *Core) gone(name string) bool { _, left := c.left[name]; return left }
+// hasLeft reports whether a front has left.
+func (c *Core) hasLeft(name string) bool { _, left := c.leftAt[name]; return left }
 
-// course tells how work that was let go stands.
-func (c *Core) course(w *ledger.Work) upkeep.Progress {
-	k := upkeep.Progress{Since: w.Since, WorkDuration: w.Ask.For}
+// progress returns the progress of granted work.
+func (c *Core) progress(w *ledger.Work) upkeep.Progress {
+	progress := upkeep.Progress{Since: w.Since, WorkDuration: w.Ask.For}
 	switch w.Phase {
 	case ledger.Draining:
-		k.Step = upkeep.Draining
+		progress.Step = upkeep.Draining
 	case ledger.Out:
-		k.Step = upkeep.Out
+		progress.Step = upkeep.Out
 	case ledger.Back:
-		k.Step = upkeep.Back
+		progress.Step = upkeep.Back
 	}
 	here, gone := c.fronts()
-	count := func(p *part) {
+	count := func(p *report) {
 		for _, s := range w.Ask.Servers {
-			k.RemainingSessions += p.Servers[s.Server].Sessions
+			progress.RemainingSessions += p.Servers[s.Server].Sessions
 		}
 	}
-	for _, name := range w.Ask.Fronts { // what stands with viewers of a front's host, wherever it plays
-		if p := c.leader.parts[name]; p != nil && !c.gone(name) {
+	for _, name := range w.Ask.Fronts { // all sessions of a front that is to go out, on any server
+		if p := c.leader.reports[name]; p != nil && !c.hasLeft(name) {
 			for _, s := range p.Servers {
-				k.RemainingSessions += s.Sessions
+				progress.RemainingSessions += s.Sessions
 			}
 		}
 	}
 	for _, name := range here {
-		p := c.leader.parts[name]
+		p := c.leader.reports[name]
 		if p == nil || p.Applied < w.Fence {
-			k.Unacknowledged = append(k.Unacknowledged, name)
+			progress.Unacknowledged = append(progress.Unacknowledged, name)
 		}
-		if p == nil || p.Applied < w.Fence || c.now-p.at >= c.cfg.Stale {
-			k.Unreported = append(k.Unreported, name)
+		if p == nil || p.Applied < w.Fence || c.now-p.receivedAt >= c.cfg.Stale {
+			progress.Unreported = append(progress.Unreported, name)
 		}
 		if p != nil {
 			count(p)
 		}
 	}
 	for _, name := range gone {
-		if p := c.leader.parts[name]; p != nil {
+		if p := c.leader.reports[name]; p != nil {
 			count(p)
 		}
 	}
-	return k
+	return progress
 }
--- a/internal/fleet/core/voters.go
+++ b/internal/fleet/core/voters.go
@@ -13,64 +13,67 @@
 	"tealledge/internal/fleet/quorum"
 )
 
-// A voter: how it starts, with the disk that it finds, and how the first record comes to be.
+// Voters: start on the data found on disk, forming of the first record, and the exchange with the other voters.
 
+// voter is the state of a front that votes.
 type voter struct {
-	me     quorum.Identity
-	lives  quorum.Lives
-	node   *quorum.Node
-	formed bool // the record is here
-	// asked is who has said that it knows no later life of this disk; enough of them let it take part.
-	asked    map[string]bool
-	askAt    Time
-	planAt   Time
-	broken   bool // the library gave up: this front follows no more, and serves on
-	replaced map[uint64]Time
-	acked    map[string]ack // followers of this voter's share
+	identity     quorum.Identity
+	incarnations quorum.Lives
+	node         *quorum.Node
+	formed       bool // this voter holds the record
+	// confirmed holds the voters that replied that they know no later incarnation of this disk; this voter takes part
+	// in elections once they and it are a majority.
+	confirmed  map[string]bool
+	askedAt    Time
+	plannedAt  Time
+	broken     bool // the raft library failed: this front no longer follows the record, but continues to serve
+	replacedAt map[uint64]Time
+	acks       map[string]ack // by follower, of this voter's share
 }
 
-// life is what a voter asks of its disk, and is told.
-type life struct {
+// incarnationQuery asks other voters for a later incarnation of a disk; the same type is the reply.
+type incarnationQuery struct {
 	Identity quorum.Identity `json:"i"`
-	Stale    bool            `json:"stale,omitempty"` // there was a later life of that disk
+	Stale    bool            `json:"stale,omitempty"` // the replying voter knows a later incarnation of that disk
 	Formed   bool            `json:"formed,omitempty"`
 }
 
+// startVoter starts a voter on the data found on disk.
 func (c *Core) startVoter(start Start) error {
-	v := &voter{lives: start.Lives, asked: map[string]bool{}, replaced: map[uint64]Time{}, acked: map[string]ack{}}
-	if v.lives == nil {
-		v.lives = quorum.Lives{}
+	v := &voter{incarnations: start.Lives, confirmed: map[string]bool{}, replacedAt: map[uint64]Time{}, acks: map[string]ack{}}
+	if v.incarnations == nil {
+		v.incarnations = quorum.Lives{}
 	}
 	c.voter = v
 	disk := start.Disk
 	if start.Identity.ID == 0 {
 		if !disk.Empty() {
-			return errors.New("fleet: the disk holds a record, but not whose it is")
+			return errors.New("fleet: the disk holds a record but no voter identity")
 		}
 		disk = nil
-	} else if c.named(start.Identity.ID) != c.cfg.Me {
-		return fmt.Errorf("fleet: the disk is that of voter %q, this is %q", c.named(start.Identity.ID), c.cfg.Me)
+	} else if c.voterName(start.Identity.ID) != c.cfg.Me {
+		return fmt.Errorf("fleet: the disk belongs to voter %q, this is %q", c.voterName(start.Identity.ID), c.cfg.Me)
 	}
-	return c.begin(start.Identity, disk)
+	return c.startIncarnation(start.Identity, disk)
 }
 
-// begin starts a life of this voter, on the record that its disk holds.
-func (c *Core) begin(was quorum.Identity, disk *quorum.Disk) error {
+// startIncarnation starts a new incarnation of this voter on the record that its disk holds.
+func (c *Core) startIncarnation(stored quorum.Identity, disk *quorum.Disk) error {
 	v := c.voter
-	v.me = was.Begin(func() uint64 { return voterID(c.cfg.Me, c.cfg.Draw()) })
-	id := v.me
-	c.do(Write{Identity: &id})
+	v.identity = stored.NextIncarnation(func() uint64 { return voterID(c.cfg.Me, c.cfg.Draw()) })
+	id := v.identity
+	c.emit(Write{Identity: &id})
 	if err := c.load(disk); err != nil {
 		return err
 	}
-	v.node.Silence(true)
-	v.asked, v.askAt = map[string]bool{}, 0
-	c.tellMeta()
-	c.ready() // what its own disk says was agreed
+	v.node.SetSilent(true)
+	v.confirmed, v.askedAt = map[string]bool{}, 0
+	c.announceMeta()
+	c.processReady() // applies the entries that are committed on its own disk
 	return nil
 }
 
-// load makes the node from a record.
+// load creates the raft node from a record.
 func (c *Core) load(disk *quorum.Disk) (err error) {
 	v := c.voter
 	v.formed = !disk.Empty()
@@ -81,50 +84,52 @@
 		}
 		c.state.Index = max(c.state.Index, disk.Snap.GetMetadata().GetIndex())
 	}
-	v.node, err = quorum.New(v.me.ID, disk, c.cfg.Log)
+	v.node, err = quorum.New(v.identity.ID, disk, c.cfg.Log)
 	return err
 }
 
-// tellMeta tells all others what this front is now.
-func (c *Core) tellMeta() {
+// announceMeta announces this front's current Meta to all others.
+func (c *Core) announceMeta() {
 	m := Meta{Format: ledger.Format, Zone: c.cfg.Zone}
 	if v := c.voter; v != nil {
-		id := v.me
+		id := v.identity
 		m.Identity, m.Formed = &id, v.formed
 	}
-	c.do(Tell{m})
+	c.emit(Tell{m})
 }
 
-// metaChanged looks at what the other voters tell of themselves: their lives are remembered before anything else.
-func (c *Core) metaChanged() {
+// recordIncarnations records the incarnations that the other voters announce.
+func (c *Core) recordIncarnations() {
 	v := c.voter
 	if v == nil {
 		return
 	}
 	for _, name := range c.cfg.Voters {
 		if m, ok := c.members[name]; ok && name != c.cfg.Me && m.Meta.Identity != nil {
-			c.sees(*m.Meta.Identity, name)
+			c.recordIncarnation(*m.Meta.Identity, name)
 		}
 	}
 }
 
-// sees remembers a life, on disk before it is acted on, and tells whether it is of a disk that was put back.
-func (c *Core) sees(i quorum.Identity, name string) (stale bool) {
-	if c.named(i.ID) != name {
+// recordIncarnation stores an incarnation on disk before it has any effect, and reports whether it is stale: of a disk
+// that was restored from an older copy.
+func (c *Core) recordIncarnation(identity quorum.Identity, name string) (stale bool) {
+	if c.voterName(identity.ID) != name {
 		return false
 	}
-	news, stale := c.voter.lives.See(i)
-	if news {
-		lives := quorum.Lives{}
-		for id, x := range c.voter.lives {
-			lives[id] = x
+	changed, stale := c.voter.incarnations.Record(identity)
+	if changed {
+		incarnations := quorum.Lives{}
+		for id, x := range c.voter.incarnations {
+			incarnations[id] = x
 		}
-		c.do(Write{Lives: lives})
+		c.emit(Write{Lives: incarnations})
 	}
 	return stale
 }
 
-func (c *Core) others() (list []string) {
+// otherVoters returns the names of all voters but this one.
+func (c *Core) otherVoters() (list []string) {
 	for _, name := range c.cfg.Voters {
 		if name != c.cfg.Me {
 			list = append(list, name)
@@ -133,65 +138,68 @@
 	return list
 }
 
+// tickVoter does the periodic work of a voter.
 func (c *Core) tickVoter() {
 	v := c.voter
 	if v.broken {
 		return
 	}
-	if (v.node.Silent() || !v.formed) && c.now-v.askAt >= askEvery { // the first record needs the word of all
-		v.askAt = c.now
-		for _, name := range c.others() {
-			if !v.asked[name] {
-				c.sendJSON(name, msgLife, life{Identity: v.me})
+	if (v.node.Silent() || !v.formed) && c.now-v.askedAt >= retryInterval { // forming the first record needs confirmation by all voters
+		v.askedAt = c.now
+		for _, name := range c.otherVoters() {
+			if !v.confirmed[name] {
+				c.sendJSON(name, msgIncarnation, incarnationQuery{Identity: v.identity})
 			}
 		}
-		c.mayTakePart()
+		c.joinIfConfirmed()
 	}
 	if !v.formed {
-		c.form()
+		c.formRecord()
 	}
 	if err := v.node.Tick(); err != nil {
-		c.breakDown(err)
+		c.fail(err)
 		return
 	}
-	c.ready()
-	c.push()
-	s := v.node.Status()
-	if s.Lead != 0 {
-		c.lead = c.named(s.Lead)
-		if s.Leads { // CheckQuorum has it step down without a majority
-			c.heard = c.now
+	c.processReady()
+	c.pushUpdates()
+	status := v.node.Status()
+	if status.Lead != 0 {
+		c.leaderName = c.voterName(status.Lead)
+		if status.IsLeader { // CheckQuorum makes it step down without a majority
+			c.lastContactAt = c.now
 		}
 	} else {
-		c.lead = ""
+		c.leaderName = ""
 	}
-	if s.Leads && c.now-v.planAt >= planEvery {
-		v.planAt = c.now
-		c.replaceVoters(s)
+	if status.IsLeader && c.now-v.plannedAt >= planInterval {
+		v.plannedAt = c.now
+		c.replaceVoters(status)
 		c.plan()
 	}
 }
 
-// mayTakePart lets a voter speak once as many of the others as a majority needs know no later life of its disk.
-func (c *Core) mayTakePart() {
+// joinIfConfirmed lets this voter take part in elections once enough other voters for a majority have confirmed that
+// they know no later incarnation of its disk.
+func (c *Core) joinIfConfirmed() {
 	v := c.voter
-	if v.node.Silent() && len(v.asked) >= len(c.cfg.Voters)/2 {
-		v.node.Silence(false)
-		c.note(fmt.Sprintf("takes part as voter %x, life %d", v.me.ID, v.me.Life))
+	if v.node.Silent() && len(v.confirmed) >= len(c.cfg.Voters)/2 {
+		v.node.SetSilent(false)
+		c.log(fmt.Sprintf("takes part as voter %x, life %d", v.identity.ID, v.identity.Life))
 	}
 }
 
-// form makes the first record: only the first of the voters does, and only when all of them are here and none has one.
-// Danger: voters that each form a record, or one formed beside a record whose holders are away, agree on two things.
-func (c *Core) form() {
+// formRecord creates the first record. Only the first of the voters does so, and only when all voters are alive and
+// none has a record: otherwise two voters, or one beside absent holders of an existing record, would create diverging
+// records.
+func (c *Core) formRecord() {
 	v := c.voter
-	if c.cfg.Voters[0] != c.cfg.Me || len(v.asked) < len(c.cfg.Voters)-1 {
+	if c.cfg.Voters[0] != c.cfg.Me || len(v.confirmed) < len(c.cfg.Voters)-1 {
 		return
 	}
-	ids := []uint64{v.me.ID}
-	for _, name := range c.others() {
+	ids := []uint64{v.identity.ID}
+	for _, name := range c.otherVoters() {
 		m := c.members[name]
-		if !m.Alive || m.Meta.Identity == nil || m.Meta.Formed || c.named(m.Meta.Identity.ID) != name {
+		if !m.Alive || m.Meta.Identity == nil || m.Meta.Formed || c.voterName(m.Meta.Identity.ID) != name {
 			return
 		}
 		ids = append(ids, m.Meta.Identity.ID)
@@ -202,136 +210,137 @@
 	if err != nil {
 		return
 	}
-	disk := quorum.First(ids, state)
-	c.do(Write{Hard: disk.Hard, Snap: disk.Snap})
+	disk := quorum.InitialDisk(ids, state)
+	c.emit(Write{Hard: disk.Hard, Snap: disk.Snap})
 	if err := c.load(disk); err != nil {
-		c.breakDown(err)
+		c.fail(err)
 		return
 	}
-	c.note("formed the fleet's record " + first.Cluster)
-	c.tellMeta()
+	c.log("formed the fleet's record " + first.Cluster)
+	c.announceMeta()
 }
 
-// replaceVoters puts the new id of a voter whose disk was lost in the place of its old one.
-func (c *Core) replaceVoters(s quorum.Status) {
+// replaceVoters replaces the ID of each voter that lost its disk by its new one.
+func (c *Core) replaceVoters(status quorum.Status) {
 	for _, name := range c.cfg.Voters {
-		m := c.members[name]
-		if name == c.cfg.Me || !m.Alive || m.Meta.Identity == nil || m.Meta.Formed && slices.Contains(s.Voters, m.Meta.Identity.ID) {
+		member := c.members[name]
+		if name == c.cfg.Me || !member.Alive || member.Meta.Identity == nil || member.Meta.Formed && slices.Contains(status.Voters, member.Meta.Identity.ID) {
 			continue
 		}
-		id := m.Meta.Identity.ID
-		if slices.Contains(s.Voters, id) || c.named(id) != name || c.now-c.voter.replaced[id] < askEvery {
+		id := member.Meta.Identity.ID
+		if slices.Contains(status.Voters, id) || c.voterName(id) != name || c.now-c.voter.replacedAt[id] < retryInterval {
 			continue
 		}
-		was := uint64(0)
-		for _, old := range s.Voters {
-			if c.named(old) == name {
-				was = old
+		oldID := uint64(0)
+		for _, old := range status.Voters {
+			if c.voterName(old) == name {
+				oldID = old
 			}
 		}
-		c.voter.replaced[id] = c.now
-		c.note(fmt.Sprintf("voter %s has a new disk: %x in place of %x", name, id, was))
-		if err := c.voter.node.Replace(was, id); err != nil {
-			c.note("not replaced: " + err.Error())
+		c.voter.replacedAt[id] = c.now
+		c.log(fmt.Sprintf("voter %s has a new disk: %x in place of %x", name, id, oldID))
+		if err := c.voter.node.Replace(oldID, id); err != nil {
+			c.log("voter was not replaced: " + err.Error())
 		}
 	}
 }
 
-// asksLife answers a voter that starts.
-func (c *Core) asksLife(from string, b []byte) {
-	var l life
-	if err := json.Unmarshal(b, &l); err != nil {
-		c.bad(&c.Stats.Unreadable, from, err)
+// receiveIncarnation replies to the query of a voter that starts.
+func (c *Core) receiveIncarnation(from string, b []byte) {
+	var query incarnationQuery
+	if err := json.Unmarshal(b, &query); err != nil {
+		c.countBad(&c.Stats.Unreadable, from, err)
 		return
 	}
-	if c.voter == nil || c.named(l.Identity.ID) != from {
-		c.bad(&c.Stats.Strangers, from, errors.New("a life of another voter"))
+	if c.voter == nil || c.voterName(query.Identity.ID) != from {
+		c.countBad(&c.Stats.Strangers, from, errors.New("incarnation query for another voter"))
 		return
 	}
-	l.Stale, l.Formed = c.sees(l.Identity, from), c.voter.formed
-	c.Stats.Stale += count(l.Stale)
-	c.sendJSON(from, msgKnown, l)
+	query.Stale, query.Formed = c.recordIncarnation(query.Identity, from), c.voter.formed
+	c.Stats.Stale += boolToUint(query.Stale)
+	c.sendJSON(from, msgIncarnationReply, query)
 }
 
-// knowsLife hears what another voter knows of this one's disk.
-func (c *Core) knowsLife(from string, b []byte) {
-	var l life
+// receiveIncarnationReply handles another voter's reply on this voter's disk.
+func (c *Core) receiveIncarnationReply(from string, b []byte) {
+	var reply incarnationQuery
 	v := c.voter
-	if err := json.Unmarshal(b, &l); err != nil || v == nil || !slices.Contains(c.cfg.Voters, from) {
-		c.bad(&c.Stats.Unreadable, from, errors.Join(err, errors.New("no answer to a question of this voter")))
+	if err := json.Unmarshal(b, &reply); err != nil || v == nil || !slices.Contains(c.cfg.Voters, from) {
+		c.countBad(&c.Stats.Unreadable, from, errors.Join(err, errors.New("not a valid reply to an incarnation query of this voter")))
 		return
 	}
 	switch {
-	case l.Identity != v.me || v.broken: // of an earlier question
-	case l.Stale:
-		c.note(from + " knows a later life of this disk: it was put back, and is taken for empty")
-		c.do(Write{Wipe: true})
-		if err := c.begin(quorum.Identity{}, nil); err != nil {
-			c.breakDown(err)
+	case reply.Identity != v.identity || v.broken: // reply to an earlier query
+	case reply.Stale:
+		c.log(from + " knows a later life of this disk: it was put back, and is taken for empty")
+		c.emit(Write{Wipe: true})
+		if err := c.startIncarnation(quorum.Identity{}, nil); err != nil {
+			c.fail(err)
 		}
 	default:
-		v.asked[from] = true
-		c.mayTakePart()
+		v.confirmed[from] = true
+		c.joinIfConfirmed()
 	}
 }
 
-// ready carries out what the quorum has come up with.
-func (c *Core) ready() {
+// processReady emits and applies the effects of the raft node.
+func (c *Core) processReady() {
 	v := c.voter
 	for !v.broken {
-		out, ok, err := v.node.Ready()
+		effects, ok, err := v.node.Ready()
 		if err != nil {
-			c.breakDown(err)
+			c.fail(err)
 		}
 		if !ok || err != nil {
 			return
 		}
-		if out.Hard != nil || out.Snap != nil || len(out.Entries) > 0 {
-			c.do(Write{Hard: out.Hard, Snap: out.Snap, Entries: out.Entries})
+		if effects.Hard != nil || effects.Snap != nil || len(effects.Entries) > 0 {
+			c.emit(Write{Hard: effects.Hard, Snap: effects.Snap, Entries: effects.Entries})
 		}
-		for _, m := range out.Messages {
+		for _, m := range effects.Messages {
 			c.sendRaft(m)
 		}
-		if out.Snap != nil {
-			c.restore(out.Snap)
+		if effects.Snap != nil {
+			c.restoreVoter(effects.Snap)
 		}
-		for _, e := range out.Committed {
+		for _, e := range effects.Committed {
 			c.apply(e.GetIndex(), e.GetData())
 		}
-		if err := v.node.Done(out); err != nil {
-			c.breakDown(err)
+		if err := v.node.Advance(effects); err != nil {
+			c.fail(err)
 			return
 		}
 		if snap, first, err := v.node.Compact(c.state.Index, c.state.Snapshot); err != nil {
-			c.note("no snapshot: " + err.Error())
+			c.log("snapshot failed: " + err.Error())
 		} else if snap != nil {
-			c.do(Write{Snap: snap, First: first})
+			c.emit(Write{Snap: snap, First: first})
 		}
 	}
 }
 
-// restore takes the whole state over from a leader. One of another fleet's record is refused.
-func (c *Core) restore(snap *pb.Snapshot) {
+// restoreVoter replaces a voter's state by the leader's snapshot. A snapshot of another fleet's record is rejected.
+func (c *Core) restoreVoter(snap *pb.Snapshot) {
 	s, err := ledger.Restore(snap.GetData())
 	if err == nil && c.state.Cluster != "" && s.Cluster != c.state.Cluster {
-		err = fmt.Errorf("a snapshot of %s, this is %s", s.Cluster, c.state.Cluster)
+		err = fmt.Errorf("received a snapshot of record %s, this is %s", s.Cluster, c.state.Cluster)
 	}
 	if err != nil {
-		c.breakDown(err)
+		c.fail(err)
 		return
 	}
 	s.Index = max(s.Index, snap.GetMetadata().GetIndex())
 	c.state = s
 	if v := c.voter; v != nil && !v.formed {
 		v.formed = true
-		c.tellMeta()
+		c.announceMeta()
 	}
-	c.keeps()
-	c.partSoon = true
+	c.emitReservations()
+	c.reportSoon = true
 }
 
+// sendRaft sends a raft message to the voter that it is addressed to.
 func (c *Core) sendRaft(m *pb.Message) {
-	to := c.named(m.GetTo())
+	to := c.voterName(m.GetTo())
 	if b, err := proto.Marshal(m); err == nil && to != "" {
 		c.send(to, msgRaft, b)
 		if m.GetType() == pb.MsgSnap {
@@ -340,44 +349,44 @@
 	}
 }
 
-// hearRaft takes a message of another voter. Who it says it is must be who sent it.
-func (c *Core) hearRaft(from string, b []byte) {
+// receiveRaft handles a raft message. The voter ID in it must belong to the sender.
+func (c *Core) receiveRaft(from string, b []byte) {
 	v := c.voter
-	m := &pb.Message{}
-	if err := proto.Unmarshal(b, m); err != nil {
-		c.bad(&c.Stats.Unreadable, from, err)
+	message := &pb.Message{}
+	if err := proto.Unmarshal(b, message); err != nil {
+		c.countBad(&c.Stats.Unreadable, from, err)
 		return
 	}
 	if v == nil || v.broken {
 		return
 	}
-	if c.named(m.GetFrom()) != from {
-		c.bad(&c.Stats.Strangers, from, fmt.Errorf("it speaks as voter %x", m.GetFrom()))
+	if c.voterName(message.GetFrom()) != from {
+		c.countBad(&c.Stats.Strangers, from, fmt.Errorf("raft message with the ID of another voter: %x", message.GetFrom()))
 		return
 	}
-	if err := v.node.Step(m); err != nil {
-		c.bad(&c.Stats.Misplaced, from, err)
+	if err := v.node.Step(message); err != nil {
+		c.countBad(&c.Stats.Misplaced, from, err)
 		if v.node.Silent() {
 			return
 		}
 	}
-	switch m.GetType() {
+	switch message.GetType() {
 	case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap:
-		if !v.node.Silent() && v.node.Status().Lead == m.GetFrom() {
-			c.heard, c.lead = c.now, from
+		if !v.node.Silent() && v.node.Status().Lead == message.GetFrom() {
+			c.lastContactAt, c.leaderName = c.now, from
 		}
 	}
-	c.ready()
+	c.processReady()
 }
 
-// breakDown ends this voter's part: what it knows stays as it was, and the front serves on.
-func (c *Core) breakDown(err error) {
+// fail stops this voter's participation: its state stays as it is, and the front continues to serve.
+func (c *Core) fail(err error) {
 	c.voter.broken = true
 	c.Stats.Broken++
-	c.note("out of the fleet: " + err.Error())
+	c.log("out of the fleet: " + err.Error())
 }
 
-func count(b bool) uint64 {
+func boolToUint(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -1,10 +1,10 @@
-// Package ledger is what the fronts of a fleet have agreed on: a state machine that every front feeds with the same
-// entries in the same order. It is pure: entries in, changes out; its only clock is the time that entries carry, which
-// never steps back. It may import decide packages only. How entries come to be agreed is internal/fleet/quorum's job.
+// Package ledger is the replicated state machine of a fleet: every front applies the same entries in the same order. It
+// is pure: entries in, changes out; its only clock is the time in the entries, which never steps back. It may import
+// decide packages only. The entries are replicated by internal/fleet/quorum.
 //
-// Entries and snapshots are JSON with the number of their format. A front that meets an entry newer than it knows skips it, and
-// from then on knows that its picture is partial: it carries out what it understands and lets nobody else go out for work. So
-// that this stays rare, a version that brings new kinds is to propose them only once every front that is here tells its
+// Entries and snapshots are JSON with a format number. A front that receives an entry of a newer format skips it and
+// from then on knows that its state is incomplete: it applies the entries that it understands and grants no more work.
+// To keep this rare, a version with new kinds of entry must propose them only once every live front announces that
 // format.
 package ledger
 
@@ -15,54 +15,54 @@
 	"slices"
 )
 
-// Time is a clock reading or span in nanoseconds.
+// Time is a point of time or a duration in nanoseconds.
 type Time = int64
 
-// Format is the number of the newest entries that this program knows.
+// Format is the newest format of entries that this program supports.
 const Format = 1
 
-// Bounds of what is kept.
+// Limits of the stored state.
 const (
-	OpenMost  = 1024 // works that have not ended
-	EndedMost = 512  // works that have ended, to be asked about
-	keysMost  = 4096 // answers to commands, for repeats
-	EntryMost = 64 << 10
+	MaxOpenWorks  = 1024 // work that has not ended
+	MaxEndedWorks = 512  // work that has ended, kept for queries
+	maxKeys       = 4096 // results of commands, kept for repeated commands
+	MaxEntryBytes = 64 << 10
 )
 
-// Kind tells what an entry does.
+// Kind is the kind of an entry.
 type Kind string
 
 // The kinds of entry.
 const (
-	KindAsk     Kind = "ask"     // work is asked for
-	KindGrant   Kind = "grant"   // it may go
-	KindAdvance Kind = "advance" // it goes on to its next phase
-	KindRefuse  Kind = "refuse"  // it can never go
-	KindCancel  Kind = "cancel"  // whoever asked does not want it any more
-	KindDone    Kind = "done"    // the work is over
+	KindAsk     Kind = "ask"     // requests work
+	KindGrant   Kind = "grant"   // grants it
+	KindAdvance Kind = "advance" // moves it to its next phase
+	KindRefuse  Kind = "refuse"  // refuses it: it can never be granted
+	KindCancel  Kind = "cancel"  // withdraws the request
+	KindDone    Kind = "done"    // reports that the work is done
 )
 
-// Entry is one agreed step.
+// Entry is one step of the record.
 type Entry struct {
 	V    int    `json:"v"`
 	Kind Kind   `json:"kind"`
 	At   Time   `json:"at"`            // the proposer's clock, Unix nanoseconds
-	Key  string `json:"key,omitempty"` // of a command, chosen by who gives it: a repeat changes nothing
+	Key  string `json:"key,omitempty"` // of a command, chosen by its sender: a repeated command changes nothing
 	From string `json:"from"`          // the front that proposed it
 
-	ID    uint64 `json:"id,omitempty"`    // the work
-	Basis uint64 `json:"basis,omitempty"` // of a grant: the last grant that it was weighed against
-	Fence uint64 `json:"fence,omitempty"` // of an advance: the grant that it belongs to
-	Was   Phase  `json:"was,omitempty"`
-	To    Phase  `json:"to,omitempty"`
-	Until Time   `json:"until,omitempty"` // when the new phase ends by itself, at the latest
-	Why   string `json:"why,omitempty"`
-	Ask   *Ask   `json:"ask,omitempty"`
+	ID        uint64 `json:"id,omitempty"`    // the work
+	Basis     uint64 `json:"basis,omitempty"` // of a grant: the last grant that it was decided on
+	Fence     uint64 `json:"fence,omitempty"` // of an advance: index of the grant that it belongs to
+	PrevPhase Phase  `json:"was,omitempty"`
+	NextPhase Phase  `json:"to,omitempty"`
+	Deadline  Time   `json:"until,omitempty"` // when the new phase ends at the latest
+	Reason    string `json:"why,omitempty"`
+	Ask       *Ask   `json:"ask,omitempty"`
 }
 
-// Ask is work on machines, as it was asked for.
+// Request is a request for work on machines.
 type Ask struct {
-	Names   []string `json:"names"` // as asked: server:7, rack:2, front:f3
+	Names   []string `json:"names"` // as requested: server:7, rack:2, front:f3
 	Servers []Place  `json:"servers,omitempty"`
 	Fronts  []string `json:"fronts,omitempty"`
 	For     Time     `json:"for"`
@@ -70,40 +70,40 @@
 	Note    string   `json:"note,omitempty"`
 }
 
-// Place is a server and where it stood when it was asked for.
+// Place is a server with its rack and zone at the time of the request.
 type Place struct {
 	Server uint32 `json:"server"`
 	Rack   int    `json:"rack"`
 	Zone   int    `json:"zone"`
 }
 
-// Phase is how far work has come.
+// Phase is the phase that work is in.
 type Phase string
 
-// The phases, in order; the last three are ends.
+// The phases in order; the last three are final.
 const (
 	Asked     Phase = "asked"
-	Granted   Phase = "granted"  // fronts are told; none that knows sends anything new there
-	Draining  Phase = "draining" // all have heard; what stands moves away or ends
-	Out       Phase = "out"      // the machines are whoever asked's
-	Back      Phase = "back"     // taken in again at a cold server's pace; still counted as out
+	Granted   Phase = "granted"  // fronts are being notified; a notified front sends no new sessions there
+	Draining  Phase = "draining" // all fronts have acknowledged; sessions there move away or end
+	Out       Phase = "out"      // the machines are out of service, at the disposal of the requester
+	Back      Phase = "back"     // back in service at the rate for a cold server; still counts as out
 	Done      Phase = "done"
 	Cancelled Phase = "cancelled"
 	Refused   Phase = "refused"
 )
 
-// Ended tells whether nothing more follows.
+// Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p == Done || p == Cancelled || p == Refused }
 
-// Kept tells whether the machines are kept free of anything new.
-func (p Phase) Kept() bool { return p == Granted || p == Draining || p == Out }
+// Reserved reports whether the machines take no new sessions.
+func (p Phase) Reserved() bool { return p == Granted || p == Draining || p == Out }
 
-// Counts tells whether the machines count as out.
-func (p Phase) Counts() bool { return p.Kept() || p == Back }
+// CountsAsOut reports whether the machines count as out of service.
+func (p Phase) CountsAsOut() bool { return p.Reserved() || p == Back }
 
-// Work is one ask and what became of it.
+// Work is a request for work and its progress.
 type Work struct {
-	ID    uint64 `json:"id"` // the index of the entry that asked
+	ID    uint64 `json:"id"` // the index of the entry that requested it
 	Ask   Ask    `json:"ask"`
 	From  string `json:"from"`
 	Asked Time   `json:"asked"`
@@ -111,56 +111,56 @@
 	Since Time   `json:"since"`
 	Until Time   `json:"until,omitempty"`
 	Fence uint64 `json:"fence,omitempty"` // the index of the entry that granted it
-	Out   Time   `json:"out,omitempty"`   // when it went out
-	Why   string `json:"why,omitempty"`   // of the last change
+	Out   Time   `json:"out,omitempty"`   // when it went out of service
+	Why   string `json:"why,omitempty"`   // of the last change of phase
 }
 
-// Answer is what became of a command.
+// CommandResult is the result of a command.
 type Answer struct {
 	ID  uint64 `json:"id"`
 	Err string `json:"err,omitempty"`
 }
 
-// Change is a step of a work, for logs and for what is carried out.
+// Change is a change of phase of one work, for the log and for the effects that follow.
 type Change struct {
 	Work Work
 	Was  Phase
 	From string
 }
 
-// State is the agreed state after some number of entries.
+// State is the replicated state after the entries up to Index.
 type State struct {
-	V       int               `json:"v"`
-	Cluster string            `json:"cluster"` // of whoever formed the record: no other's entries are taken
-	Index   uint64            `json:"index"`   // of the last entry applied
-	Now     Time              `json:"now"`
-	Granted uint64            `json:"granted"` // index of the last grant
-	Newer   int               `json:"newer"`   // the newest format of an entry that was not understood; 0: all were
-	Spoilt  uint64            `json:"spoilt"`  // entries that could not be read
-	Works   []*Work           `json:"works"`   // by ID
-	Keys    map[string]Answer `json:"keys"`
-	Order   []string          `json:"order"` // of Keys, oldest first
+	Format     int               `json:"v"`
+	Cluster    string            `json:"cluster"` // identifies the record: entries of another record are not applied
+	Index      uint64            `json:"index"`   // of the last entry applied
+	Now        Time              `json:"now"`
+	LastGrant  uint64            `json:"granted"` // index of the last grant
+	Newer      int               `json:"newer"`   // the newest unsupported format of an entry; 0: none
+	Unreadable uint64            `json:"spoilt"`  // number of entries that could not be decoded
+	Works      []*Work           `json:"works"`   // by ID
+	Keys       map[string]Answer `json:"keys"`
+	KeyOrder   []string          `json:"order"` // the keys of Keys, oldest first
 }
 
-// New makes an empty state.
-func New() *State { return &State{V: Format, Keys: map[string]Answer{}} }
+// New returns an empty state.
+func New() *State { return &State{Format: Format, Keys: map[string]Answer{}} }
 
-// Encode gives an entry's bytes. An entry that is too long is refused here, before anybody has to carry it.
+// Encode encodes an entry. An entry that is too long is rejected here, before it is sent.
 func (e Entry) Encode() ([]byte, error) {
 	if e.V == 0 {
 		e.V = Format
 	}
 	b, err := json.Marshal(e)
-	if err == nil && len(b) > EntryMost {
-		err = fmt.Errorf("an entry of %d bytes, %d at most", len(b), EntryMost)
+	if err == nil && len(b) > MaxEntryBytes {
+		err = fmt.Errorf("entry is %d bytes long, at most %d allowed", len(b), MaxEntryBytes)
 	}
 	return b, err
 }
 
-// Decode reads an entry. newer tells of one that this program does not know.
+// Decode decodes an entry. newer means that its format is newer than this program supports.
 func Decode(b []byte) (e Entry, newer bool, err error) {
-	if len(b) > EntryMost {
-		return e, false, fmt.Errorf("an entry of %d bytes, %d at most", len(b), EntryMost)
+	if len(b) > MaxEntryBytes {
+		return e, false, fmt.Errorf("entry is %d bytes long, at most %d allowed", len(b), MaxEntryBytes)
 	}
 	var head struct {
 		V int `json:"v"`
@@ -175,19 +175,19 @@
 		return e, false, fmt.Errorf("entry: %w", err)
 	}
 	if e.V < 1 {
-		return e, false, errors.New("entry: no format")
+		return e, false, errors.New("entry: format number is missing")
 	}
 	return e, false, nil
 }
 
-// Apply takes the entry at an index. The same entries give the same state everywhere, whatever they hold.
+// Apply applies the entry at an index. The same entries give the same state on every front, whatever their content.
 func (s *State) Apply(index uint64, data []byte) []Change {
 	if index <= s.Index {
-		return nil // heard twice
+		return nil // duplicate
 	}
 	s.Index = index
 	if len(data) == 0 {
-		return nil // of a new leader
+		return nil // empty entry of a new leader
 	}
 	e, newer, err := Decode(data)
 	switch {
@@ -195,26 +195,26 @@
 		s.Newer = max(s.Newer, e.V)
 		return nil
 	case err != nil:
-		s.Spoilt++
+		s.Unreadable++
 		return nil
 	}
 	s.Now = max(s.Now, e.At)
 	if _, repeated := s.Keys[e.Key]; repeated && e.Key != "" {
 		return nil
 	}
-	changes, answer := s.step(index, &e)
+	changes, result := s.applyEntry(index, &e)
 	if e.Key != "" {
-		s.Keys[e.Key] = answer
-		s.Order = append(s.Order, e.Key)
-		for len(s.Order) > keysMost {
-			delete(s.Keys, s.Order[0])
-			s.Order = s.Order[1:]
+		s.Keys[e.Key] = result
+		s.KeyOrder = append(s.KeyOrder, e.Key)
+		for len(s.KeyOrder) > maxKeys {
+			delete(s.Keys, s.KeyOrder[0])
+			s.KeyOrder = s.KeyOrder[1:]
 		}
 	}
 	return changes
 }
 
-// Work finds a work.
+// Work returns the work with an ID, nil if there is none.
 func (s *State) Work(id uint64) *Work {
 	i, ok := slices.BinarySearchFunc(s.Works, id, func(w *Work, id uint64) int {
 		switch {
@@ -231,10 +231,10 @@
 	return s.Works[i]
 }
 
-// Snapshot gives the whole state's bytes.
+// Snapshot encodes the whole state.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
-// Restore reads a snapshot. One of a newer format is refused: half of a state is none.
+// Restore decodes a snapshot. A newer format is rejected: the state would be incomplete.
 func Restore(b []byte) (*State, error) {
 	s := New()
 	if len(b) == 0 {
@@ -243,8 +243,8 @@
 	if err := json.Unmarshal(b, s); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	if s.V > Format {
-		return nil, fmt.Errorf("snapshot: its format is %d, this program knows %d", s.V, Format)
+	if s.Format > Format {
+		return nil, fmt.Errorf("snapshot: its format is %d, this program knows %d", s.Format, Format)
 	}
 	if s.Keys == nil {
 		s.Keys = map[string]Answer{}
@@ -252,7 +252,7 @@
 	last := uint64(0)
 	for _, w := range s.Works {
 		if w == nil || w.ID <= last {
-			return nil, errors.New("snapshot: its works are not in order")
+			return nil, errors.New("snapshot: works are not in order of their IDs")
 		}
 		last = w.ID
 	}
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func put(t testing.TB, s *State, index uint64, e Entry) []Change {
+func mustApply(t testing.TB, s *State, index uint64, e Entry) []Change {
 	t.Helper()
 	b, err := e.Encode()
 	if err != nil {
@@ -19,53 +19,55 @@
 	return s.Apply(index, b)
 }
 
-func ask(server uint32) Entry {
+func requestEntry(server uint32) Entry {
 	return Entry{Kind: KindAsk, Ask: &Ask{For: 1, Servers: []Place{{Server: server}}}}
 }
 
-// A grant that was weighed against an older state takes nothing out.
-func TestAGrantOfThePast(t *testing.T) {
+// A grant that was decided on an older state, or a change of phase that does not fit the work, is rejected: two leaders
+// would otherwise take too many machines out.
+func TestRejectsStaleGrantsAndInvalidAdvances(t *testing.T) {
 	s := New()
-	put(t, s, 2, ask(1))
-	put(t, s, 3, ask(2))
-	if len(put(t, s, 4, Entry{Kind: KindGrant, ID: 2, Basis: 0})) != 1 {
-		t.Fatal("the first grant was not taken")
+	mustApply(t, s, 2, requestEntry(1))
+	mustApply(t, s, 3, requestEntry(2))
+	if len(mustApply(t, s, 4, Entry{Kind: KindGrant, ID: 2, Basis: 0})) != 1 {
+		t.Fatal("the first grant was rejected")
 	}
-	if len(put(t, s, 5, Entry{Kind: KindGrant, ID: 3, Basis: 0})) != 0 || s.Work(3).Phase != Asked {
-		t.Fatal("a grant that knew nothing of the first was taken")
+	if len(mustApply(t, s, 5, Entry{Kind: KindGrant, ID: 3, Basis: 0})) != 0 || s.Work(3).Phase != Asked {
+		t.Fatal("a grant decided without the first one was applied")
 	}
 	for name, e := range map[string]Entry{
-		"another grant's fence": {Kind: KindAdvance, ID: 2, Fence: 3, Was: Granted, To: Draining},
-		"a phase left out":      {Kind: KindAdvance, ID: 2, Fence: 4, Was: Granted, To: Out},
-		"not granted":           {Kind: KindAdvance, ID: 3, Was: Asked, To: Out},
+		"another grant's fence": {Kind: KindAdvance, ID: 2, Fence: 3, PrevPhase: Granted, NextPhase: Draining},
+		"a phase left out":      {Kind: KindAdvance, ID: 2, Fence: 4, PrevPhase: Granted, NextPhase: Out},
+		"not granted":           {Kind: KindAdvance, ID: 3, PrevPhase: Asked, NextPhase: Out},
 		"not out":               {Kind: KindDone, ID: 3},
 		"no such work":          {Kind: KindCancel, ID: 99},
 	} {
-		if len(put(t, s, s.Index+1, e)) != 0 {
-			t.Errorf("%s: taken", name)
+		if len(mustApply(t, s, s.Index+1, e)) != 0 {
+			t.Errorf("%s: the entry was applied", name)
 		}
 	}
 }
 
-// An entry of a newer format changes nothing, and is known to have been there; so is a spoilt one.
-func TestEntriesThatAreNotUnderstood(t *testing.T) {
+// An entry of a newer format or one that can't be decoded changes no work but is recorded; a newer snapshot and an
+// entry that is too long are rejected.
+func TestSkipsNewerAndUnreadableEntries(t *testing.T) {
 	s := New()
 	s.Apply(2, []byte(`{"v":2,"kind":"ask","ask":{"for":"soon"}}`))
 	s.Apply(3, []byte(`{"v":1,"kind":`))
-	if s.Newer != 2 || s.Spoilt != 1 || len(s.Works) != 0 || s.Index != 3 {
+	if s.Newer != 2 || s.Unreadable != 1 || len(s.Works) != 0 || s.Index != 3 {
 		t.Fatalf("%+v", s)
 	}
 	if _, err := Restore([]byte(`{"v":2}`)); err == nil || !strings.Contains(err.Error(), "format is 2") {
-		t.Fatalf("a newer snapshot: %v", err)
+		t.Fatalf("Restore of a snapshot of a newer format: %v", err)
 	}
-	if _, err := (Entry{Kind: KindAsk, Why: strings.Repeat("x", EntryMost)}).Encode(); err == nil {
-		t.Fatal("an entry past the bound")
+	if _, err := (Entry{Kind: KindAsk, Reason: strings.Repeat("x", MaxEntryBytes)}).Encode(); err == nil {
+		t.Fatal("Encode accepted an entry longer than MaxEntryBytes")
 	}
 }
 
-// Whatever comes in whatever order: a state restored from a snapshot goes on like the one that it was taken of, nothing
-// leaves the order of phases, and what is kept stays bounded.
-func TestAnyEntries(t *testing.T) {
+// For random entries: a state that is restored from a snapshot after each entry stays equal to one that is not, no work
+// leaves a final phase, and a duplicate entry changes nothing.
+func TestRandomEntriesSurviveSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := New()
 		b := New()
@@ -73,9 +75,9 @@
 			id := uint64(rapid.IntRange(1, i+2).Draw(t, "id"))
 			e := Entry{Kind: rapid.SampledFrom([]Kind{KindAsk, KindGrant, KindAdvance, KindRefuse, KindCancel, KindDone, "no"}).Draw(t, "kind"),
 				At: Time(rapid.IntRange(0, 100).Draw(t, "at")), ID: id, Key: rapid.SampledFrom([]string{"", "", "x", "y"}).Draw(t, "key"),
-				Ask: ask(uint32(id)).Ask, Was: rapid.SampledFrom([]Phase{Granted, Draining, Out, Back}).Draw(t, "was")}
-			e.To = map[Phase]Phase{Granted: Draining, Draining: Out, Out: Back, Back: Done}[e.Was]
-			if e.Basis = a.Granted; rapid.IntRange(0, 4).Draw(t, "old") == 0 {
+				Ask: requestEntry(uint32(id)).Ask, PrevPhase: rapid.SampledFrom([]Phase{Granted, Draining, Out, Back}).Draw(t, "was")}
+			e.NextPhase = map[Phase]Phase{Granted: Draining, Draining: Out, Out: Back, Back: Done}[e.PrevPhase]
+			if e.Basis = a.LastGrant; rapid.IntRange(0, 4).Draw(t, "old") == 0 {
 				e.Basis = 0
 			}
 			if w := a.Work(id); w != nil {
@@ -84,11 +86,11 @@
 			data, _ := e.Encode()
 			for _, c := range a.Apply(uint64(i+2), data) {
 				if c.Was.Ended() {
-					t.Fatalf("%s goes on to %s", c.Was, c.Work.Phase)
+					t.Fatalf("work in the final phase %s changed to %s", c.Was, c.Work.Phase)
 				}
 			}
 			if len(a.Apply(uint64(i+2), data)) != 0 {
-				t.Fatal("an entry heard twice changes something")
+				t.Fatal("a duplicate entry changed the state")
 			}
 			b.Apply(uint64(i+2), data)
 			snap, _ := b.Snapshot()
@@ -100,22 +102,23 @@
 		x, _ := a.Snapshot()
 		y, _ := b.Snapshot()
 		if !bytes.Equal(x, y) {
-			t.Fatalf("%s\n%s", x, y)
+			t.Fatalf("states differ:\n%s\n%s", x, y)
 		}
 	})
 }
 
-func TestWhatIsKeptIsBounded(t *testing.T) {
+// Ended work, open work and stored results stay within their limits.
+func TestLimitsStoredWorksAndKeys(t *testing.T) {
 	s := New()
 	index := uint64(1)
-	for i := range OpenMost + EndedMost + 10 {
+	for i := range MaxOpenWorks + MaxEndedWorks + 10 {
 		index++
-		e := ask(uint32(i))
+		e := requestEntry(uint32(i))
 		e.Key = fmt.Sprint(i)
-		put(t, s, index, e)
-		if id := s.Keys[e.Key].ID; i > OpenMost/2 && id != 0 {
+		mustApply(t, s, index, e)
+		if id := s.Keys[e.Key].ID; i > MaxOpenWorks/2 && id != 0 {
 			index++
-			put(t, s, index, Entry{Kind: KindCancel, ID: id, Key: fmt.Sprint("c", i)})
+			mustApply(t, s, index, Entry{Kind: KindCancel, ID: id, Key: fmt.Sprint("c", i)})
 		}
 	}
 	ended := 0
@@ -124,34 +127,34 @@
 			ended++
 		}
 	}
-	if ended > EndedMost || len(s.Works)-ended > OpenMost || len(s.Keys) > keysMost {
+	if ended > MaxEndedWorks || len(s.Works)-ended > MaxOpenWorks || len(s.Keys) > maxKeys {
 		t.Fatalf("%d ended, %d open, %d keys", ended, len(s.Works)-ended, len(s.Keys))
 	}
 }
 
 func FuzzApply(f *testing.F) {
-	for _, e := range []Entry{ask(1), {Kind: KindGrant, ID: 2}, {Kind: KindAdvance, ID: 2, Was: Granted, To: Draining}} {
+	for _, e := range []Entry{requestEntry(1), {Kind: KindGrant, ID: 2}, {Kind: KindAdvance, ID: 2, PrevPhase: Granted, NextPhase: Draining}} {
 		b, _ := e.Encode()
 		f.Add(b)
 	}
 	f.Add([]byte(`{"v":9}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s := New()
-		put(t, s, 2, ask(1))
+		mustApply(t, s, 2, requestEntry(1))
 		s.Apply(3, b)
 		snap, err := s.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if r, err := Restore(snap); err != nil || r.Index != 3 {
-			t.Fatalf("%v after %s", err, b)
+			t.Fatalf("%v, or a wrong index, after %s", err, b)
 		}
 	})
 }
 
 func FuzzRestore(f *testing.F) {
 	s := New()
-	put(f, s, 2, ask(1))
+	mustApply(f, s, 2, requestEntry(1))
 	b, _ := s.Snapshot()
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/fleet/quorum/lives.go
+++ b/internal/fleet/quorum/lives.go
@@ -2,53 +2,55 @@
 
 import "google.golang.org/protobuf/proto"
 
+// unmarshal decodes a protobuf message.
 func unmarshal(b []byte, m proto.Message) error { return proto.Unmarshal(b, m) }
 
-// Identity is who a voter is: the record's voters are ids, and a disk that lost what was promised in its name must not
-// speak under the id that promised it.
+// Identity identifies a voter by its disk. The record lists its voters by ID, and a disk that lost the votes and
+// acknowledgements given under an ID must not use that ID again.
 //
-// Danger: a voter that comes back with an empty disk, or with an old copy of its own, has forgotten whom it voted for
-// and which entries it acknowledged. Voting again in that term makes two leaders; its acknowledgements lost make agreed
-// entries undone. So a voter's id belongs to its disk (an empty one draws a new id and has the old one replaced), and each
-// start is a new life: it counts up on the disk before anything is said, and the others remember the newest life of every
-// id that they have seen. A disk that was put back counts up to a number that they know with another mark, and is taken
-// for empty.
+// A voter that restarts with an empty disk, or with an older copy of its own, has lost its votes and the entries that
+// it acknowledged. If it voted again in the same term, there could be two leaders; with its acknowledgements lost,
+// committed entries could be undone. So an ID belongs to a disk: an empty disk draws a new ID, which replaces the old
+// one in the record. Each start is a new incarnation: the counter on the disk is incremented before any message is
+// sent, and the other voters store the latest incarnation of every ID that they have seen. A disk restored from an
+// older copy counts up to a number that they know with another nonce, and is treated as empty.
 type Identity struct {
-	ID   uint64 `json:"id"`
-	Life uint64 `json:"life"` // starts of this disk
-	Mark uint64 `json:"mark"` // drawn at random for this life
+	ID    uint64 `json:"id"`
+	Life  uint64 `json:"life"` // number of starts of this disk
+	Nonce uint64 `json:"mark"` // random number of this incarnation
 }
 
-// Begin gives the identity of a new life, to be written and synced before it is told. An empty disk draws its id.
-func (i Identity) Begin(draw func() uint64) Identity {
+// NextIncarnation returns the identity of a new incarnation, to be written and synced before it is sent. An empty disk
+// draws a new ID.
+func (i Identity) NextIncarnation(random func() uint64) Identity {
 	for i.ID == 0 {
-		i.ID = draw()
+		i.ID = random()
 	}
 	i.Life++
-	i.Mark = draw()
+	i.Nonce = random()
 	return i
 }
 
-// Lives remembers the newest life seen of each id.
+// Incarnations holds the latest incarnation seen of each ID.
 type Lives map[uint64]Identity
 
-// LivesMost bounds the ids remembered: replaced voters are few.
-const LivesMost = 1024
+// MaxIncarnations limits the IDs stored: few voters are ever replaced.
+const MaxIncarnations = 1024
 
-// See takes a life that was told. news says that the memory changed and is to be kept; stale that the life is of a disk
-// that was put back: there was a later one, or another by the same count.
-func (l Lives) See(i Identity) (news, stale bool) {
-	if i.ID == 0 {
+// Record stores a received incarnation. changed means that l has changed and is to be written to disk; stale that the
+// incarnation is of a disk restored from an older copy: a later one is known, or another one with the same count.
+func (l Lives) Record(identity Identity) (changed, stale bool) {
+	if identity.ID == 0 {
 		return false, false
 	}
-	was, known := l[i.ID]
+	stored, known := l[identity.ID]
 	switch {
-	case !known && len(l) >= LivesMost:
+	case !known && len(l) >= MaxIncarnations:
 		return false, false
-	case !known || i.Life > was.Life:
-		l[i.ID] = i
+	case !known || identity.Life > stored.Life:
+		l[identity.ID] = identity
 		return true, false
-	case i == was:
+	case identity == stored:
 		return false, false
 	}
 	return false, true
