--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -9,8 +9,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Membership at the size that operators run, on loopback in one process: what it costs a front in bytes a second, idle and
-// while a tenth of the fronts at a time is restarted. A measurement, not part of the check:
+// BenchmarkMembership measures the membership traffic of each front, in bytes per second, on loopback in one process,
+// for a fleet as large as operators run: idle, and while a tenth of the fronts at a time restarts. Run it by hand; it
+// is not one of the tests:
 //
 //	go test ./internal/fleet/node -run XXX -bench Membership -benchtime 1x -v
 func BenchmarkMembership(b *testing.B) {
@@ -28,39 +29,39 @@
 		}
 		var addrs []string
 		for range fronts {
-			addrs = append(addrs, free(b))
+			addrs = append(addrs, freeAddress(b))
 		}
 		for i := range fronts {
 			all = append(all, start(i, addrs[i], addrs[0]))
 		}
-		for began := time.Now(); len(all[fronts-1].all()) < fronts-1 || len(all[0].all()) < fronts-1; time.Sleep(100 * time.Millisecond) {
-			if time.Since(began) > time.Minute {
-				b.Fatal("not all here within a minute")
+		for startedAt := time.Now(); len(all[fronts-1].all()) < fronts-1 || len(all[0].all()) < fronts-1; time.Sleep(100 * time.Millisecond) {
+			if time.Since(startedAt) > time.Minute {
+				b.Fatal("not all members were present within a minute")
 			}
 		}
 		rate := func(d time.Duration, during func()) (kb float64) {
-			was := uint64(0)
+			before := uint64(0)
 			for _, m := range all {
-				was += m.bytes.Load()
+				before += m.bytes.Load()
 			}
-			began := time.Now()
+			startedAt := time.Now()
 			during()
-			time.Sleep(d - time.Since(began))
-			now := uint64(0)
+			time.Sleep(d - time.Since(startedAt))
+			after := uint64(0)
 			for _, m := range all {
-				now += m.bytes.Load()
+				after += m.bytes.Load()
 			}
-			return float64(now-was) / time.Since(began).Seconds() / fronts / 1000
+			return float64(after-before) / time.Since(startedAt).Seconds() / fronts / 1000
 		}
 		time.Sleep(10 * time.Second)
-		b.Logf("%d fronts, idle: %.2f kB/s a front", fronts, rate(30*time.Second, func() {}))
-		b.Logf("a tenth restarted every 3 s: %.2f kB/s a front", rate(30*time.Second, func() {
-			for part := range 9 {
-				for i := 30 * (part + 1); i < 30*(part+2); i++ {
-					carried := all[i].bytes.Load()
+		b.Logf("%d fronts, idle: %.2f kB/s per front", fronts, rate(30*time.Second, func() {}))
+		b.Logf("a tenth restarted every 3 s: %.2f kB/s per front", rate(30*time.Second, func() {
+			for batch := range 9 {
+				for i := 30 * (batch + 1); i < 30*(batch+2); i++ {
+					previousBytes := all[i].bytes.Load()
 					all[i].close()
 					all[i] = start(i, addrs[i], addrs[0])
-					all[i].bytes.Add(carried)
+					all[i].bytes.Add(previousBytes)
 				}
 				time.Sleep(2 * time.Second)
 			}
--- a/internal/fleet/node/control.go
+++ b/internal/fleet/node/control.go
@@ -16,48 +16,47 @@
 	"tealledge/internal/fleet/ledger"
 )
 
-// The control address: commands of those who run the platform, as JSON over HTTP. It is for this host alone (settings
-// refuse others), and so has no sign-in of its own.
-
+// control is the HTTP server for the operators' commands, which are JSON. It listens on this host only (the settings
+// refuse other addresses), and therefore has no authentication of its own.
 type control struct {
-	server *http.Server
-	ln     net.Listener
+	server   *http.Server
+	listener net.Listener
 }
 
-// Bounds of a request.
+// Limits of a request: the size of its body, and times to wait.
 const (
-	controlBody = 64 << 10
-	controlWait = 15 * time.Second
-	whyWait     = 600 * time.Millisecond
+	maxRequestBytes   = 64 << 10
+	requestTimeout    = 15 * time.Second
+	waitReasonTimeout = 600 * time.Millisecond
 )
 
-// Ask is what POST /upkeep/ask takes.
+// WorkRequest is the body of POST /upkeep/ask.
 type Ask struct {
 	Names []string      `json:"names"`
 	For   time.Duration `json:"for"`
-	By    int64         `json:"by,omitempty"` // Unix nanoseconds; 0: no matter when
+	By    int64         `json:"by,omitempty"` // Unix nanoseconds; 0: no deadline
 	Note  string        `json:"note,omitempty"`
 	Key   string        `json:"key"`
 }
 
-// Order is what POST /upkeep/cancel and /upkeep/done take.
+// WorkCommand is the body of POST /upkeep/cancel and POST /upkeep/done.
 type Order struct {
 	ID  uint64 `json:"id"`
 	Key string `json:"key"`
 }
 
-// Shown is a work as it is shown.
+// WorkStatus is a work as the control API reports it.
 type Shown struct {
 	ledger.Work
-	Waits *upkeep.Answer `json:"waits,omitempty"` // as the leader says; absent: it did not answer
+	Waits *upkeep.Answer `json:"waits,omitempty"` // reported by the leader; absent: it did not answer
 }
 
-// Listing is what GET /upkeep gives.
+// Listing is the response of GET /upkeep.
 type Listing struct {
-	Front string  `json:"front"`
-	Lead  string  `json:"lead"`
-	Fresh bool    `json:"fresh"`
-	Works []Shown `json:"works"`
+	Front  string  `json:"front"`
+	Leader string  `json:"lead"`
+	Fresh  bool    `json:"fresh"`
+	Works  []Shown `json:"works"`
 }
 
 func (n *Node) serveControl() (*control, error) {
@@ -68,107 +67,110 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, r *http.Request) {
 		var s core.Status
-		err := n.Look(r.Context(), func(c *core.Core) { s = c.Status() })
-		reply(w, s, err)
+		err := n.Inspect(r.Context(), func(c *core.Core) { s = c.Status() })
+		writeReply(w, s, err)
 	})
 	mux.HandleFunc("GET /upkeep", func(w http.ResponseWriter, r *http.Request) {
 		l, err := n.listing(r.Context(), 0)
-		reply(w, l, err)
+		writeReply(w, l, err)
 	})
 	mux.HandleFunc("GET /upkeep/{id}", func(w http.ResponseWriter, r *http.Request) {
 		id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 		if err != nil {
-			reply(w, nil, errors.New("a work is told by its number"))
+			writeReply(w, nil, errors.New("a work is identified by its number"))
 			return
 		}
 		l, err := n.listing(r.Context(), id)
 		if err == nil && len(l.Works) == 0 {
 			err = fmt.Errorf("no work %d is known here", id)
 		}
-		reply(w, l, err)
+		writeReply(w, l, err)
 	})
 	mux.HandleFunc("POST /upkeep/ask", func(w http.ResponseWriter, r *http.Request) {
 		var a Ask
-		if !take(w, r, &a) {
+		if !decodeBody(w, r, &a) {
 			return
 		}
-		e, err := n.asked(r.Context(), a)
-		n.command(w, r, e, err)
+		e, err := n.requestEntry(r.Context(), a)
+		n.execute(w, r, e, err)
 	})
 	for path, kind := range map[string]ledger.Kind{"cancel": ledger.KindCancel, "done": ledger.KindDone} {
 		mux.HandleFunc("POST /upkeep/"+path, func(w http.ResponseWriter, r *http.Request) {
 			var o Order
-			if take(w, r, &o) {
-				n.command(w, r, ledger.Entry{Kind: kind, ID: o.ID, Key: o.Key}, nil)
+			if decodeBody(w, r, &o) {
+				n.execute(w, r, ledger.Entry{Kind: kind, ID: o.ID, Key: o.Key}, nil)
 			}
 		})
 	}
-	c := &control{ln: ln, server: &http.Server{Handler: mux, ReadTimeout: controlWait, WriteTimeout: 2 * controlWait, MaxHeaderBytes: 16 << 10}}
+	c := &control{listener: ln, server: &http.Server{Handler: mux, ReadTimeout: requestTimeout,
+		WriteTimeout: 2 * requestTimeout, MaxHeaderBytes: 16 << 10}}
 	go c.server.Serve(ln)
 	return c, nil
 }
 
 func (c *control) close() { c.server.Close() }
 
-// ControlAddr is where commands are taken.
+// ControlAddr gives the address of the control API, "" if there is none.
 func (n *Node) ControlAddr() string {
 	if n.control == nil {
 		return ""
 	}
-	return n.control.ln.Addr().String()
+	return n.control.listener.Addr().String()
 }
 
-// asked checks an ask as far as that can be done here.
-func (n *Node) asked(ctx context.Context, a Ask) (e ledger.Entry, err error) {
+// requestEntry checks a request as far as this front can and makes a ledger entry of it.
+func (n *Node) requestEntry(ctx context.Context, a Ask) (e ledger.Entry, err error) {
 	if a.For < time.Second || a.For > 30*24*time.Hour {
-		return e, fmt.Errorf("work of %v: 1 s to 30 days may be", a.For)
+		return e, fmt.Errorf("work of %v: the duration must be 1 s to 30 days", a.For)
 	}
 	if len(a.Note) > 1000 || len(a.Key) > 100 {
-		return e, errors.New("a note of over 1000 or a key of over 100 characters")
+		return e, errors.New("the note is longer than 1000 or the key longer than 100 characters")
 	}
-	var ask ledger.Ask
-	if look := n.Look(ctx, func(c *core.Core) { ask, err = c.Resolve(a.Names) }); look != nil {
-		return e, look
+	var request ledger.Ask
+	if inspectErr := n.Inspect(ctx, func(c *core.Core) { request, err = c.Resolve(a.Names) }); inspectErr != nil {
+		return e, inspectErr
 	}
-	ask.For, ask.By, ask.Note = int64(a.For), a.By, a.Note
-	return ledger.Entry{Kind: ledger.KindAsk, Key: a.Key, Ask: &ask}, err
+	request.For, request.By, request.Note = int64(a.For), a.By, a.Note
+	return ledger.Entry{Kind: ledger.KindAsk, Key: a.Key, Ask: &request}, err
 }
 
-func (n *Node) command(w http.ResponseWriter, r *http.Request, e ledger.Entry, err error) {
+// execute runs an entry as a command and writes its answer, or err as the response if there is one already.
+func (n *Node) execute(w http.ResponseWriter, r *http.Request, e ledger.Entry, err error) {
 	if err != nil {
-		reply(w, nil, err)
+		writeReply(w, nil, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), controlWait)
+	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	a, err := n.Command(ctx, e)
-	reply(w, a, err)
+	writeReply(w, a, err)
 }
 
-// listing gives all works, or one. Why they wait is the leader's to say: it is asked, and given a moment.
+// listing gives all works, or only the one with the given ID if that is not 0. Only the leader knows why works wait,
+// so listing asks it and waits up to waitReasonTimeout for the reply.
 func (n *Node) listing(ctx context.Context, id uint64) (l Listing, err error) {
-	asked := n.now()
-	if err := n.Look(ctx, func(c *core.Core) { c.AskWhy(asked) }); err != nil {
+	requestedAt := n.now()
+	if err := n.Inspect(ctx, func(c *core.Core) { c.AskWhy(requestedAt) }); err != nil {
 		return l, err
 	}
-	for until := time.Now().Add(whyWait); ; {
-		var at int64
-		err = n.Look(ctx, func(c *core.Core) {
-			l = Listing{Front: n.cfg.Name, Lead: c.Lead(), Fresh: c.Fresh()}
-			var whys map[uint64]upkeep.Answer
-			whys, at = c.Whys()
+	for deadline := time.Now().Add(waitReasonTimeout); ; {
+		var reasonsAt int64
+		err = n.Inspect(ctx, func(c *core.Core) {
+			l = Listing{Front: n.cfg.Name, Leader: c.Lead(), Fresh: c.Fresh()}
+			var reasons map[uint64]upkeep.Answer
+			reasons, reasonsAt = c.Whys()
 			for _, w := range c.State().Works {
 				if id != 0 && w.ID != id {
 					continue
 				}
 				s := Shown{Work: *w}
-				if a, ok := whys[w.ID]; ok && at >= asked && w.Phase == ledger.Asked {
+				if a, ok := reasons[w.ID]; ok && reasonsAt >= requestedAt && w.Phase == ledger.Asked {
 					s.Waits = &a
 				}
 				l.Works = append(l.Works, s)
 			}
 		})
-		if err != nil || at >= asked || time.Now().After(until) {
+		if err != nil || reasonsAt >= requestedAt || time.Now().After(deadline) {
 			return l, err
 		}
 		select {
@@ -179,17 +181,19 @@
 	}
 }
 
-func take(w http.ResponseWriter, r *http.Request, to any) bool {
-	d := json.NewDecoder(io.LimitReader(r.Body, controlBody))
+// decodeBody reads the JSON body of a request into dst; if that fails, it writes the error response and gives false.
+func decodeBody(w http.ResponseWriter, r *http.Request, dst any) bool {
+	d := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
-	if err := d.Decode(to); err != nil {
-		reply(w, nil, fmt.Errorf("this command can't be read: %w", err))
+	if err := d.Decode(dst); err != nil {
+		writeReply(w, nil, fmt.Errorf("cannot decode the command: %w", err))
 		return false
 	}
 	return true
 }
 
-func reply(w http.ResponseWriter, v any, err error) {
+// writeReply writes v, or err as a bad request, as JSON.
+func writeReply(w http.ResponseWriter, v any, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -1,6 +1,7 @@
-// Package node carries a front's part in its fleet out: it owns the membership's sockets, the disk and the clock, and
-// drives internal/fleet/core by one goroutine. The front hands it what it knows and is told what to keep free; it never
-// waits for it. It may import core, disk and the membership library, and nothing of the front.
+// Package node runs a front's part in its fleet: it owns the membership's sockets, the disk and the clock, and drives
+// internal/fleet/core from one goroutine. The front passes in what it knows and receives which servers and fronts to
+// keep free of new sessions; neither waits for the other. It may import core, disk and the membership library, and
+// nothing of the front.
 package node
 
 import (
@@ -27,51 +28,52 @@
 	Zone      int
 	Cluster   string
 	Listen    string // HOST:PORT, TCP and UDP
-	Advertise string // where others reach it; "": as Listen
+	Advertise string // where others reach it; "": same as Listen
 	Join      []string
-	Via       map[string]string // addresses of members from here, by name, where they are others
-	Keys      [][]byte          // the first seals, all open
+	Via       map[string]string // addresses to use for members, by name, where they differ from the advertised ones
+	Keys      [][]byte          // the first encrypts, all decrypt
 	Voters    []string
-	Dir       string // "": nothing is kept, which a voter can't do without
-	Control   string // HOST:PORT of the commands; "": none
+	Dir       string // "": nothing is stored; a voter needs a directory
+	Control   string // HOST:PORT of the control API; "": none
 	Limits    upkeep.Limits
 	Times     upkeep.Timeouts
 	Stale     time.Duration
 	RackKB    float64
-	Skew      time.Duration // of this part's clock, for trials of clocks that stand apart
+	Skew      time.Duration // added to this part's clock, for tests of clocks that differ
 }
 
-// inboxMost bounds what waits for the owner; membersEvery is how many ticks pass between two looks at all members, which come
-// beside those for each change.
+// maxInbox limits the functions queued for the owner goroutine. membersRefreshTicks is the number of ticks between
+// two passes of the whole member list to the core, in addition to the one after each change.
 const (
-	inboxMost    = 8192
-	membersEvery = 10
+	maxInbox            = 8192
+	membersRefreshTicks = 10
 )
 
-// Node is running.
+// Node is a front's running part in its fleet.
 type Node struct {
-	cfg     Config
-	log     zerolog.Logger
-	members *members
-	disk    *disk.Disk
-	core    *core.Core
-	inbox   chan func()
-	stirred chan struct{}
-	end     chan struct{}
-	done    chan struct{}
-	once    sync.Once
-	keeps   func(core.Keeps)
-	replies map[uint64]chan ledger.Answer
-	handle  uint64
-	broken  error // of the disk: nothing is promised any more
-	control *control
+	cfg            Config
+	log            zerolog.Logger
+	members        *members
+	disk           *disk.Disk
+	core           *core.Core
+	inbox          chan func()
+	membersChanged chan struct{}
+	stop           chan struct{}
+	done           chan struct{}
+	closeOnce      sync.Once
+	keepFree       func(core.Keeps)
+	replies        map[uint64]chan ledger.Answer
+	lastHandle     uint64
+	diskErr        error // the disk failed: nothing more is sent to the fleet
+	control        *control
 }
 
-// New starts a front's part in its fleet. keeps is called by the owner's goroutine with what is to be kept free; it must
-// not wait.
-func New(cfg Config, log zerolog.Logger, keeps func(core.Keeps)) (*Node, error) {
-	n := &Node{cfg: cfg, log: log.With().Str("part", "fleet").Logger(), inbox: make(chan func(), inboxMost), stirred: make(chan struct{}, 1),
-		end: make(chan struct{}), done: make(chan struct{}), keeps: keeps, replies: map[uint64]chan ledger.Answer{}}
+// New starts a front's part in its fleet. The owner goroutine calls keepFree with the servers and fronts to keep free
+// of new sessions; it must not block.
+func New(cfg Config, log zerolog.Logger, keepFree func(core.Keeps)) (*Node, error) {
+	n := &Node{cfg: cfg, log: log.With().Str("part", "fleet").Logger(), inbox: make(chan func(), maxInbox),
+		membersChanged: make(chan struct{}, 1),
+		stop:           make(chan struct{}), done: make(chan struct{}), keepFree: keepFree, replies: map[uint64]chan ledger.Answer{}}
 	var start core.Start
 	var err error
 	if cfg.Dir != "" {
@@ -90,9 +92,9 @@
 	if err != nil {
 		return fail(err)
 	}
-	n.members, err = newMembers(cfg, n.log, n.letter, func() {
+	n.members, err = newMembers(cfg, n.log, n.receive, func() {
 		select {
-		case n.stirred <- struct{}{}:
+		case n.membersChanged <- struct{}{}:
 		default:
 		}
 	})
@@ -105,7 +107,7 @@
 			return fail(err)
 		}
 	}
-	go n.own()
+	go n.run()
 	return n, nil
 }
 
@@ -113,8 +115,8 @@
 
 var _ raft.Logger = raftLog{}
 
-// letter takes what a member sent. What finds no room is dropped: the sender says it again.
-func (n *Node) letter(from string, b []byte) {
+// receive queues a message from a member. If the queue is full, the message is dropped: the sender repeats it.
+func (n *Node) receive(from string, b []byte) {
 	select {
 	case n.inbox <- func() { n.core.Message(n.now(), from, b) }:
 	default:
@@ -122,8 +124,8 @@
 	}
 }
 
-// put hands the owner something to do; it gives false if the owner has no room, or has ended.
-func (n *Node) put(f func()) bool {
+// enqueue queues a function for the owner goroutine; it gives false if the queue is full or the owner has stopped.
+func (n *Node) enqueue(f func()) bool {
 	select {
 	case <-n.done:
 		return false
@@ -134,25 +136,25 @@
 	}
 }
 
-// Servers tells what the front's list holds, and which servers hold titles together.
+// SetServers passes the front's server list to the core, and which servers hold titles together.
 func (n *Node) Servers(list []core.Server, groups [][]uint32) {
-	n.put(func() { n.core.Servers(n.now(), list, groups) })
+	n.enqueue(func() { n.core.Servers(n.now(), list, groups) })
 }
 
-// Mine tells what stands on servers from this front.
+// SetSessions passes to the core the sessions that this front has on each server.
 func (n *Node) Mine(mine map[uint32]core.Standing) {
-	n.put(func() { n.core.Mine(n.now(), mine) })
+	n.enqueue(func() { n.core.Mine(n.now(), mine) })
 }
 
-// Command has an entry agreed on and waits for its answer.
+// Command proposes an entry to the fleet and waits for the answer.
 func (n *Node) Command(ctx context.Context, e ledger.Entry) (ledger.Answer, error) {
 	reply := make(chan ledger.Answer, 1)
-	if !n.put(func() {
-		n.handle++
-		n.replies[n.handle] = reply
-		n.core.Command(n.now(), n.handle, e)
+	if !n.enqueue(func() {
+		n.lastHandle++
+		n.replies[n.lastHandle] = reply
+		n.core.Command(n.now(), n.lastHandle, e)
 	}) {
-		return ledger.Answer{}, fmt.Errorf("the fleet's part of this front has no room")
+		return ledger.Answer{}, fmt.Errorf("the command queue of this front's fleet part is full")
 	}
 	select {
 	case a := <-reply:
@@ -164,11 +166,11 @@
 	}
 }
 
-// Look runs a function on the core, by its owner.
-func (n *Node) Look(ctx context.Context, f func(*core.Core)) error {
+// Inspect runs a function on the core, in the owner goroutine.
+func (n *Node) Inspect(ctx context.Context, f func(*core.Core)) error {
 	done := make(chan struct{})
-	if !n.put(func() { f(n.core); close(done) }) {
-		return fmt.Errorf("the fleet's part of this front has no room")
+	if !n.enqueue(func() { f(n.core); close(done) }) {
+		return fmt.Errorf("the command queue of this front's fleet part is full")
 	}
 	select {
 	case <-done:
@@ -180,61 +182,62 @@
 	}
 }
 
-func (n *Node) own() {
+// run is the owner goroutine: only it uses the core.
+func (n *Node) run() {
 	defer close(n.done)
 	ticker := time.NewTicker(time.Duration(core.TickEvery))
 	defer ticker.Stop()
-	n.carry()
+	n.applyEffects()
 	ticks := 0
 	for {
 		select {
-		case <-n.end:
+		case <-n.stop:
 			return
 		case f := <-n.inbox:
 			f()
-		case <-n.stirred:
+		case <-n.membersChanged:
 			n.core.Members(n.now(), n.members.all())
 		case <-ticker.C:
 			now := n.now()
-			if ticks++; ticks%membersEvery == 0 {
-				n.core.Members(now, n.members.all()) // those that are gone are forgotten in time
+			if ticks++; ticks%membersRefreshTicks == 0 {
+				n.core.Members(now, n.members.all()) // so that the core forgets members that have left
 			}
 			n.core.Tick(now)
 		}
-		n.carry()
+		n.applyEffects()
 	}
 }
 
-// carry carries effects out in their order: what is written is on disk before anything after it is sent.
-func (n *Node) carry() {
+// applyEffects carries out the core's effects in order: a write is on disk before any later message is sent.
+func (n *Node) applyEffects() {
 	for list := n.core.Take(); len(list) > 0; list = n.core.Take() {
 		for _, e := range list {
-			n.effect(e)
+			n.applyEffect(e)
 		}
 	}
 }
 
-func (n *Node) effect(effect core.Effect) {
+func (n *Node) applyEffect(effect core.Effect) {
 	switch e := effect.(type) {
 	case core.Write:
-		if n.disk == nil || n.broken != nil {
+		if n.disk == nil || n.diskErr != nil {
 			return
 		}
 		if err := n.disk.Write(e); err != nil {
-			// Danger: a vote or an acknowledgement that is not on disk would be forgotten by the next start.
-			n.broken = err
+			// A vote or an acknowledgement that is sent but not on disk would be forgotten by the next start.
+			n.diskErr = err
 			n.log.Error().Err(err).Msg("fleet's disk: this front sends nothing more to the fleet")
 		}
 	case core.Send:
-		if n.broken == nil {
+		if n.diskErr == nil {
 			n.members.send(e.To, e.B)
 		}
 	case core.Tell:
-		if err := n.members.tell(e.Meta); err != nil {
-			n.log.Error().Err(err).Msg("not told")
+		if err := n.members.setMeta(e.Meta); err != nil {
+			n.log.Error().Err(err).Msg("cannot publish this front's metadata")
 		}
 	case core.Keeps:
-		n.keeps(e)
+		n.keepFree(e)
 	case core.Reply:
 		if ch := n.replies[e.Handle]; ch != nil {
 			ch <- e.Answer
@@ -251,8 +254,8 @@
 
 // Close leaves the fleet.
 func (n *Node) Close() {
-	n.once.Do(func() {
-		close(n.end)
+	n.closeOnce.Do(func() {
+		close(n.stop)
 		<-n.done
 		if n.control != nil {
 			n.control.close()
@@ -264,7 +267,7 @@
 	})
 }
 
-// raftLog passes the quorum's words on.
+// raftLog passes the raft library's log lines to the log.
 type raftLog struct{ log zerolog.Logger }
 
 func (r raftLog) Debug(v ...any)                   {}
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -23,8 +23,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// free gives an address that is kept for TCP, and free for UDP.
-func free(t testing.TB) string {
+// freeAddress gives an address whose port is reserved for TCP and free for UDP.
+func freeAddress(t testing.TB) string {
 	t.Helper()
 	for range 50 {
 		kept, err := ports.Keep(1)
@@ -37,10 +37,11 @@
 			return kept.Addrs[0]
 		}
 	}
-	t.Fatal("no port")
+	t.Fatal("no free port")
 	return ""
 }
 
+// front is a node with its log and the last value passed to keepFree.
 type front struct {
 	*Node
 	mu    sync.Mutex
@@ -50,7 +51,7 @@
 
 func (f *front) Write(b []byte) (int, error) { f.mu.Lock(); defer f.mu.Unlock(); return f.log.Write(b) }
 
-func (f *front) kept(server uint32) uint64 {
+func (f *front) keptFor(server uint32) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.keeps.Servers[server]
@@ -72,10 +73,10 @@
 	return f
 }
 
-func until(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(40 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+	for deadline := time.Now().Add(40 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
@@ -100,13 +101,14 @@
 	return json.NewDecoder(r.Body).Decode(to)
 }
 
-// Four fronts on sockets: a fleet forms, work is asked for over HTTP at a front that does not vote, goes out, is done, and
-// a front of another key or another fleet's name is refused and counted, and harms nobody.
-func TestAFleetOnSockets(t *testing.T) {
+// TestFleetOverSockets: four fronts form a fleet over sockets. Work requested over HTTP at a front that does not vote
+// goes out and is done. A front with another key or another fleet's name is refused and counted and disturbs no other
+// front.
+func TestFleetOverSockets(t *testing.T) {
 	key := bytes.Repeat([]byte{7}, 32)
 	var addrs, seeds []string
 	for i := range 4 {
-		addrs = append(addrs, free(t))
+		addrs = append(addrs, freeAddress(t))
 		seeds = append(seeds, fmt.Sprintf("f%d=%s", i+1, addrs[i]))
 	}
 	cfg := func(i int) Config {
@@ -121,10 +123,10 @@
 		fronts = append(fronts, f)
 	}
 	status := func(f *front) (s core.Status) {
-		f.Look(context.Background(), func(c *core.Core) { s = c.Status() })
+		f.Inspect(context.Background(), func(c *core.Core) { s = c.Status() })
 		return s
 	}
-	until(t, "a leader known to all", func() bool {
+	waitFor(t, "all fronts know the leader", func() bool {
 		for _, f := range fronts {
 			if s := status(f); s.Lead == "" || !s.Fresh {
 				return false
@@ -137,16 +139,16 @@
 		t.Fatal(a, err)
 	}
 	phase := func(f *front, id uint64) (p ledger.Phase) {
-		f.Look(context.Background(), func(c *core.Core) {
+		f.Inspect(context.Background(), func(c *core.Core) {
 			if w := c.State().Work(id); w != nil {
 				p = w.Phase
 			}
 		})
 		return p
 	}
-	until(t, "out", func() bool { return phase(fronts[3], a.ID) == ledger.Out })
+	waitFor(t, "the work goes out", func() bool { return phase(fronts[3], a.ID) == ledger.Out })
 	for i, f := range fronts {
-		until(t, "kept everywhere", func() bool { return f.kept(1) == a.ID })
+		waitFor(t, "every front keeps the server free", func() bool { return f.keptFor(1) == a.ID })
 		_ = i
 	}
 	var b ledger.Answer
@@ -154,7 +156,7 @@
 		t.Fatal(b, err)
 	}
 	for _, f := range fronts {
-		until(t, "why it waits, told at every front", func() bool {
+		waitFor(t, "every front reports why the work waits", func() bool {
 			var l Listing
 			err := call(t, "GET", f.ControlAddr(), fmt.Sprintf("/upkeep/%d", b.ID), nil, &l)
 			return err == nil && len(l.Works) == 1 && l.Works[0].Waits != nil && l.Works[0].Waits.Limit == "rack" && l.Works[0].Waits.Behind[0] == a.ID
@@ -164,20 +166,20 @@
 		"/upkeep/cancel": Order{ID: a.ID, Key: "y"}} {
 		var got ledger.Answer
 		if err := call(t, "POST", fronts[1].ControlAddr(), path, body, &got); err == nil && got.Err == "" {
-			t.Errorf("%s took %v", path, body)
+			t.Errorf("%s accepted %v", path, body)
 		}
 	}
 
-	strange := cfg(3)
-	strange.Name, strange.Listen, strange.Keys = "s1", free(t), [][]byte{bytes.Repeat([]byte{8}, 32)}
-	other := cfg(3)
-	other.Name, other.Listen, other.Cluster = "s2", free(t), "another"
-	for _, c := range []Config{strange, other} {
+	wrongKey := cfg(3)
+	wrongKey.Name, wrongKey.Listen, wrongKey.Keys = "s1", freeAddress(t), [][]byte{bytes.Repeat([]byte{8}, 32)}
+	wrongCluster := cfg(3)
+	wrongCluster.Name, wrongCluster.Listen, wrongCluster.Cluster = "s2", freeAddress(t), "another"
+	for _, c := range []Config{wrongKey, wrongCluster} {
 		c.Voters, c.Dir, c.Control = []string{"f1", "f2", "f3"}, "", ""
 		s := start(t, c)
 		defer s.Close()
 	}
-	until(t, "strangers counted", func() bool {
+	waitFor(t, "refused fronts are counted", func() bool {
 		n := uint64(0)
 		for _, f := range fronts {
 			n += f.members.Refused.Load()
@@ -185,16 +187,16 @@
 		return n >= 2
 	})
 	if s := status(fronts[0]); len(s.Here) != 4 {
-		t.Errorf("here: %+v", s.Here)
+		t.Errorf("members: %+v", s.Here)
 	}
 	if err := call(t, "POST", fronts[2].ControlAddr(), "/upkeep/done", Order{ID: a.ID, Key: "d"}, &a); err != nil || a.Err != "" {
 		t.Fatal(a, err)
 	}
-	until(t, "done", func() bool { return phase(fronts[3], a.ID) == ledger.Done })
-	until(t, "the second goes", func() bool { return phase(fronts[3], b.ID) == ledger.Out })
+	waitFor(t, "the work is done", func() bool { return phase(fronts[3], a.ID) == ledger.Done })
+	waitFor(t, "the second work goes out", func() bool { return phase(fronts[3], b.ID) == ledger.Out })
 	fronts[3].mu.Lock()
 	defer fronts[3].mu.Unlock()
 	if text := fronts[3].log.String(); !strings.Contains(text, `"phase":"out"`) {
-		t.Error("the log does not tell of it:\n" + text)
+		t.Error("the log does not have the phase:\n" + text)
 	}
 }
