--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -1,6 +1,7 @@
-// Package disk keeps what a front's part in the fleet must not forget: whose disk it is, the lives of other voters' disks,
-// the agreed record's log and snapshot, or a follower's last state. Every Write is one synced batch: whole or not there at
-// all. It may import the store library, the core's types and nothing of the front.
+// Package disk stores what a front's part in the fleet must not lose: the identity of the disk, the lives of other
+// voters' disks, the log and snapshot of the agreed record, or a follower's last state. Every Write is one synced
+// batch: it is stored completely or not at all. It may import the store library, the core's types and nothing of the
+// front.
 package disk
 
 import (
@@ -19,7 +20,7 @@
 	"tealledge/internal/fleet/quorum"
 )
 
-// format of what is kept; a newer one is refused.
+// format is the version of the stored data; a newer one is refused.
 const format = 1
 
 var (
@@ -31,44 +32,46 @@
 	keyState    = []byte("state")
 )
 
-// entriesMost bounds the log that is read: more than compaction ever leaves.
-const entriesMost = 1 << 20
+// maxEntries limits the log entries that are read: more than compaction ever leaves.
+const maxEntries = 1 << 20
 
 func keyEntry(index uint64) []byte { return binary.BigEndian.AppendUint64([]byte("e/"), index) }
 
-// Disk is open.
+// Disk is an open disk.
 type Disk struct{ db *pebble.DB }
 
-// Open opens or makes a disk in a directory and reads what it holds.
+// Open opens or creates a disk in a directory and reads what it holds.
 func Open(dir string, fs vfs.FS) (d *Disk, start core.Start, err error) {
 	if err := fs.MkdirAll(dir, 0o700); err != nil {
 		return nil, start, fmt.Errorf("fleet's disk: %w", err)
 	}
 	d = &Disk{}
-	err = guarded(func() (err error) {
-		d.db, err = pebble.Open(dir, &pebble.Options{FS: fs, Logger: silent{}, MemTableSize: 1 << 20, CacheSize: 1 << 20})
+	err = recoverPanic(func() (err error) {
+		d.db, err = pebble.Open(dir, &pebble.Options{FS: fs, Logger: silentLogger{}, MemTableSize: 1 << 20,
+			CacheSize: 1 << 20})
 		return err
 	})
 	if err != nil {
 		return nil, start, fmt.Errorf("fleet's disk %s: %w", dir, err)
 	}
-	err = guarded(func() (err error) { start, err = d.load(); return err })
+	err = recoverPanic(func() (err error) { start, err = d.load(); return err })
 	if err != nil {
-		return nil, start, errors.Join(fmt.Errorf("fleet's disk %s: %w", dir, err), guarded(d.db.Close))
+		return nil, start, errors.Join(fmt.Errorf("fleet's disk %s: %w", dir, err), recoverPanic(d.db.Close))
 	}
 	return d, start, nil
 }
 
+// load reads all that is stored.
 func (d *Disk) load() (s core.Start, err error) {
 	if v, ok, err := d.get(keyFormat); err != nil {
 		return s, err
 	} else if ok && (len(v) != 1 || v[0] > format) {
 		return s, fmt.Errorf("its format is %v, this program knows %d", v, format)
 	}
-	if err := d.json(keyIdentity, &s.Identity); err != nil {
+	if err := d.getJSON(keyIdentity, &s.Identity); err != nil {
 		return s, err
 	}
-	if err := d.json(keyLives, &s.Lives); err != nil {
+	if err := d.getJSON(keyLives, &s.Lives); err != nil {
 		return s, err
 	}
 	if s.State, _, err = d.get(keyState); err != nil {
@@ -90,14 +93,16 @@
 	}
 	for it.First(); it.Valid(); it.Next() {
 		e := &pb.Entry{}
-		if err := proto.Unmarshal(it.Value(), e); err != nil || string(keyEntry(e.GetIndex())) != string(it.Key()) || len(s.Disk.Entries) >= entriesMost {
-			return s, errors.Join(fmt.Errorf("a damaged entry at %x", it.Key()), err, it.Close())
+		if err := proto.Unmarshal(it.Value(), e); err != nil || string(keyEntry(e.GetIndex())) != string(it.Key()) ||
+			len(s.Disk.Entries) >= maxEntries {
+			return s, errors.Join(fmt.Errorf("damaged log entry at key %x", it.Key()), err, it.Close())
 		}
 		s.Disk.Entries = append(s.Disk.Entries, e)
 	}
 	return s, it.Close()
 }
 
+// get gives a copy of the value of a key, and whether there is one.
 func (d *Disk) get(key []byte) ([]byte, bool, error) {
 	v, closer, err := d.db.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -110,28 +115,29 @@
 	return append([]byte(nil), v...), true, nil
 }
 
-func (d *Disk) json(key []byte, to any) error {
+// getJSON decodes the value of a key into dst, which stays as it is if there is none.
+func (d *Disk) getJSON(key []byte, dst any) error {
 	v, ok, err := d.get(key)
 	if err != nil || !ok {
 		return err
 	}
-	if err := json.Unmarshal(v, to); err != nil {
+	if err := json.Unmarshal(v, dst); err != nil {
 		return fmt.Errorf("%s: %w", key, err)
 	}
 	return nil
 }
 
-// Write writes a core's Write; it is on disk when this returns.
+// Write carries out the core's effect of that name; the data is on disk when it returns.
 func (d *Disk) Write(w core.Write) error {
-	return guarded(func() error {
+	return recoverPanic(func() error {
 		b := d.db.NewBatch()
 		defer b.Close()
 		var errs []error
 		set := func(key []byte, v []byte, err error) { errs = append(errs, err, b.Set(key, v, nil)) }
 		set(keyFormat, []byte{format}, nil)
-		cut := func(from, to []byte) { errs = append(errs, b.DeleteRange(from, to, nil)) }
+		deleteRange := func(from, to []byte) { errs = append(errs, b.DeleteRange(from, to, nil)) }
 		if w.Wipe {
-			cut(keyEntry(0), []byte("e0"))
+			deleteRange(keyEntry(0), []byte("e0"))
 			for _, key := range [][]byte{keyIdentity, keyHard, keySnap, keyState} {
 				errs = append(errs, b.Delete(key, nil))
 			}
@@ -151,15 +157,15 @@
 		if w.Snap != nil {
 			v, err := proto.Marshal(w.Snap)
 			set(keySnap, v, err)
-			if w.First == 0 { // taken from the leader in place of all that was here
-				cut(keyEntry(0), []byte("e0"))
+			if w.First == 0 { // the leader's snapshot replaces the whole log
+				deleteRange(keyEntry(0), []byte("e0"))
 			}
 		}
 		if w.First > 0 {
-			cut(keyEntry(0), keyEntry(w.First))
+			deleteRange(keyEntry(0), keyEntry(w.First))
 		}
-		if len(w.Entries) > 0 { // what is written replaces all from there on
-			cut(keyEntry(w.Entries[0].GetIndex()), []byte("e0"))
+		if len(w.Entries) > 0 { // new entries replace all from the first of them on
+			deleteRange(keyEntry(w.Entries[0].GetIndex()), []byte("e0"))
 			for _, e := range w.Entries {
 				v, err := proto.Marshal(e)
 				set(keyEntry(e.GetIndex()), v, err)
@@ -176,10 +182,11 @@
 }
 
 // Close closes the disk.
-func (d *Disk) Close() error { return guarded(d.db.Close) }
+func (d *Disk) Close() error { return recoverPanic(d.db.Close) }
 
-// guarded turns a panic of the library, on damaged files or a disk that fails, into an error.
-func guarded(f func() error) (err error) {
+// recoverPanic turns a panic of the library, on damaged files or a failing disk, into an error. Runtime errors still
+// panic.
+func recoverPanic(f func() error) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			if e, ok := r.(runtime.Error); ok {
@@ -191,8 +198,9 @@
 	return f()
 }
 
-type silent struct{}
+// silentLogger drops the library's log lines; a fatal one panics.
+type silentLogger struct{}
 
-func (silent) Infof(string, ...any)           {}
-func (silent) Errorf(string, ...any)          {}
-func (silent) Fatalf(format string, a ...any) { panic(fmt.Sprintf(format, a...)) }
+func (silentLogger) Infof(string, ...any)           {}
+func (silentLogger) Errorf(string, ...any)          {}
+func (silentLogger) Fatalf(format string, a ...any) { panic(fmt.Sprintf(format, a...)) }
--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/disk/disk_test.go
@@ -18,17 +18,17 @@
 	return list
 }
 
-func hard(term, vote uint64) *pb.HardState {
+func hardState(term, vote uint64) *pb.HardState {
 	return &pb.HardState{Term: &term, Vote: &vote, Commit: new(uint64)}
 }
 
-func snap(index uint64) *pb.Snapshot {
+func snapshot(index uint64) *pb.Snapshot {
 	return &pb.Snapshot{Data: []byte("state"), Metadata: &pb.SnapshotMetadata{Index: &index, Term: &index}}
 }
 
-// What is read is what the last writes left: a rewritten end of the log, a compacted beginning, a snapshot in the place of
-// all, and nothing but others' lives after a wipe.
-func TestLog(t *testing.T) {
+// TestReopenReadsWhatWasWritten: a reopened disk gives what the last writes left: a rewritten end of the log, a
+// compacted beginning, a snapshot in place of all entries, and only the lives of others' disks after a wipe.
+func TestReopenReadsWhatWasWritten(t *testing.T) {
 	fs := vfs.NewMem()
 	d, start, err := Open("d", fs)
 	if err != nil || !start.Disk.Empty() || start.Identity.ID != 0 {
@@ -37,12 +37,12 @@
 	for _, c := range []struct {
 		w           core.Write
 		first, last uint64
-		term        uint64 // of the last
+		term        uint64 // of the last entry
 	}{
-		{core.Write{Identity: &quorum.Identity{ID: 7, Life: 1}, Hard: hard(1, 7), Entries: entries(1, 1, 9)}, 1, 9, 1},
-		{core.Write{Hard: hard(2, 8), Entries: entries(2, 5, 6)}, 1, 6, 2},
-		{core.Write{Snap: snap(4), First: 3}, 3, 6, 2},
-		{core.Write{Snap: snap(20)}, 0, 0, 0},
+		{core.Write{Identity: &quorum.Identity{ID: 7, Life: 1}, Hard: hardState(1, 7), Entries: entries(1, 1, 9)}, 1, 9, 1},
+		{core.Write{Hard: hardState(2, 8), Entries: entries(2, 5, 6)}, 1, 6, 2},
+		{core.Write{Snap: snapshot(4), First: 3}, 3, 6, 2},
+		{core.Write{Snap: snapshot(20)}, 0, 0, 0},
 		{core.Write{Entries: entries(3, 21, 22)}, 21, 22, 3},
 		{core.Write{Lives: quorum.Lives{9: {ID: 9, Life: 2}}, State: []byte("x")}, 21, 22, 3},
 	} {
@@ -74,19 +74,20 @@
 	d.Close()
 }
 
-// The power goes at every operation: a vote that was written is never forgotten, nor an entry that was acknowledged.
-func TestAVoteSurvivesEveryCrash(t *testing.T) {
+// TestVoteAndEntriesSurviveCrash cuts the power at every disk operation in turn: a vote that was written and an entry
+// that was acknowledged must never be lost.
+func TestVoteAndEntriesSurviveCrash(t *testing.T) {
 	points := 0
 	for n := 1; ; n++ {
 		fs := crashfs.New()
 		fs.FailFrom(n, 50, uint64(n))
-		voted, last := uint64(0), uint64(0)
+		votedTerm, lastEntry := uint64(0), uint64(0)
 		if d, _, err := Open("d", fs); err == nil {
 			for term := uint64(1); term <= 4; term++ {
-				if d.Write(core.Write{Hard: hard(term, term), Entries: entries(term, term, term)}) != nil {
+				if d.Write(core.Write{Hard: hardState(term, term), Entries: entries(term, term, term)}) != nil {
 					break
 				}
-				voted, last = term, term
+				votedTerm, lastEntry = term, term
 			}
 			d.Close()
 		}
@@ -97,17 +98,18 @@
 		points++
 		d, start, err := Open("d", after)
 		if err != nil {
-			if voted > 0 {
+			if votedTerm > 0 {
 				t.Fatalf("operation %d: %v", n, err)
 			}
 			continue
 		}
-		if start.Disk.Hard.GetTerm() < voted || uint64(len(start.Disk.Entries)) < last {
-			t.Fatalf("operation %d: voted in term %d, the disk knows %d and %d entries", n, voted, start.Disk.Hard.GetTerm(), len(start.Disk.Entries))
+		if start.Disk.Hard.GetTerm() < votedTerm || uint64(len(start.Disk.Entries)) < lastEntry {
+			t.Fatalf("operation %d: voted in term %d, the disk has term %d and %d entries", n, votedTerm,
+				start.Disk.Hard.GetTerm(), len(start.Disk.Entries))
 		}
 		d.Close()
 	}
 	if points < 20 {
-		t.Fatalf("%d points only", points)
+		t.Fatalf("only %d crash points", points)
 	}
 }
