--- a/internal/fleet/fleetsim/disk.go
+++ b/internal/fleet/fleetsim/disk.go
@@ -8,8 +8,7 @@
 	"tealledge/internal/fleet/core"
 )
 
-// Simulated disks.
-
+// write carries out the core's effect of that name on a simulated disk.
 func (d *Disk) write(w core.Write) {
 	if w.Wipe {
 		*d = Disk{Lives: d.Lives}
--- a/internal/fleet/fleetsim/fleetsim.go
+++ b/internal/fleet/fleetsim/fleetsim.go
@@ -1,6 +1,7 @@
-// Package fleetsim runs the fleet's parts of many fronts in one process on virtual time: the same core that runs in
-// service, on a simulated network with delays, losses and cuts, and on simulated disks that can be lost or put back. It
-// is for tests and measurements. Membership is simulated too: whoever cannot be reached is told gone after a while.
+// Package fleetsim runs the fleet's parts of many fronts in one process on virtual time: the same core as in
+// production, on a simulated network with delay, loss and partitions, and on simulated disks that can be lost or
+// replaced by an older copy. It is for tests and measurements. Membership is simulated too: a front that can't be
+// reached for a while is reported as gone.
 package fleetsim
 
 import (
@@ -21,43 +22,43 @@
 // Time is virtual, in nanoseconds.
 type Time = int64
 
-// Handy spans.
+// Units of Time.
 const (
 	Millisecond Time = 1_000_000
 	Second      Time = 1_000_000_000
 )
 
-// Config is a fleet.
+// Config describes a fleet.
 type Config struct {
 	Fronts, Voters int
 	Seed           int64
 	Limits         upkeep.Limits
-	Times          upkeep.Timeouts
-	Loss           float64 // share of messages lost on lossy links
-	Lossy          float64 // share of links that are lossy
-	Suspect        Time    // until a front that can't be reached is told gone
+	Timeouts       upkeep.Timeouts
+	LossRate       float64 // share of messages lost on lossy paths
+	LossyShare     float64 // share of the paths from one front to another that are lossy
+	SuspectTimeout Time    // after it, a front that can't be reached is reported as gone
 }
 
 // Front is one front of the fleet.
 type Front struct {
-	Name   string
-	Core   *core.Core // nil: its process is down
-	Disk   *Disk
-	Skew   Time // of its clock
-	Stuck  bool // its process is stopped: nothing runs, what comes waits
-	Server map[uint32]uint64
-	Fronts map[string]uint64
-	Back   map[uint32]Time
-	Mine   map[uint32]core.Standing
-	waits  [][2]any
-	meta   core.Meta
-	at     uint64 // index compared last
-	Sent   uint64 // bytes
-	Got    uint64
-	Log    []string
+	Name          string
+	Core          *core.Core // nil: its process is not running
+	Disk          *Disk
+	ClockSkew     Time // added to its clock
+	Stopped       bool // its process is stopped: nothing runs, and messages are queued
+	KeptServers   map[uint32]uint64
+	KeptFronts    map[string]uint64
+	Returned      map[uint32]Time
+	Sessions      map[uint32]core.Standing
+	queued        [][2]any
+	meta          core.Meta
+	comparedIndex uint64 // index of the state that was compared most recently
+	Sent          uint64 // bytes
+	Received      uint64
+	Log           []string
 }
 
-// Disk is what a front has written.
+// Disk holds what a front has written.
 type Disk struct {
 	Identity quorum.Identity
 	Lives    quorum.Lives
@@ -65,7 +66,7 @@
 	State    []byte
 }
 
-// Copy gives a copy, to be put back later.
+// Copy gives a copy, for restoring an older state later.
 func (d *Disk) Copy() *Disk {
 	c := *d
 	c.Lives = quorum.Lives{}
@@ -76,36 +77,36 @@
 	return &c
 }
 
-// Fleet is all of them.
+// Fleet is a simulated fleet of fronts.
 type Fleet struct {
-	Cfg     Config
-	Now     Time
-	Fronts  []*Front
-	ByName  map[string]*Front
-	Cut     func(from, to string) bool // nothing gets through
-	Replies map[uint64]ledger.Answer
-	Changes []ledger.Change // as the first front to hear of each said it
-	Heard   map[uint64]map[string]Time
-	Errors  []string // what must never be
-	// Apply is called with each effect, after it was carried out.
-	Apply func(*Front, core.Effect)
-
-	rng     *rand.Rand
-	queue   events
-	seq     uint64
-	handle  uint64
-	servers []core.Server
-	groups  [][]uint32
-	digests map[uint64][]byte // of the state at an index, from whoever came there first
-	seen    map[string]bool
-	alive   map[[2]string]Time // unreachable since
-	lossy   map[[2]string]bool
+	Config         Config
+	Now            Time
+	Fronts         []*Front
+	ByName         map[string]*Front
+	Blocked        func(from, to string) bool // messages from one front to another are dropped
+	Replies        map[uint64]ledger.Answer
+	Changes        []ledger.Change // each as the first front that applied it reported it
+	GrantLearnedAt map[uint64]map[string]Time
+	Errors         []string // violated invariants; must stay empty
+	// OnEffect is called with each effect after it was carried out.
+	OnEffect func(*Front, core.Effect)
+
+	rng           *rand.Rand
+	queue         events
+	lastSeq       uint64
+	lastHandle    uint64
+	servers       []core.Server
+	groups        [][]uint32
+	digests       map[uint64][]byte // snapshot of the state at each index, from the first front that reached it
+	seenChanges   map[string]bool
+	lastReachable map[[2]string]Time // when one front last reached the other
+	lossyPaths    map[[2]string]bool
 }
 
 type event struct {
 	at  Time
 	seq uint64
-	do  func()
+	run func()
 }
 
 type events []event
@@ -123,35 +124,37 @@
 	return x
 }
 
-// New makes a fleet and starts every front.
+// New makes a fleet and starts all its fronts.
 func New(cfg Config) *Fleet {
-	if cfg.Suspect == 0 {
-		cfg.Suspect = 3 * Second
+	if cfg.SuspectTimeout == 0 {
+		cfg.SuspectTimeout = 3 * Second
 	}
-	f := &Fleet{Cfg: cfg, Now: 1_700_000_000 * Second, ByName: map[string]*Front{}, Replies: map[uint64]ledger.Answer{}, rng: rand.New(rand.NewSource(cfg.Seed)),
-		digests: map[uint64][]byte{}, seen: map[string]bool{}, alive: map[[2]string]Time{}, Heard: map[uint64]map[string]Time{}, lossy: map[[2]string]bool{}}
+	f := &Fleet{Config: cfg, Now: 1_700_000_000 * Second, ByName: map[string]*Front{},
+		Replies: map[uint64]ledger.Answer{}, rng: rand.New(rand.NewSource(cfg.Seed)),
+		digests: map[uint64][]byte{}, seenChanges: map[string]bool{}, lastReachable: map[[2]string]Time{},
+		GrantLearnedAt: map[uint64]map[string]Time{}, lossyPaths: map[[2]string]bool{}}
 	for i := range cfg.Fronts {
-		x := &Front{Name: fmt.Sprintf("f%03d", i+1), Disk: &Disk{}, Mine: map[uint32]core.Standing{}}
+		x := &Front{Name: fmt.Sprintf("f%03d", i+1), Disk: &Disk{}, Sessions: map[uint32]core.Standing{}}
 		f.Fronts = append(f.Fronts, x)
 		f.ByName[x.Name] = x
 	}
 	for _, x := range f.Fronts {
 		f.Start(x)
-		f.at(f.Now+f.rng.Int63n(core.TickEvery), func() { f.tick(x) })
+		f.scheduleAt(f.Now+f.rng.Int63n(core.TickEvery), func() { f.tick(x) })
 	}
-	f.at(f.Now, f.membership)
+	f.scheduleAt(f.Now, f.updateMembers)
 	return f
 }
 
-// At does something at a time from now.
-func (f *Fleet) At(after Time, do func()) { f.at(f.Now+after, do) }
+// Schedule calls run after a delay.
+func (f *Fleet) Schedule(delay Time, run func()) { f.scheduleAt(f.Now+delay, run) }
 
-func (f *Fleet) at(t Time, do func()) {
-	f.seq++
-	heap.Push(&f.queue, event{t, f.seq, do})
+func (f *Fleet) scheduleAt(t Time, run func()) {
+	f.lastSeq++
+	heap.Push(&f.queue, event{t, f.lastSeq, run})
 }
 
-// Run lets virtual time pass.
+// Run advances virtual time by d and handles all events due in it.
 func (f *Fleet) Run(d Time) {
 	for end := f.Now + d; ; {
 		if len(f.queue) == 0 || f.queue[0].at > end {
@@ -160,87 +163,87 @@
 		}
 		e := heap.Pop(&f.queue).(event)
 		f.Now = e.at
-		e.do()
+		e.run()
 	}
 }
 
-// Until runs until something holds, for at most so long; it tells whether it does.
-func (f *Fleet) Until(most Time, holds func() bool) bool {
-	for end := f.Now + most; f.Now < end; {
-		if holds() {
+// RunUntil runs until the condition holds or the timeout is over; it gives whether the condition holds.
+func (f *Fleet) RunUntil(timeout Time, condition func() bool) bool {
+	for end := f.Now + timeout; f.Now < end; {
+		if condition() {
 			return true
 		}
 		f.Run(50 * Millisecond)
 	}
-	return holds()
+	return condition()
 }
 
 func (f *Fleet) voters() (names []string) {
-	for _, x := range f.Fronts[:f.Cfg.Voters] {
+	for _, x := range f.Fronts[:f.Config.Voters] {
 		names = append(names, x.Name)
 	}
 	return names
 }
 
-// Start starts a front's process on its disk.
+// Start starts a front's process with its disk.
 func (f *Fleet) Start(x *Front) {
 	d := x.Disk
 	disk := &quorum.Disk{Hard: d.Disk.Hard, Snap: d.Disk.Snap, Entries: slices.Clone(d.Disk.Entries)}
 	lives := d.Copy().Lives
-	c, err := core.New(f.Now+x.Skew, core.Config{Me: x.Name, Cluster: "sim", Voters: f.voters(), Limits: f.Cfg.Limits, Times: f.Cfg.Times,
-		Stale: 15 * Second, Draw: f.rng.Uint64, Log: &raft.DefaultLogger{Logger: nullLog()}},
+	c, err := core.New(f.Now+x.ClockSkew, core.Config{Me: x.Name, Cluster: "sim", Voters: f.voters(),
+		Limits: f.Config.Limits, Times: f.Config.Timeouts, Stale: 15 * Second, Draw: f.rng.Uint64, Log: &raft.DefaultLogger{Logger: discardLogger()}},
 		core.Start{Identity: d.Identity, Lives: lives, Disk: disk, State: d.State})
 	if err != nil {
 		f.Errors = append(f.Errors, x.Name+": "+err.Error())
 		return
 	}
-	x.Core, x.waits, x.Stuck = c, nil, false
-	c.Servers(f.Now+x.Skew, f.servers, f.groups)
-	f.carry(x)
+	x.Core, x.queued, x.Stopped = c, nil, false
+	c.Servers(f.Now+x.ClockSkew, f.servers, f.groups)
+	f.applyEffects(x)
 }
 
-// Kill ends a front's process; its disk stays.
+// Kill ends a front's process; its disk is kept.
 func (f *Fleet) Kill(x *Front) { x.Core = nil }
 
-// Servers sets the list that every front sees.
+// Servers sets the server list of all fronts.
 func (f *Fleet) Servers(list []core.Server, groups [][]uint32) {
 	f.servers, f.groups = list, groups
 	for _, x := range f.Fronts {
 		if x.Core != nil {
-			x.Core.Servers(f.Now+x.Skew, list, groups)
+			x.Core.Servers(f.Now+x.ClockSkew, list, groups)
 		}
 	}
 }
 
 func (f *Fleet) tick(x *Front) {
-	f.at(f.Now+core.TickEvery, func() { f.tick(x) })
-	if x.Core == nil || x.Stuck {
+	f.scheduleAt(f.Now+core.TickEvery, func() { f.tick(x) })
+	if x.Core == nil || x.Stopped {
 		return
 	}
-	x.Core.Mine(f.Now+x.Skew, x.Mine)
-	x.Core.Tick(f.Now + x.Skew)
-	f.carry(x)
+	x.Core.Mine(f.Now+x.ClockSkew, x.Sessions)
+	x.Core.Tick(f.Now + x.ClockSkew)
+	f.applyEffects(x)
 }
 
-// Continue lets a stopped process go on: what came meanwhile is there at once.
-func (f *Fleet) Continue(x *Front) {
-	x.Stuck = false
-	waits := x.waits
-	x.waits = nil
-	for _, w := range waits {
+// Resume lets a stopped process go on; it receives the messages queued meanwhile at once.
+func (f *Fleet) Resume(x *Front) {
+	x.Stopped = false
+	queued := x.queued
+	x.queued = nil
+	for _, w := range queued {
 		f.deliver(x, w[0].(string), w[1].([]byte))
 	}
 }
 
-// Reaches tells whether one front's words get to another.
-func (f *Fleet) Reaches(from, to string) bool { return f.Cut == nil || !f.Cut(from, to) }
+// Reaches tells whether messages from one front get to another.
+func (f *Fleet) Reaches(from, to string) bool { return f.Blocked == nil || !f.Blocked(from, to) }
 
-// membership tells every front who is here: a front that neither it nor any that it reaches can talk with is gone after
-// Suspect.
-func (f *Fleet) membership() {
-	f.at(f.Now+500*Millisecond, f.membership)
+// updateMembers passes the member list to each front: a front that it can't exchange messages with is gone after
+// SuspectTimeout.
+func (f *Fleet) updateMembers() {
+	f.scheduleAt(f.Now+500*Millisecond, f.updateMembers)
 	for _, x := range f.Fronts {
-		if x.Core == nil || x.Stuck {
+		if x.Core == nil || x.Stopped {
 			continue
 		}
 		var list []core.Member
@@ -249,62 +252,62 @@
 				continue
 			}
 			key := [2]string{x.Name, y.Name}
-			up := y.Core != nil && !y.Stuck && f.Reaches(x.Name, y.Name) && f.Reaches(y.Name, x.Name)
+			up := y.Core != nil && !y.Stopped && f.Reaches(x.Name, y.Name) && f.Reaches(y.Name, x.Name)
 			if up {
-				f.alive[key] = f.Now
+				f.lastReachable[key] = f.Now
 			}
-			since, known := f.alive[key]
+			since, known := f.lastReachable[key]
 			if !known {
 				continue
 			}
-			list = append(list, core.Member{Name: y.Name, Alive: f.Now-since < f.Cfg.Suspect, Meta: y.meta})
+			list = append(list, core.Member{Name: y.Name, Alive: f.Now-since < f.Config.SuspectTimeout, Meta: y.meta})
 		}
-		x.Core.Members(f.Now+x.Skew, list)
-		f.carry(x)
+		x.Core.Members(f.Now+x.ClockSkew, list)
+		f.applyEffects(x)
 	}
 }
 
-// Ask gives a command at a front and returns its handle.
-func (f *Fleet) Ask(x *Front, e ledger.Entry) uint64 {
-	f.handle++
-	h := f.handle
-	if x.Core == nil || x.Stuck {
+// Command gives a command to a front and returns its handle.
+func (f *Fleet) Command(x *Front, e ledger.Entry) uint64 {
+	f.lastHandle++
+	h := f.lastHandle
+	if x.Core == nil || x.Stopped {
 		return h
 	}
-	x.Core.Command(f.Now+x.Skew, h, e)
-	f.carry(x)
+	x.Core.Command(f.Now+x.ClockSkew, h, e)
+	f.applyEffects(x)
 	return h
 }
 
 func (f *Fleet) deliver(to *Front, from string, b []byte) {
 	switch {
 	case to.Core == nil:
-	case to.Stuck:
-		if len(to.waits) < 1000 {
-			to.waits = append(to.waits, [2]any{from, b})
+	case to.Stopped:
+		if len(to.queued) < 1000 {
+			to.queued = append(to.queued, [2]any{from, b})
 		}
 	default:
-		to.Got += uint64(len(b))
-		to.Core.Message(f.Now+to.Skew, from, b)
-		f.carry(to)
+		to.Received += uint64(len(b))
+		to.Core.Message(f.Now+to.ClockSkew, from, b)
+		f.applyEffects(to)
 	}
 }
 
-func (f *Fleet) lost(from, to string) bool {
-	if f.Cfg.Loss == 0 {
+func (f *Fleet) dropsMessage(from, to string) bool {
+	if f.Config.LossRate == 0 {
 		return false
 	}
 	key := [2]string{from, to}
-	bad, known := f.lossy[key]
+	lossy, known := f.lossyPaths[key]
 	if !known {
-		bad = f.rng.Float64() < f.Cfg.Lossy
-		f.lossy[key] = bad
+		lossy = f.rng.Float64() < f.Config.LossyShare
+		f.lossyPaths[key] = lossy
 	}
-	return bad && f.rng.Float64() < f.Cfg.Loss
+	return lossy && f.rng.Float64() < f.Config.LossRate
 }
 
-// carry carries effects out, in order: what is written is on disk before anything after it is sent.
-func (f *Fleet) carry(x *Front) {
+// applyEffects carries out a front's effects in order: a write is on disk before any later message is sent.
+func (f *Fleet) applyEffects(x *Front) {
 	for list := x.Core.Take(); len(list) > 0; list = x.Core.Take() {
 		for _, e := range list {
 			switch e := e.(type) {
@@ -313,43 +316,43 @@
 			case core.Send:
 				x.Sent += uint64(len(e.B))
 				to := f.ByName[e.To]
-				if to == nil || !f.Reaches(x.Name, e.To) || f.lost(x.Name, e.To) {
+				if to == nil || !f.Reaches(x.Name, e.To) || f.dropsMessage(x.Name, e.To) {
 					continue
 				}
 				name, b := x.Name, e.B
-				f.at(f.Now+Millisecond+f.rng.Int63n(4*Millisecond), func() { f.deliver(to, name, b) })
+				f.scheduleAt(f.Now+Millisecond+f.rng.Int63n(4*Millisecond), func() { f.deliver(to, name, b) })
 			case core.Tell:
 				x.meta = e.Meta
 			case core.Keeps:
-				x.Server, x.Fronts, x.Back = e.Servers, e.Fronts, e.Returned
+				x.KeptServers, x.KeptFronts, x.Returned = e.Servers, e.Fronts, e.Returned
 			case core.Reply:
 				f.Replies[e.Handle] = e.Answer
 			case core.Changed:
-				f.changed(x, e.Change)
+				f.recordChange(x, e.Change)
 			case core.Note:
 				if len(x.Log) < 1000 {
 					x.Log = append(x.Log, e.Text)
 				}
 			}
-			if f.Apply != nil {
-				f.Apply(x, e)
+			if f.OnEffect != nil {
+				f.OnEffect(x, e)
 			}
 		}
-		f.same(x)
+		f.checkSameState(x)
 	}
 }
 
-func (f *Fleet) changed(x *Front, c ledger.Change) {
+func (f *Fleet) recordChange(x *Front, c ledger.Change) {
 	key := fmt.Sprintf("%s/%d/%s", x.Core.State().Cluster, c.Work.ID, c.Work.Phase)
-	if !f.seen[key] {
-		f.seen[key] = true
+	if !f.seenChanges[key] {
+		f.seenChanges[key] = true
 		f.Changes = append(f.Changes, c)
 	}
 	if c.Work.Phase == ledger.Granted {
-		m := f.Heard[c.Work.ID]
+		m := f.GrantLearnedAt[c.Work.ID]
 		if m == nil {
 			m = map[string]Time{}
-			f.Heard[c.Work.ID] = m
+			f.GrantLearnedAt[c.Work.ID] = m
 		}
 		if _, known := m[x.Name]; !known {
 			m[x.Name] = f.Now
@@ -357,32 +360,34 @@
 	}
 }
 
-// same checks that fronts that have come as far have come to the same.
-func (f *Fleet) same(x *Front) {
+// checkSameState checks that fronts that have applied the same index have the same state.
+func (f *Fleet) checkSameState(x *Front) {
 	s := x.Core.State()
-	if s.Index < 2 || f.Cfg.Fronts > 20 || x.at == s.Index {
+	if s.Index < 2 || f.Config.Fronts > 20 || x.comparedIndex == s.Index {
 		return
 	}
-	x.at = s.Index
+	x.comparedIndex = s.Index
 	b, err := s.Snapshot()
 	if err != nil {
 		f.Errors = append(f.Errors, err.Error())
 		return
 	}
-	if was, known := f.digests[s.Index]; !known {
+	if previous, known := f.digests[s.Index]; !known {
 		f.digests[s.Index] = b
-	} else if !bytes.Equal(was, b) {
-		f.Errors = append(f.Errors, fmt.Sprintf("%s at %d has come to another state:\n%s\n%s", x.Name, s.Index, b, was))
+	} else if !bytes.Equal(previous, b) {
+		f.Errors = append(f.Errors, fmt.Sprintf("%s has another state at index %d:\n%s\n%s", x.Name, s.Index, b, previous))
 	}
 }
 
-// Leader gives the front that leads, if one does by its own word.
+// Leader gives the front that reports itself as leader, the one with the highest index if there are several; nil if
+// none does.
 func (f *Fleet) Leader() *Front {
-	var lead *Front
-	for _, x := range f.Fronts[:f.Cfg.Voters] {
-		if x.Core != nil && !x.Stuck && x.Core.Lead() == x.Name && (lead == nil || x.Core.State().Index > lead.Core.State().Index) {
-			lead = x
+	var leader *Front
+	for _, x := range f.Fronts[:f.Config.Voters] {
+		if x.Core != nil && !x.Stopped && x.Core.Lead() == x.Name &&
+			(leader == nil || x.Core.State().Index > leader.Core.State().Index) {
+			leader = x
 		}
 	}
-	return lead
+	return leader
 }
--- a/internal/fleet/fleetsim/fleetsim_test.go
+++ b/internal/fleet/fleetsim/fleetsim_test.go
@@ -9,27 +9,32 @@
 	"tealledge/internal/fleet/ledger"
 )
 
-var times = upkeep.Timeouts{AckTimeout: 10 * Second, DrainTimeout: 60 * Second, ReturnTimeout: 30 * Second, WarmUpTime: 5 * Second}
+var timeouts = upkeep.Timeouts{AckTimeout: 10 * Second, DrainTimeout: 60 * Second,
+	ReturnTimeout: 30 * Second, WarmUpTime: 5 * Second}
 
-func list(n, perRack int) (out []core.Server) {
+func serverList(n, perRack int) (servers []core.Server) {
 	for i := range n {
-		out = append(out, core.Server{ID: uint32(i + 1), Rack: i / perRack, Zone: i / perRack / 2, KB: 1000, Ready: true})
+		servers = append(servers, core.Server{ID: uint32(i + 1), Rack: i / perRack, Zone: i / perRack / 2,
+			KB: 1000, Ready: true})
 	}
-	return out
+	return servers
 }
 
-func small(t *testing.T, seed int64) *Fleet {
+// newSmallFleet makes a fleet of 5 fronts, 3 of them voters, with 12 servers in 4 racks and 2 zones, and waits for a
+// leader.
+func newSmallFleet(t *testing.T, seed int64) *Fleet {
 	t.Helper()
-	f := New(Config{Fronts: 5, Voters: 3, Seed: seed, Times: times,
+	f := New(Config{Fronts: 5, Voters: 3, Seed: seed, Timeouts: timeouts,
 		Limits: upkeep.Limits{Rack: 1, Zone: 2, Whole: 3, Racks: 1, Fronts: 1, Holders: 1, Margin: 0.2, Paid: 10, Patience: 60 * Second}})
-	f.Servers(list(12, 3), nil)
-	if !f.Until(20*Second, func() bool { return f.Leader() != nil }) {
+	f.Servers(serverList(12, 3), nil)
+	if !f.RunUntil(20*Second, func() bool { return f.Leader() != nil }) {
 		t.Fatal("no leader in 20 s")
 	}
 	return f
 }
 
-func work(key string, servers ...uint32) ledger.Entry {
+// workRequest makes a request for work on servers of serverList(12, 3).
+func workRequest(key string, servers ...uint32) ledger.Entry {
 	a := &ledger.Ask{For: 20 * Second}
 	for _, s := range servers {
 		a.Servers = append(a.Servers, ledger.Place{Server: s, Rack: int(s-1) / 3, Zone: int(s-1) / 6})
@@ -38,23 +43,24 @@
 	return ledger.Entry{Kind: ledger.KindAsk, Key: key, Ask: a}
 }
 
+// phase gives the phase of a work as the front with the highest index has it.
 func (f *Fleet) phase(id uint64) ledger.Phase {
-	best := ledger.Phase("")
+	latest := ledger.Phase("")
 	index := uint64(0)
 	for _, x := range f.Fronts {
 		if x.Core == nil {
 			continue
 		}
 		if w := x.Core.State().Work(id); w != nil && x.Core.State().Index >= index {
-			best, index = w.Phase, x.Core.State().Index
+			latest, index = w.Phase, x.Core.State().Index
 		}
 	}
-	return best
+	return latest
 }
 
-func (f *Fleet) wants(t *testing.T, id uint64, p ledger.Phase, most Time) {
+func (f *Fleet) waitForPhase(t *testing.T, id uint64, p ledger.Phase, timeout Time) {
 	t.Helper()
-	if !f.Until(most, func() bool { return f.phase(id) == p }) {
+	if !f.RunUntil(timeout, func() bool { return f.phase(id) == p }) {
 		for _, x := range f.Fronts {
 			t.Log(x.Name, x.Log)
 			if x.Core != nil {
@@ -63,76 +69,77 @@
 				t.Logf("%+v", why)
 			}
 		}
-		t.Fatalf("work %d is %q after %d s, want %q", id, f.phase(id), most/Second, p)
+		t.Fatalf("work %d is %q after %d s, want %q", id, f.phase(id), timeout/Second, p)
 	}
 }
 
-func (f *Fleet) answer(t *testing.T, h uint64) ledger.Answer {
+func (f *Fleet) waitForAnswer(t *testing.T, h uint64) ledger.Answer {
 	t.Helper()
-	if !f.Until(15*Second, func() bool { _, ok := f.Replies[h]; return ok }) {
-		t.Fatal("no answer to a command")
+	if !f.RunUntil(15*Second, func() bool { _, ok := f.Replies[h]; return ok }) {
+		t.Fatal("a command was not answered")
 	}
 	return f.Replies[h]
 }
 
-func (f *Fleet) good(t *testing.T) {
+func (f *Fleet) checkErrors(t *testing.T) {
 	t.Helper()
 	for _, e := range f.Errors {
 		t.Error(e)
 	}
 }
 
-// A server is asked for at a front that does not vote, emptied, worked on and taken back; every front keeps it free
-// meanwhile.
-func TestAServerGoesAndComesBack(t *testing.T) {
-	f := small(t, 1)
-	f.Fronts[4].Mine = map[uint32]core.Standing{7: {Sessions: 3, KB: 600}}
-	id := f.answer(t, f.Ask(f.Fronts[3], work("a", 7))).ID
-	f.wants(t, id, ledger.Draining, 20*Second)
+// TestServerStaysFreeUntilWorkIsDone: work on a server is requested at a front that does not vote. The server drains,
+// is out and comes back, and every front keeps it free meanwhile.
+func TestServerStaysFreeUntilWorkIsDone(t *testing.T) {
+	f := newSmallFleet(t, 1)
+	f.Fronts[4].Sessions = map[uint32]core.Standing{7: {Sessions: 3, KB: 600}}
+	id := f.waitForAnswer(t, f.Command(f.Fronts[3], workRequest("a", 7))).ID
+	f.waitForPhase(t, id, ledger.Draining, 20*Second)
 	f.Run(10 * Second)
 	if f.phase(id) != ledger.Draining {
-		t.Fatal("it went out with sessions on it")
+		t.Fatal("the server went out with sessions on it")
 	}
 	for _, x := range f.Fronts {
-		if x.Server[7] != id {
-			t.Errorf("%s sends to a server that is being emptied", x.Name)
+		if x.KeptServers[7] != id {
+			t.Errorf("%s does not keep a draining server free", x.Name)
 		}
 	}
-	f.Fronts[4].Mine = map[uint32]core.Standing{}
-	f.wants(t, id, ledger.Out, 5*Second)
-	f.answer(t, f.Ask(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "b", ID: id}))
-	f.wants(t, id, ledger.Back, Second)
+	f.Fronts[4].Sessions = map[uint32]core.Standing{}
+	f.waitForPhase(t, id, ledger.Out, 5*Second)
+	f.waitForAnswer(t, f.Command(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "b", ID: id}))
+	f.waitForPhase(t, id, ledger.Back, Second)
 	f.Run(2 * Second)
 	for _, x := range f.Fronts {
-		if x.Server[7] != 0 || x.Back[7] == 0 {
-			t.Errorf("%s keeps %v, back %v", x.Name, x.Server, x.Back)
+		if x.KeptServers[7] != 0 || x.Returned[7] == 0 {
+			t.Errorf("%s keeps %v free, returned %v", x.Name, x.KeptServers, x.Returned)
 		}
 	}
-	f.wants(t, id, ledger.Done, 10*Second)
-	f.good(t)
+	f.waitForPhase(t, id, ledger.Done, 10*Second)
+	f.checkErrors(t)
 }
 
-// Work that nobody reports back, and work whose drain ends with sessions standing, go on by their time-outs.
-func TestNothingStaysOutForEver(t *testing.T) {
-	f := small(t, 2)
-	f.Fronts[1].Mine = map[uint32]core.Standing{1: {Sessions: 1, KB: 100}}
-	a := f.answer(t, f.Ask(f.Fronts[0], work("a", 1))).ID
-	f.wants(t, a, ledger.Draining, 20*Second)
-	b := f.answer(t, f.Ask(f.Fronts[0], work("b", 2))).ID // the same rack
-	f.wants(t, a, ledger.Out, 90*Second)
+// TestTimeoutsEndDrainAndWork: a drain that ends with sessions left, and work that nobody reports as done, go on when
+// their timeouts expire.
+func TestTimeoutsEndDrainAndWork(t *testing.T) {
+	f := newSmallFleet(t, 2)
+	f.Fronts[1].Sessions = map[uint32]core.Standing{1: {Sessions: 1, KB: 100}}
+	a := f.waitForAnswer(t, f.Command(f.Fronts[0], workRequest("a", 1))).ID
+	f.waitForPhase(t, a, ledger.Draining, 20*Second)
+	b := f.waitForAnswer(t, f.Command(f.Fronts[0], workRequest("b", 2))).ID // in the same rack
+	f.waitForPhase(t, a, ledger.Out, 90*Second)
 	if why, _ := f.Leader().Core.Why(b); why.Limit != "rack" || f.phase(b) != ledger.Asked {
-		t.Errorf("the second of a rack: %s, %+v", f.phase(b), why)
+		t.Errorf("second request in one rack: %s, %+v", f.phase(b), why)
 	}
-	f.wants(t, a, ledger.Done, 70*Second)
-	f.wants(t, b, ledger.Granted, 5*Second)
-	f.good(t)
+	f.waitForPhase(t, a, ledger.Done, 70*Second)
+	f.waitForPhase(t, b, ledger.Granted, 5*Second)
+	f.checkErrors(t)
 }
 
-// The same command at two fronts, or again, is one work.
-func TestARepeatedCommandIsOne(t *testing.T) {
-	f := small(t, 3)
-	x, y := f.Ask(f.Fronts[0], work("a", 1)), f.Ask(f.Fronts[4], work("a", 1))
-	if p, q := f.answer(t, x), f.answer(t, y); p.ID != q.ID || p.ID == 0 {
+// TestRepeatedCommandMakesOneWork: the same command at two fronts makes one work.
+func TestRepeatedCommandMakesOneWork(t *testing.T) {
+	f := newSmallFleet(t, 3)
+	x, y := f.Command(f.Fronts[0], workRequest("a", 1)), f.Command(f.Fronts[4], workRequest("a", 1))
+	if p, q := f.waitForAnswer(t, x), f.waitForAnswer(t, y); p.ID != q.ID || p.ID == 0 {
 		t.Fatalf("%+v and %+v", p, q)
 	}
 	f.Run(5 * Second)
@@ -141,24 +148,25 @@
 	}
 }
 
-// The leader dies, or stops for 10 s and goes on in the belief that it leads, between a grant and its telling.
-func TestALeaderThatGoesInTheMiddle(t *testing.T) {
+// TestLeaderFailsAfterGrant: the leader is killed, or is stopped for 10 s and goes on as if it still led, between a
+// grant and its announcement. There must be one grant only, and the work must go out.
+func TestLeaderFailsAfterGrant(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
-		f := small(t, 4)
-		id := f.answer(t, f.Ask(f.Fronts[4], work("a", 7))).ID
-		f.wants(t, id, ledger.Granted, 5*Second)
+		f := newSmallFleet(t, 4)
+		id := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 7))).ID
+		f.waitForPhase(t, id, ledger.Granted, 5*Second)
 		old := f.Leader()
 		if stopped {
-			old.Stuck = true
-			f.At(10*Second, func() { f.Continue(old) })
+			old.Stopped = true
+			f.Schedule(10*Second, func() { f.Resume(old) })
 		} else {
 			f.Kill(old)
-			f.At(20*Second, func() { f.Start(old) })
+			f.Schedule(20*Second, func() { f.Start(old) })
 		}
-		b := f.Ask(f.Fronts[4], work("b", 8))
+		b := f.Command(f.Fronts[4], workRequest("b", 8))
 		f.Run(12 * Second)
-		f.answer(t, b)
-		f.wants(t, id, ledger.Out, 40*Second)
+		f.waitForAnswer(t, b)
+		f.waitForPhase(t, id, ledger.Out, 40*Second)
 		f.Run(20 * Second)
 		granted := 0
 		for _, c := range f.Changes {
@@ -166,17 +174,18 @@
 				granted++
 			}
 		}
-		if granted != 1 { // 8 is in the rack of 7
+		if granted != 1 { // server 8 is in the rack of server 7
 			t.Errorf("stopped %v: %d grants", stopped, granted)
 		}
-		f.good(t)
+		f.checkErrors(t)
 	}
 }
 
-// A voter that comes back with no disk, or with one put back, must not speak as the one it was; the record lives on.
-func TestADiskThatIsLostOrPutBack(t *testing.T) {
-	for _, putBack := range []bool{false, true} {
-		f := small(t, 5)
+// TestVoterWithLostOrOldDiskGetsNewIdentity: a voter that comes back without its disk, or with an older copy of it,
+// must not vote under its old identity, as it has forgotten votes; the record survives.
+func TestVoterWithLostOrOldDiskGetsNewIdentity(t *testing.T) {
+	for _, restored := range []bool{false, true} {
+		f := newSmallFleet(t, 5)
 		var x *Front
 		for _, v := range f.Fronts[:3] {
 			if v != f.Leader() {
@@ -187,59 +196,60 @@
 		copied := x.Disk.Copy()
 		f.Start(x)
 		f.Run(5 * Second)
-		first := f.answer(t, f.Ask(f.Fronts[4], work("a", 1))).ID
+		first := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 		f.Run(2 * Second)
 		f.Kill(x)
 		f.Run(4 * Second)
-		was := x.Disk.Identity.ID
-		if x.Disk = (&Disk{}); putBack {
+		oldID := x.Disk.Identity.ID
+		if x.Disk = (&Disk{}); restored {
 			x.Disk = copied
 		}
 		f.Start(x)
 		f.Run(15 * Second)
-		if x.Disk.Identity.ID == was {
-			t.Errorf("put back %v: it speaks as %x still", putBack, was)
+		if x.Disk.Identity.ID == oldID {
+			t.Errorf("older copy %v: it still has the identity %x", restored, oldID)
 		}
-		// Another of the three goes: the one with a new disk is needed for a majority.
+		// Another of the three voters is killed: the one with a new disk is needed for a majority.
 		for _, v := range f.Fronts[:3] {
 			if v != x && v != f.Leader() {
 				f.Kill(v)
 			}
 		}
 		f.Run(5 * Second)
-		f.wants(t, first, ledger.Out, 30*Second)
-		if got := f.answer(t, f.Ask(f.Fronts[4], work("b", 12))); got.Err != "" {
-			t.Errorf("put back %v: %+v, %v", putBack, got, x.Log)
+		f.waitForPhase(t, first, ledger.Out, 30*Second)
+		if got := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("b", 12))); got.Err != "" {
+			t.Errorf("older copy %v: %+v, %v", restored, got, x.Log)
 		}
-		f.good(t)
+		f.checkErrors(t)
 	}
 }
 
-// Split 2 to 3 and healed: the side without a majority agrees on nothing, and loses nothing.
-func TestASplit(t *testing.T) {
-	f := small(t, 6)
-	id := f.answer(t, f.Ask(f.Fronts[0], work("a", 1))).ID
-	f.wants(t, id, ledger.Out, 20*Second)
+// TestMinorityAgreesOnNothing: in a partition of 2 and 3 fronts, the side without a majority agrees on nothing and
+// forgets nothing that is out; after it, all fronts catch up.
+func TestMinorityAgreesOnNothing(t *testing.T) {
+	f := newSmallFleet(t, 6)
+	id := f.waitForAnswer(t, f.Command(f.Fronts[0], workRequest("a", 1))).ID
+	f.waitForPhase(t, id, ledger.Out, 20*Second)
 	minority := map[string]bool{"f001": true, "f004": true}
-	f.Cut = func(from, to string) bool { return minority[from] != minority[to] }
+	f.Blocked = func(from, to string) bool { return minority[from] != minority[to] }
 	f.Run(5 * Second)
-	left, right := f.Ask(f.Fronts[3], work("left", 4)), f.Ask(f.Fronts[4], work("right", 7))
-	if a := f.answer(t, left); a.Err != core.ErrUnknown {
+	left, right := f.Command(f.Fronts[3], workRequest("left", 4)), f.Command(f.Fronts[4], workRequest("right", 7))
+	if a := f.waitForAnswer(t, left); a.Err != core.ErrUnknown {
 		t.Errorf("the minority agreed on %+v", a)
 	}
-	if a := f.answer(t, right); a.Err != "" {
+	if a := f.waitForAnswer(t, right); a.Err != "" {
 		t.Errorf("the majority: %+v", a)
 	}
-	if f.Fronts[3].Server[1] != id {
+	if f.Fronts[3].KeptServers[1] != id {
 		t.Error("the minority forgot what is out")
 	}
-	f.Cut = nil
+	f.Blocked = nil
 	f.Run(15 * Second)
-	if a := f.answer(t, f.Ask(f.Fronts[3], work("left", 4))); a.Err != "" {
-		t.Errorf("healed: %+v", a)
+	if a := f.waitForAnswer(t, f.Command(f.Fronts[3], workRequest("left", 4))); a.Err != "" {
+		t.Errorf("after the partition: %+v", a)
 	}
-	f.wants(t, id, ledger.Done, 60*Second)
-	if !f.Until(30*Second, func() bool {
+	f.waitForPhase(t, id, ledger.Done, 60*Second)
+	if !f.RunUntil(30*Second, func() bool {
 		for _, x := range f.Fronts {
 			if x.Core.State().Index != f.Leader().Core.State().Index {
 				return false
@@ -247,22 +257,23 @@
 		}
 		return true
 	}) {
-		t.Error("some are behind still")
+		t.Error("some fronts are still behind")
 	}
-	f.good(t)
+	f.checkErrors(t)
 }
 
-// A voter that hears and is not heard, clocks apart by 5 s, and all fronts restarted at once while a machine is out.
-func TestOneWaySkewAndARestartOfAll(t *testing.T) {
-	f := small(t, 7)
+// TestOneWayLossClockSkewAndRestartOfAll: a voter receives but its messages are lost, clocks are up to 5 s
+// wrong, and all fronts restart at once while a machine is out.
+func TestOneWayLossClockSkewAndRestartOfAll(t *testing.T) {
+	f := newSmallFleet(t, 7)
 	for i, x := range f.Fronts {
-		x.Skew = Time(i-2) * 5 * Second / 2
+		x.ClockSkew = Time(i-2) * 5 * Second / 2
 	}
-	f.Cut = func(from, to string) bool { return from == "f002" }
+	f.Blocked = func(from, to string) bool { return from == "f002" }
 	f.Run(10 * Second)
-	id := f.answer(t, f.Ask(f.Fronts[4], work("a", 1))).ID
-	f.wants(t, id, ledger.Out, 40*Second)
-	f.Cut = nil
+	id := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
+	f.waitForPhase(t, id, ledger.Out, 40*Second)
+	f.Blocked = nil
 	f.Run(5 * Second)
 	for _, x := range f.Fronts {
 		f.Kill(x)
@@ -270,21 +281,22 @@
 	f.Run(Second)
 	for _, x := range f.Fronts {
 		f.Start(x)
-		if x.Server[1] != id {
-			t.Errorf("%s starts without knowing what is out", x.Name)
+		if x.KeptServers[1] != id {
+			t.Errorf("%s does not know after its start what is out", x.Name)
 		}
 	}
-	if !f.Until(15*Second, func() bool { return f.Leader() != nil }) {
-		t.Fatal("no leader after a restart of all")
+	if !f.RunUntil(15*Second, func() bool { return f.Leader() != nil }) {
+		t.Fatal("no leader after all fronts restarted")
 	}
-	f.answer(t, f.Ask(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "d", ID: id}))
-	f.wants(t, id, ledger.Done, 20*Second)
-	f.good(t)
+	f.waitForAnswer(t, f.Command(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "d", ID: id}))
+	f.waitForPhase(t, id, ledger.Done, 20*Second)
+	f.checkErrors(t)
 }
 
-// A long record is compacted, and a front that was away for all of it is given the state.
-func TestCompactionAndCatchingUp(t *testing.T) {
-	f := small(t, 8)
+// TestCompactedLogCatchesUpBySnapshot: a long log is compacted, and a voter and a follower that were down meanwhile
+// receive the state as a snapshot.
+func TestCompactedLogCatchesUpBySnapshot(t *testing.T) {
+	f := newSmallFleet(t, 8)
 	away := []*Front{f.Fronts[4]}
 	for _, v := range f.Fronts[:3] {
 		if v != f.Leader() {
@@ -296,10 +308,11 @@
 		f.Kill(x)
 	}
 	for i := range 700 {
-		f.Ask(f.Fronts[3], work(fmt.Sprint("k", i), uint32(i%12+1)))
+		f.Command(f.Fronts[3], workRequest(fmt.Sprint("k", i), uint32(i%12+1)))
 		f.Run(20 * Millisecond)
 		if i%2 == 0 {
-			f.Ask(f.Fronts[3], ledger.Entry{Kind: ledger.KindCancel, Key: fmt.Sprint("c", i), ID: f.Leader().Core.State().Index})
+			f.Command(f.Fronts[3], ledger.Entry{Kind: ledger.KindCancel, Key: fmt.Sprint("c", i),
+				ID: f.Leader().Core.State().Index})
 		}
 	}
 	f.Run(5 * Second)
@@ -312,8 +325,9 @@
 	f.Run(20 * Second)
 	for _, x := range away {
 		if x.Core.State().Index+20 < f.Leader().Core.State().Index {
-			t.Errorf("%s stands at %d of %d: %v %+v", x.Name, x.Core.State().Index, f.Leader().Core.State().Index, x.Log, x.Core.Stats)
+			t.Errorf("%s is at index %d of %d: %v %+v", x.Name, x.Core.State().Index,
+				f.Leader().Core.State().Index, x.Log, x.Core.Stats)
 		}
 	}
-	f.good(t)
+	f.checkErrors(t)
 }
--- a/internal/fleet/fleetsim/log.go
+++ b/internal/fleet/fleetsim/log.go
@@ -5,5 +5,5 @@
 	"log"
 )
 
-// nullLog takes the quorum's own words: a simulated fleet's are many.
-func nullLog() *log.Logger { return log.New(io.Discard, "", 0) }
+// discardLogger drops the raft library's log lines, of which a simulated fleet writes many.
+func discardLogger() *log.Logger { return log.New(io.Discard, "", 0) }
