--- a/internal/rig/bench_test.go
+++ b/internal/rig/bench_test.go
@@ -10,8 +10,8 @@
 	"tealledge/internal/load"
 )
 
-// What a fleet costs a set-up: the same load at fronts with and without one, in turns, in one run. A measurement, not part of
-// the check:
+// BenchmarkSetup measures what a fleet costs a set-up: the same load at fronts with and without a fleet, in turns, in
+// one run. Run it by hand; it is not one of the tests:
 //
 //	go test ./internal/rig -run XXX -bench Setup -benchtime 1x -v
 func BenchmarkSetup(b *testing.B) {
@@ -33,7 +33,7 @@
 			b.Fatal(err)
 		}
 		if !on.Whole(ctx, time.Minute) {
-			b.Fatal("no fleet")
+			b.Fatal("no healthy fleet within a minute")
 		}
 		var p50, p99 [2][]float64
 		for range 6 {
@@ -46,7 +46,8 @@
 				p50[i], p99[i] = append(p50[i], r.Latency.P50), append(p99[i], r.Latency.P99)
 			}
 		}
-		b.Logf("p50 ms off %.2f, on %.2f; p99 ms off %.2f, on %.2f (each turn of 6 s at 300 a second)", p50[0], p50[1], p99[0], p99[1])
+		b.Logf("p50 ms without a fleet %.2f, with %.2f; p99 ms without %.2f, with %.2f (each turn of 6 s at 300 per second)",
+			p50[0], p50[1], p99[0], p99[1])
 		on.Close()
 		off.Close()
 	}
--- a/internal/rig/commands.go
+++ b/internal/rig/commands.go
@@ -15,8 +15,7 @@
 	"tealledge/internal/record"
 )
 
-// Commands to fronts, and what they answer, written down for the check of their history.
-
+// call sends a request to a front's control API and decodes the response into to.
 func (r *Rig) call(ctx context.Context, front int, method, path string, body, to any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -39,52 +38,53 @@
 	return json.NewDecoder(res.Body).Decode(to)
 }
 
-// Ask asks for servers at a front and writes the call down.
-func (r *Rig) Ask(ctx context.Context, front int, key string, servers ...uint32) (ledger.Answer, error) {
+// RequestWork requests work on servers at a front and records the call.
+func (r *Rig) RequestWork(ctx context.Context, front int, key string, servers ...uint32) (ledger.Answer, error) {
 	var names []string
 	for _, s := range servers {
 		names = append(names, fmt.Sprint("server:", s))
 	}
 	r.Record().Add(record.Event{Who: "operator", What: record.WorkAsked, Call: key, Text: strings.Join(names, " ")})
-	return r.order(ctx, front, "ask", Call{Key: key}, node.Ask{Names: names, For: 3 * time.Second, Key: key})
+	return r.command(ctx, front, "ask", Call{Key: key}, node.Ask{Names: names, For: 3 * time.Second, Key: key})
 }
 
-// Order cancels a work or reports it done.
-func (r *Rig) Order(ctx context.Context, front int, kind, key string, id uint64) (ledger.Answer, error) {
-	return r.order(ctx, front, kind, Call{Key: key, ID: id}, node.Order{ID: id, Key: key})
+// CommandWork cancels a work or reports it done.
+func (r *Rig) CommandWork(ctx context.Context, front int, kind, key string, id uint64) (ledger.Answer, error) {
+	return r.command(ctx, front, kind, Call{Key: key, ID: id}, node.Order{ID: id, Key: key})
 }
 
-func (r *Rig) order(ctx context.Context, front int, kind string, c Call, body any) (ledger.Answer, error) {
-	c.Kind, c.Begin = kind, time.Now().UnixNano()
-	err := r.call(ctx, front, "POST", "/upkeep/"+kind, body, &c.Answer)
-	c.End = time.Now().UnixNano()
-	c.Unknown = err != nil || c.Answer.Err == core.ErrUnknown
+// command sends a command and records it with its answer, for the check of the history.
+func (r *Rig) command(ctx context.Context, front int, kind string, call Call, body any) (ledger.Answer, error) {
+	call.Kind, call.StartedAt = kind, time.Now().UnixNano()
+	err := r.call(ctx, front, "POST", "/upkeep/"+kind, body, &call.Answer)
+	call.EndedAt = time.Now().UnixNano()
+	call.Unknown = err != nil || call.Answer.Err == core.ErrUnknown
 	r.mu.Lock()
-	r.calls = append(r.calls, c)
+	r.calls = append(r.calls, call)
 	r.mu.Unlock()
-	return c.Answer, err
+	return call.Answer, err
 }
 
-// Calls gives all commands that were given.
+// Calls gives all commands that were sent, with their answers.
 func (r *Rig) Calls() []Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Call(nil), r.calls...)
 }
 
-// Status asks a front how things stand.
+// Status gives the fleet's status as a front reports it.
 func (r *Rig) Status(ctx context.Context, front int) (s core.Status, err error) {
 	err = r.call(ctx, front, "GET", "/fleet", nil, &s)
 	return s, err
 }
 
-// List asks a front for all works.
+// Works gives all works as a front lists them.
 func (r *Rig) Works(ctx context.Context, front int) (l node.Listing, err error) {
 	err = r.call(ctx, front, "GET", "/upkeep", nil, &l)
 	return l, err
 }
 
-// Leader gives the front that says it leads and is fresh, -1 if none does.
+// Leader gives the voter that reports itself as leader with fresh state, -1 if there is none.
 func (r *Rig) Leader(ctx context.Context) int {
 	for i := range r.voters {
 		if r.isDown(i) {
@@ -100,6 +100,7 @@
 	return -1
 }
 
+// isDown tells whether a front is killed or paused.
 func (r *Rig) isDown(i int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rig/dayscript.go
+++ b/internal/rig/dayscript.go
@@ -8,7 +8,8 @@
 	"tealledge/internal/load"
 )
 
-// Site is the day that fleets are tried on: 5 fronts, 12 servers in 6 racks and 3 zones, every title on 6 of them.
+// DayScript is the script of the day that fleets are tested on: 5 fronts, 12 servers in 6 racks and 3 zones, every
+// title on 6 of the servers.
 const Site = `(day (seed 5) (fronts 5) (servers 12) (titles 24) (copies 6) (media (slots 400) (link-kb 90000) (uplink-kb 400000)
   (setup 1ms) (keep 500ms)))
 (service
@@ -20,11 +21,13 @@
   (stall-cost 8) (change-cost 0.5) (max-attempts 4) (retry-after-most 500ms) (connect-wait 250ms) (drain-grace 250ms)
   (price-move 0.02) (cold (span 2s) (from 0.4) (times 3) (over 1s)) (budget (spare 50) (ratio 1) (span 10s)))`
 
-// Viewers has viewers come for as long as ctx lasts; what it gives waits for the last of them.
-func (r *Rig) Viewers(ctx context.Context, most time.Duration) (wait func() error) {
+// StartViewers starts a load of viewers until ctx ends or the timeout is over. The function it gives waits for the
+// last of them.
+func (r *Rig) Viewers(ctx context.Context, timeout time.Duration) (wait func() error) {
 	done := make(chan error, 1)
 	go func() {
-		_, err := load.Run(ctx, load.Plan{Front: r.Front, Clients: 30, Rate: 25, Length: most, Shape: load.Poisson, Titles: r.Titles(),
+		_, err := load.Run(ctx, load.Plan{Front: r.Front, Clients: 30, Rate: 25, Length: timeout,
+			Shape: load.Poisson, Titles: r.Titles(),
 			Hold: [2]time.Duration{500 * time.Millisecond, 4 * time.Second}, Classes: []string{"safe", "paid"}, Seed: 1, Reconnect: 200 * time.Millisecond}, r.Record())
 		if ctx.Err() != nil {
 			err = nil
@@ -34,7 +37,7 @@
 	return func() error { return <-done }
 }
 
-// Rules are what the rig's records are judged by.
+// Rules gives the upkeep limits that the rig's records are judged by.
 func (r *Rig) Rules() audit.Upkeep {
 	u := Limits
 	u.Cells, u.Racks, u.Zones = r.Cells()
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -10,9 +10,7 @@
 	"tealledge/internal/record"
 )
 
-// Faults of links, processes and disks.
-
-// Split cuts some fronts from the others, both ways; Heal lets all through.
+// Split cuts the connections between some fronts and the others, both ways; Heal ends it.
 func (r *Rig) Split(some ...int) {
 	var others []int
 	in := map[int]bool{}
@@ -25,14 +23,14 @@
 		}
 	}
 	for _, i := range some {
-		r.deaf(i, true)
+		r.setIsolated(i, true)
 	}
 	r.Net.Between(some, others, Fault{Cut: true})
 }
 
-// Mute has nothing that a front says heard by the others, though it hears them.
+// Mute drops all that a front sends to the others; it still receives from them.
 func (r *Rig) Mute(front int) {
-	r.deaf(front, true)
+	r.setIsolated(front, true)
 	for i := range r.fronts {
 		if i != front {
 			r.Net.Set(front, i, Fault{Cut: true})
@@ -40,22 +38,23 @@
 	}
 }
 
-// Heal lets all through again.
+// Heal ends all network faults.
 func (r *Rig) Heal() {
 	r.Net.Heal()
 	for i := range r.fronts {
-		r.deaf(i, false)
+		r.setIsolated(i, false)
 	}
 }
 
-// deaf writes down that a front can't hear of what is agreed, or can again: what it sends meanwhile it could not know.
-func (r *Rig) deaf(front int, on bool) {
+// setIsolated records that a front can't learn what is agreed on, or can again: the auditor must not judge what it
+// sends meanwhile by what it could not know.
+func (r *Rig) setIsolated(front int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cut[front] == on {
+	if r.isolated[front] == on {
 		return
 	}
-	r.cut[front] = on
+	r.isolated[front] = on
 	what := record.Heard
 	if on {
 		what = record.Deaf
@@ -63,44 +62,46 @@
 	r.Record().Add(record.Event{Who: "rig", What: what, Front: fmt.Sprintf("front-%d", front)})
 }
 
-// Down kills a front, Up starts it again: on its disk, with a copy put back, or with none.
-func (r *Rig) Down(front int) {
+// KillFront kills a front; its disk stays.
+func (r *Rig) KillFront(front int) {
 	r.mu.Lock()
 	r.down[front] = true
 	r.mu.Unlock()
 	r.World.Kill(front)
 }
 
-// Up see Down.
-func (r *Rig) Up(front int) error {
+// RestartFront starts a killed front with its disk, an older copy of it, or none. An isolated front counts as
+// isolated until it has received the fleet's state, for which RestartFront waits at most 10 s.
+func (r *Rig) RestartFront(front int) error {
 	err := r.World.Start(front)
 	r.mu.Lock()
 	r.down[front] = false
-	wiped := r.cut[front]
+	isolated := r.isolated[front]
 	r.mu.Unlock()
-	for end := time.Now().Add(10 * time.Second); wiped && err == nil && time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if s, bad := r.Status(context.Background(), front); bad == nil && s.Fresh && s.Index > 1 {
-			r.deaf(front, false)
+	for deadline := time.Now().Add(10 * time.Second); isolated && err == nil && time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if s, statusErr := r.Status(context.Background(), front); statusErr == nil && s.Fresh && s.Index > 1 {
+			r.setIsolated(front, false)
 			break
 		}
 	}
 	return err
 }
 
-// Wipe takes a front's disk away; the front must be down. Until it has heard again it can't know what is out.
-func (r *Rig) Wipe(front int) error {
-	r.deaf(front, true)
+// WipeDisk removes a front's disk; the front must be down. Until it has received the state again it can't know what
+// is out.
+func (r *Rig) WipeDisk(front int) error {
+	r.setIsolated(front, true)
 	return os.RemoveAll(filepath.Join(r.State(front), "fleet"))
 }
 
-// Copy takes a copy of a front's disk, for PutBack; the front must be down.
-func (r *Rig) Copy(front int, to string) error {
+// CopyDisk copies a front's disk, for RestoreDisk; the front must be down.
+func (r *Rig) CopyDisk(front int, to string) error {
 	return os.CopyFS(to, os.DirFS(filepath.Join(r.State(front), "fleet")))
 }
 
-// PutBack puts a copy in the place of a front's disk.
-func (r *Rig) PutBack(front int, from string) error {
-	if err := r.Wipe(front); err != nil {
+// RestoreDisk replaces a front's disk by a copy; the front must be down.
+func (r *Rig) RestoreDisk(front int, from string) error {
+	if err := r.WipeDisk(front); err != nil {
 		return err
 	}
 	return os.CopyFS(filepath.Join(r.State(front), "fleet"), os.DirFS(from))
--- a/internal/rig/history.go
+++ b/internal/rig/history.go
@@ -8,18 +8,19 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// The history of commands is checked against one record that takes them one at a time: numbers of works grow in the order
-// in which asks were agreed on, the same key is the same work, and a work is ended by one command only. A command without
-// an answer may have happened or not, at any time after it was given; that it did shows in what its key is told later.
-
+// state is the state of the sequential model that the history of commands is checked against. The model takes
+// commands one at a time: the numbers of works grow in the order in which requests were agreed on, the same key is
+// the same work, and a work is ended by one command only. A command without an answer may have been carried out or
+// not, at any time after it was sent; that it was shows in a later answer to its key.
 type state struct {
-	last  uint64
-	keys  map[string]uint64
-	ended map[uint64]string // works, by the key of the command that ended each
+	lastID uint64
+	keys   map[string]uint64
+	ended  map[uint64]string // works, by the key of the command that ended each
 }
 
+// with gives a changed copy.
 func (s state) with(change func(*state)) state {
-	c := state{last: s.last, keys: map[string]uint64{}, ended: map[uint64]string{}}
+	c := state{lastID: s.lastID, keys: map[string]uint64{}, ended: map[uint64]string{}}
 	for k, v := range s.keys {
 		c.keys[k] = v
 	}
@@ -30,6 +31,7 @@
 	return c
 }
 
+// model is the sequential model of the commands that Linearizable checks against.
 var model = porcupine.Model{
 	Init: func() any { return state{} },
 	Step: func(at, in, _ any) (bool, any) {
@@ -38,7 +40,7 @@
 			if id, known := s.keys[c.Key]; known {
 				return id == c.Answer.ID, s
 			}
-			return c.Answer.ID > s.last, s.with(func(n *state) { n.last, n.keys[c.Key] = c.Answer.ID, c.Answer.ID })
+			return c.Answer.ID > s.lastID, s.with(func(n *state) { n.lastID, n.keys[c.Key] = c.Answer.ID, c.Answer.ID })
 		}
 		by, over := s.ended[c.ID]
 		return !over || by == c.Key, s.with(func(n *state) { n.ended[c.ID] = c.Key })
@@ -46,26 +48,27 @@
 	Equal: func(a, b any) bool { return reflect.DeepEqual(a, b) },
 }
 
-// Linearizable tells whether the commands could have been taken one at a time.
-func Linearizable(calls []Call, within time.Duration) bool {
-	told := map[string]Call{}
+// Linearizable tells whether some order of the commands, taken one at a time, explains their answers. It is false,
+// too, if the check is not done before the timeout.
+func Linearizable(calls []Call, timeout time.Duration) bool {
+	answered := map[string]Call{}
 	for _, c := range calls {
 		if !c.Unknown && c.Answer.Err == "" {
-			told[c.Kind+c.Key] = c
+			answered[c.Kind+c.Key] = c
 		}
 	}
 	var history []porcupine.Operation
 	for _, c := range calls {
 		if c.Unknown {
-			other, known := told[c.Kind+c.Key]
+			other, known := answered[c.Kind+c.Key]
 			if !known {
 				continue
 			}
-			c.Answer, c.End = other.Answer, math.MaxInt64
+			c.Answer, c.EndedAt = other.Answer, math.MaxInt64
 		}
 		if c.Answer.Err == "" {
-			history = append(history, porcupine.Operation{Input: c, Call: c.Begin, Return: c.End})
+			history = append(history, porcupine.Operation{Input: c, Call: c.StartedAt, Return: c.EndedAt})
 		}
 	}
-	return porcupine.CheckOperationsTimeout(model, history, within) == porcupine.Ok
+	return porcupine.CheckOperationsTimeout(model, history, timeout) == porcupine.Ok
 }
--- a/internal/rig/net.go
+++ b/internal/rig/net.go
@@ -1,6 +1,6 @@
-// Package rig puts faults between real fronts of a fleet: every ordered pair of them talks through a relay of its own, TCP
-// and UDP, that can drop, delay, cut one way, stall, reset and let through again. It is for tests and scripted days; it
-// stands outside the fronts and may import the stand-ins, the day and the auditor.
+// Package rig injects faults between real fronts of a fleet: every ordered pair of them communicates through a relay
+// of its own, TCP and UDP, that can drop, delay, cut one way, stall, reset and pass on again. It is for tests and
+// scripted days; it runs outside the fronts and may import the stand-ins, the day and the auditor.
 package rig
 
 import (
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// Fault is what a relay does to what goes one way.
+// Fault is what a relay does to the traffic in one direction.
 type Fault struct {
-	Cut   bool          // nothing gets through; connections stay as they are
-	Stall bool          // connections are accepted and nothing is passed on, but kept: it comes when the stall ends
-	Loss  float64       // share of datagrams that are lost
-	Delay time.Duration // of all
+	Cut   bool          // nothing is passed on; connections stay open
+	Stall bool          // connections are accepted, and their data is held back until the stall ends
+	Loss  float64       // share of datagrams that are dropped
+	Delay time.Duration // of all data
 }
 
-// Net is the relays between some fronts.
+// Net is a set of relays between fronts.
 type Net struct {
 	mu     sync.Mutex
 	faults map[[2]int]Fault
@@ -29,21 +29,22 @@
 	relays []*relay
 	group  sync.WaitGroup
 	closed bool
-	live   map[net.Conn][2]int
+	conns  map[net.Conn][2]int
 }
 
+// relay passes on what one front sends to another, and the replies on its TCP connections.
 type relay struct {
 	n        *Net
 	from, to int
-	addr     string // where the one connects
-	target   string // where the other listens
-	ln       net.Listener
+	addr     string // where the sending front connects to
+	target   string // where the receiving front listens
+	listener net.Listener
 	udp      net.PacketConn
 }
 
-// NewNet makes relays between all pairs of fronts, given where each listens.
+// NewNet makes relays between all ordered pairs of fronts, given the addresses at which they listen.
 func NewNet(seed int64, listen []string) (*Net, error) {
-	n := &Net{faults: map[[2]int]Fault{}, rng: rand.New(rand.NewSource(seed)), live: map[net.Conn][2]int{}}
+	n := &Net{faults: map[[2]int]Fault{}, rng: rand.New(rand.NewSource(seed)), conns: map[net.Conn][2]int{}}
 	for from := range listen {
 		for to := range listen {
 			if from == to {
@@ -59,6 +60,7 @@
 	return n, nil
 }
 
+// listen opens a TCP and a UDP socket on one port and starts relaying.
 func (r *relay) listen() error {
 	for range 50 {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,17 +71,17 @@
 			ln.Close()
 			continue
 		}
-		r.ln, r.addr = ln, ln.Addr().String()
+		r.listener, r.addr = ln, ln.Addr().String()
 		r.n.group.Add(2)
 		go r.accept()
-		go r.packets()
+		go r.forwardDatagrams()
 		return nil
 	}
 	return fmt.Errorf("rig: no port for the relay from %d to %d", r.from, r.to)
 }
 
-// Via is where one front reaches another.
-func (n *Net) Via(from, to int) string {
+// Address gives the address at which one front reaches another.
+func (n *Net) Address(from, to int) string {
 	for _, r := range n.relays {
 		if r.from == from && r.to == to {
 			return r.addr
@@ -88,14 +90,14 @@
 	return ""
 }
 
-// Set sets what happens to all that goes from one front to another.
+// Set sets the fault of the traffic from one front to another.
 func (n *Net) Set(from, to int, f Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults[[2]int{from, to}] = f
 }
 
-// Between sets both ways between two groups.
+// Between sets the fault of the traffic between two groups of fronts, both ways.
 func (n *Net) Between(left, right []int, f Fault) {
 	for _, a := range left {
 		for _, b := range right {
@@ -105,18 +107,18 @@
 	}
 }
 
-// Heal lets all through again.
+// Heal ends all faults.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults = map[[2]int]Fault{}
 }
 
-// Reset breaks the connections between two fronts.
+// Reset resets the connections between two fronts.
 func (n *Net) Reset(a, b int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for c, pair := range n.live {
+	for c, pair := range n.conns {
 		if pair == [2]int{a, b} || pair == [2]int{b, a} {
 			c.(*net.TCPConn).SetLinger(0)
 			c.Close()
@@ -130,86 +132,90 @@
 	return n.faults[[2]int{from, to}]
 }
 
-func (n *Net) draw() float64 {
+func (n *Net) random() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.rng.Float64()
 }
 
-// Close ends all relays.
+// Close closes all relays and their connections.
 func (n *Net) Close() error {
 	n.mu.Lock()
 	n.closed = true
-	for c := range n.live {
+	for c := range n.conns {
 		c.Close()
 	}
 	n.mu.Unlock()
 	for _, r := range n.relays {
-		r.ln.Close()
+		r.listener.Close()
 		r.udp.Close()
 	}
 	n.group.Wait()
 	return nil
 }
 
+// accept accepts connections and relays each in its own goroutine.
 func (r *relay) accept() {
 	defer r.n.group.Done()
 	for {
-		c, err := r.ln.Accept()
+		c, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		if !r.n.hold(c, r.from, r.to) {
+		if !r.n.track(c, r.from, r.to) {
 			c.Close()
 			return
 		}
 		r.n.group.Add(1)
-		go r.carry(c)
+		go r.forward(c)
 	}
 }
 
-func (n *Net) hold(c net.Conn, from, to int) bool {
+// track keeps a connection to be closed by Reset or Close; it gives false if the relays are closed.
+func (n *Net) track(c net.Conn, from, to int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.closed {
 		return false
 	}
-	n.live[c] = [2]int{from, to}
+	n.conns[c] = [2]int{from, to}
 	return true
 }
 
-func (n *Net) let(c net.Conn) {
+// closeTracked closes a tracked connection.
+func (n *Net) closeTracked(c net.Conn) {
 	n.mu.Lock()
-	delete(n.live, c)
+	delete(n.conns, c)
 	n.mu.Unlock()
 	c.Close()
 }
 
-// carry passes a connection on: what goes there by the one way's fault, what comes back by the other's.
-func (r *relay) carry(c net.Conn) {
+// forward relays a connection: data to the target is subject to the fault of that direction, replies to the other
+// one's.
+func (r *relay) forward(client net.Conn) {
 	defer r.n.group.Done()
-	defer r.n.let(c)
-	if f := r.n.fault(r.from, r.to); f.Cut { // a connect that nobody answers: on loopback, one that is silent
-		io.Copy(io.Discard, c)
+	defer r.n.closeTracked(client)
+	if f := r.n.fault(r.from, r.to); f.Cut { // stands for a connect without an answer: on loopback, a silent connection
+		io.Copy(io.Discard, client)
 		return
 	}
-	d, err := net.DialTimeout("tcp", r.target, time.Second)
+	server, err := net.DialTimeout("tcp", r.target, time.Second)
 	if err != nil {
 		return
 	}
-	if !r.n.hold(d, r.from, r.to) {
-		d.Close()
+	if !r.n.track(server, r.from, r.to) {
+		server.Close()
 		return
 	}
-	defer r.n.let(d)
+	defer r.n.closeTracked(server)
 	done := make(chan struct{}, 2)
-	pass := func(dst, src net.Conn, from, to int) {
+	copyOneWay := func(dst, src net.Conn, from, to int) {
 		defer func() { done <- struct{}{} }()
 		b := make([]byte, 16<<10)
 		for {
 			k, err := src.Read(b)
 			if k > 0 {
-				for r.n.fault(from, to).Stall && !r.n.over() {
+				for r.n.fault(from, to).Stall && !r.n.isClosed() {
 					time.Sleep(10 * time.Millisecond)
 				}
 				f := r.n.fault(from, to)
@@ -228,19 +234,21 @@
 			}
 		}
 	}
-	go pass(d, c, r.from, r.to)
-	go pass(c, d, r.to, r.from)
+	go copyOneWay(server, client, r.from, r.to)
+	go copyOneWay(client, server, r.to, r.from)
 	<-done
 	<-done
 }
 
-func (n *Net) over() bool {
+// isClosed tells whether Close was called.
+func (n *Net) isClosed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.closed
 }
 
-func (r *relay) packets() {
+// forwardDatagrams relays datagrams.
+func (r *relay) forwardDatagrams() {
 	defer r.n.group.Done()
 	out, err := net.Dial("udp", r.target)
 	if err != nil {
@@ -254,7 +262,7 @@
 			return
 		}
 		f := r.n.fault(r.from, r.to)
-		if f.Cut || f.Stall || f.Loss > 0 && r.n.draw() < f.Loss {
+		if f.Cut || f.Stall || f.Loss > 0 && r.n.random() < f.Loss {
 			continue
 		}
 		if f.Delay > 0 {
--- a/internal/rig/operator.go
+++ b/internal/rig/operator.go
@@ -13,19 +13,17 @@
 	"tealledge/internal/standin/mediasim"
 )
 
-// Whoever works on the machines that are let go.
-
-// work looks at what is let go, as an operator would: by the word of whichever front answers with news. A machine that is
-// out is taken down, worked on, brought up again and reported.
-func (r *Rig) work(ctx context.Context) {
+// runOperator acts as an operator: it reads the list of works from each front in turn. A machine that is out is
+// stopped, worked on, started again and reported as done.
+func (r *Rig) runOperator(ctx context.Context) {
 	defer r.group.Done()
 	for turn := 0; ctx.Err() == nil; turn++ {
 		if front := turn % r.fronts; !r.isDown(front) {
-			look, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
-			l, err := r.Works(look, front)
+			listCtx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
+			l, err := r.Works(listCtx, front)
 			cancel()
 			if err == nil {
-				r.see(ctx, l)
+				r.handleListing(ctx, l)
 			}
 		}
 		select {
@@ -35,54 +33,55 @@
 	}
 }
 
-func (r *Rig) see(ctx context.Context, l node.Listing) {
+// handleListing starts the work on machines that are newly out and records works that have ended.
+func (r *Rig) handleListing(ctx context.Context, l node.Listing) {
 	for _, x := range l.Works {
 		r.mu.Lock()
-		j := r.works[x.ID]
+		j := r.jobs[x.ID]
 		if j == nil {
 			j = &job{}
 			for _, p := range x.Ask.Servers {
 				j.servers = append(j.servers, p.Server)
 			}
-			r.works[x.ID] = j
+			r.jobs[x.ID] = j
 		}
-		start, over := x.Phase == ledger.Out && !j.taken, x.Phase.Ended() && !j.done
-		j.taken, j.done = j.taken || start, j.done || over
+		start, ended := x.Phase == ledger.Out && !j.started, x.Phase.Ended() && !j.ended
+		j.started, j.ended = j.started || start, j.ended || ended
 		r.mu.Unlock()
 		if start && l.Fresh {
 			r.group.Add(1)
-			go r.do(ctx, x.ID, j)
+			go r.performWork(ctx, x.ID, j)
 		} else if start {
 			r.mu.Lock()
-			j.taken = false // an old word is nothing to take a machine down by
+			j.started = false // a stale listing is no reason to stop a machine
 			r.mu.Unlock()
 		}
-		if over {
+		if ended {
 			r.Record().Add(record.Event{Who: "operator", What: record.WorkEnded, Call: fmt.Sprint(x.ID), Text: string(x.Phase) + ": " + x.Why})
 		}
 	}
 }
 
-// Hold sets how long machines are worked on from now on.
-func (r *Rig) Hold(d time.Duration) {
+// SetWorkTime sets how long machines are worked on from now on.
+func (r *Rig) SetWorkTime(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hold = d
+	r.workTime = d
 }
 
-func (r *Rig) holds() time.Duration {
+func (r *Rig) currentWorkTime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.hold
+	return r.workTime
 }
 
-// do works on machines.
-func (r *Rig) do(ctx context.Context, id uint64, j *job) {
+// performWork stops the machines of a work for the set time, starts them again and reports the work as done.
+func (r *Rig) performWork(ctx context.Context, id uint64, j *job) {
 	defer r.group.Done()
 	for _, s := range j.servers {
 		r.Record().Add(record.Event{Who: "operator", What: record.TakenOut, Server: s, Call: fmt.Sprint(id)})
 	}
-	time.Sleep(300 * time.Millisecond) // still up: what comes now is seen
+	time.Sleep(300 * time.Millisecond) // still running: set-ups that arrive now are recorded
 	var down []*mediasim.Server
 	for _, m := range r.Servers() {
 		for _, s := range j.servers {
@@ -93,7 +92,7 @@
 		}
 	}
 	select {
-	case <-time.After(r.holds()):
+	case <-time.After(r.currentWorkTime()):
 	case <-ctx.Done():
 	}
 	for _, m := range down {
@@ -104,12 +103,12 @@
 	for _, s := range j.servers {
 		r.Record().Add(record.Event{Who: "operator", What: record.BroughtBack, Server: s, Call: fmt.Sprint(id)})
 	}
-	for try := 0; ctx.Err() == nil; try++ { // reported at one front after another, until one has it agreed
+	for try := 0; ctx.Err() == nil; try++ { // report to one front after another until one has it agreed on
 		front := try % r.fronts
 		if r.isDown(front) {
 			continue
 		}
-		a, err := r.Order(ctx, front, "done", fmt.Sprintf("done-%d", id), id)
+		a, err := r.CommandWork(ctx, front, "done", fmt.Sprintf("done-%d", id), id)
 		if err == nil && a.Err != core.ErrUnknown {
 			return
 		}
@@ -117,27 +116,28 @@
 	}
 }
 
-// Freeze has a front stand still, and Thaw go on: what it sends then it may send by what it knew before.
-func (r *Rig) Freeze(front int) {
-	r.deaf(front, true)
+// PauseFront stops a front's process, until ResumeFront; what it sends when it goes on may rest on what it knew
+// before.
+func (r *Rig) PauseFront(front int) {
+	r.setIsolated(front, true)
 	r.mu.Lock()
 	r.down[front] = true
 	r.mu.Unlock()
 	r.World.Stop(front)
 }
 
-// Thaw see Freeze.
-func (r *Rig) Thaw(front int) {
+// ResumeFront lets a paused front go on.
+func (r *Rig) ResumeFront(front int) {
 	r.World.Continue(front)
 	r.mu.Lock()
 	r.down[front] = false
 	r.mu.Unlock()
-	r.deaf(front, false)
+	r.setIsolated(front, false)
 }
 
-// Judge has the fronts leave and judges the record by all rules.
-func (r *Rig) Judge(ctx context.Context, u audit.Upkeep) (*audit.Report, error) {
-	r.end()
+// Judge stops the fronts and checks the record by all rules, those of upkeep included.
+func (r *Rig) Judge(ctx context.Context, upkeep audit.Upkeep) (*audit.Report, error) {
+	r.cancel()
 	r.group.Wait()
 	r.Record().Add(record.Event{Who: "rig", What: record.Sure})
 	report, err := r.World.Judge(ctx)
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, err
 	}
-	broken, checked := audit.JudgeUpkeep(events, u)
+	broken, checked := audit.JudgeUpkeep(events, upkeep)
 	report.Violations = append(report.Violations, broken...)
 	for rule, n := range checked {
 		report.Checked[rule] += n
--- a/internal/rig/random.go
+++ b/internal/rig/random.go
@@ -16,13 +16,12 @@
 	"tealledge/internal/sexp"
 )
 
-// Random faults, drawn from a seed and written as a script that can be played again:
+// Step is one fault, or one command of operators. Random steps are drawn from a seed and written as a script that can
+// be played again:
 //
 //	(faults (fault 1.5s kill 2 0 3s) ...)
 //
-// each with its time, its kind, up to two fronts or servers that it is about, and how long it lasts.
-
-// Step is one fault, or one thing that operators do.
+// each with its time, its kind, up to two fronts or servers that it concerns, and how long it lasts.
 type Step struct {
 	At   time.Duration
 	Kind string
@@ -30,25 +29,26 @@
 	For  time.Duration
 }
 
-// Kinds of steps. wipe and putback take a voter's disk; a majority of disks lost at once is a record lost, which no fleet
-// survives, so these wait until all are well.
+// Kinds are the kinds of steps. wipe and putback remove or replace a voter's disk. If a majority of disks is lost at
+// once, the record is lost, which no fleet survives; so these two wait until the fleet is healthy.
 var Kinds = []string{"kill", "freeze", "mute", "split", "stall", "loss", "reset", "fail", "ask", "cancel", "wipe", "putback"}
 
-// weights of the kinds: asks are what the faults are to disturb.
-var weights = []int{6, 5, 4, 4, 3, 4, 4, 3, 14, 2, 1, 1}
+// kindWeights are the weights of the kinds in a random script. ask has the highest: requests are what faults have to
+// disturb.
+var kindWeights = []int{6, 5, 4, 4, 3, 4, 4, 3, 14, 2, 1, 1}
 
-// Random draws a script of so many faults; asks and cancels come beside them.
+// RandomScript draws a script with the given number of faults; steps of kinds ask and cancel are not counted.
 func Random(seed int64, faults, fronts, servers int) (list []Step) {
 	rng := rand.New(rand.NewSource(seed))
-	var drawn []string
+	var choices []string
 	for i, k := range Kinds {
-		for range weights[i] {
-			drawn = append(drawn, k)
+		for range kindWeights[i] {
+			choices = append(choices, k)
 		}
 	}
 	at := time.Second
 	for n := 0; n < faults; {
-		s := Step{At: at, Kind: drawn[rng.Intn(len(drawn))], A: rng.Intn(fronts), B: rng.Intn(fronts),
+		s := Step{At: at, Kind: choices[rng.Intn(len(choices))], A: rng.Intn(fronts), B: rng.Intn(fronts),
 			For: time.Duration(800+rng.Intn(3200)) * time.Millisecond}
 		if s.Kind == "ask" || s.Kind == "fail" {
 			s.B = 1 + rng.Intn(servers)
@@ -65,7 +65,7 @@
 	return list
 }
 
-// Write writes a script.
+// WriteScript writes a script as text.
 func Write(w io.Writer, list []Step) error {
 	fmt.Fprintln(w, "(faults")
 	for _, s := range list {
@@ -75,10 +75,10 @@
 	return err
 }
 
-// stepsMost bounds a script.
-const stepsMost = 100_000
+// maxSteps limits the steps of a script.
+const maxSteps = 100_000
 
-// Read reads a script; every mistake is told with its place.
+// ReadScript reads a script; an error gives the position of the mistake.
 func Read(path, text string, fronts, servers int) (list []Step, err error) {
 	nodes, err := sexp.Read(path, text)
 	if err != nil {
@@ -86,8 +86,8 @@
 	}
 	r := &config.Reader{}
 	for _, n := range nodes {
-		if n.Head() != "faults" || len(n.Args()) > stepsMost {
-			r.Fail(n, "want one (faults ...) of %d at most", stepsMost)
+		if n.Head() != "faults" || len(n.Args()) > maxSteps {
+			r.Fail(n, "want one (faults ...) of %d at most", maxSteps)
 			continue
 		}
 		for _, f := range n.Args() {
@@ -95,11 +95,12 @@
 				r.Fail(f, "want (fault AT KIND A B FOR)")
 				continue
 			}
-			one := func(i int) *sexp.Node {
+			argument := func(i int) *sexp.Node {
 				return &sexp.Node{Pos: f.Pos, IsList: true, List: []*sexp.Node{f.List[0], f.List[i]}}
 			}
-			s := Step{At: r.Span(one(1), 0, 24*time.Hour), Kind: r.Choice(one(2), Kinds...), A: r.Int(one(3), 0, fronts-1),
-				B: r.Int(one(4), 0, max(fronts-1, servers)), For: r.Span(one(5), 0, time.Hour)}
+			s := Step{At: r.Span(argument(1), 0, 24*time.Hour), Kind: r.Choice(argument(2), Kinds...),
+				A: r.Int(argument(3), 0, fronts-1),
+				B: r.Int(argument(4), 0, max(fronts-1, servers)), For: r.Span(argument(5), 0, time.Hour)}
 			if s.Kind != "ask" && s.Kind != "fail" && s.B >= fronts {
 				r.Fail(f, "%s: there is no front %d", s.Kind, s.B)
 			}
@@ -113,15 +114,15 @@
 	return list, nil
 }
 
-// Play plays a script and gives how many faults were brought about; it ends with a whole fleet.
+// Play plays a script and gives the number of faults injected; after the last it waits for a healthy fleet.
 func (r *Rig) Play(ctx context.Context, list []Step) (faults int, err error) {
-	p := &play{Rig: r, busy: map[int]bool{}, copies: map[int]string{}}
-	began := time.Now()
+	p := &scriptRun{Rig: r, reserved: map[int]bool{}, diskCopies: map[int]string{}}
+	startedAt := time.Now()
 	for i, s := range list {
 		select {
 		case <-ctx.Done():
 			return faults, ctx.Err()
-		case <-time.After(time.Until(began.Add(s.At + p.waited))):
+		case <-time.After(time.Until(startedAt.Add(s.At + p.waitTime))):
 		}
 		if p.step(ctx, i, s) && s.Kind != "ask" && s.Kind != "cancel" {
 			faults++
@@ -130,45 +131,46 @@
 	p.group.Wait()
 	r.Heal()
 	if !r.Whole(ctx, 60*time.Second) {
-		return faults, fmt.Errorf("the fleet is not whole a minute after the last fault")
+		return faults, fmt.Errorf("the fleet is not healthy a minute after the last fault")
 	}
-	return faults, p.failed
+	return faults, p.firstErr
 }
 
-type play struct {
+// scriptRun is the state of a script that is being played.
+type scriptRun struct {
 	*Rig
-	mu     sync.Mutex
-	busy   map[int]bool // fronts that a fault holds
-	group  sync.WaitGroup
-	copies map[int]string
-	waited time.Duration // for a whole fleet, where a step needs one
-	asked  int
-	failed error
+	mu         sync.Mutex
+	reserved   map[int]bool // fronts, and servers from 1000 on, that a fault is using
+	group      sync.WaitGroup
+	diskCopies map[int]string
+	waitTime   time.Duration // total time that steps waited for a healthy fleet
+	firstErr   error
 }
 
-// hold takes a front for a fault, if none has it.
-func (p *play) hold(front int) bool {
+// reserve reserves a front or server for a fault; it gives false if another fault is using it.
+func (p *scriptRun) reserve(front int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.busy[front] {
+	if p.reserved[front] {
 		return false
 	}
-	p.busy[front] = true
+	p.reserved[front] = true
 	return true
 }
 
-func (p *play) let(front int, err error) {
+// release ends a reservation and keeps the first error.
+func (p *scriptRun) release(front int, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, front)
-	if err != nil && p.failed == nil {
-		p.failed = err
+	delete(p.reserved, front)
+	if err != nil && p.firstErr == nil {
+		p.firstErr = err
 	}
 }
 
-// step brings one about; false: not now.
-func (p *play) step(ctx context.Context, i int, s Step) bool {
-	later := func(f func()) {
+// step carries out a step; false: it is not possible now.
+func (p *scriptRun) step(ctx context.Context, i int, s Step) bool {
+	afterStep := func(f func()) {
 		p.group.Add(1)
 		go func() {
 			defer p.group.Done()
@@ -179,45 +181,45 @@
 	p.Record().Add(record.Event{Who: "rig", What: record.Trouble, Text: fmt.Sprintf("%s %d %d", s.Kind, s.A, s.B)})
 	switch s.Kind {
 	case "kill":
-		if !p.hold(s.A) {
+		if !p.reserve(s.A) {
 			return false
 		}
-		p.Down(s.A)
-		later(func() { p.let(s.A, p.Up(s.A)) })
+		p.KillFront(s.A)
+		afterStep(func() { p.release(s.A, p.RestartFront(s.A)) })
 	case "freeze":
-		if !p.hold(s.A) {
+		if !p.reserve(s.A) {
 			return false
 		}
-		p.Freeze(s.A)
-		later(func() { p.Thaw(s.A); p.let(s.A, nil) })
+		p.PauseFront(s.A)
+		afterStep(func() { p.ResumeFront(s.A); p.release(s.A, nil) })
 	case "mute", "split":
 		if s.Kind == "mute" {
 			p.Mute(s.A)
 		} else {
 			p.Split(s.A, s.B)
 		}
-		later(p.Heal)
+		afterStep(p.Heal)
 	case "stall", "loss":
 		f := Fault{Stall: s.Kind == "stall"}
 		if s.Kind == "loss" {
 			f = Fault{Loss: 0.4, Delay: 30 * time.Millisecond}
 		}
 		p.Net.Between([]int{s.A}, []int{s.B}, f)
-		later(func() { p.Net.Between([]int{s.A}, []int{s.B}, Fault{}) })
+		afterStep(func() { p.Net.Between([]int{s.A}, []int{s.B}, Fault{}) })
 	case "reset":
 		p.Net.Reset(s.A, s.B)
 	case "fail":
 		m := p.Servers()[(s.B-1)%len(p.Servers())]
-		if !m.Up() || !p.hold(1000+int(m.ID)) {
+		if !m.Up() || !p.reserve(1000+int(m.ID)) {
 			return false
 		}
 		m.Kill()
 		p.World.List(m, "removed")
-		later(func() {
+		afterStep(func() {
 			if !m.Up() {
-				p.let(1000+int(m.ID), m.Restart())
+				p.release(1000+int(m.ID), m.Restart())
 			} else {
-				p.let(1000+int(m.ID), nil)
+				p.release(1000+int(m.ID), nil)
 			}
 			p.World.List(m, "ready")
 		})
@@ -225,13 +227,14 @@
 		p.group.Add(1)
 		go func() {
 			defer p.group.Done()
-			for try := 0; try < 40 && ctx.Err() == nil; try++ { // asked until it is answered: an ask left open ends in nothing
+			// The request is repeated until it is answered; an abandoned one would come to nothing.
+			for try := 0; try < 40 && ctx.Err() == nil; try++ {
 				front := (s.A + try) % p.fronts
 				if p.isDown(front) {
 					time.Sleep(50 * time.Millisecond)
 					continue
 				}
-				if a, err := p.Ask(ctx, front, fmt.Sprintf("step-%d", i), uint32(s.B)); err == nil && a.Err == "" {
+				if a, err := p.RequestWork(ctx, front, fmt.Sprintf("step-%d", i), uint32(s.B)); err == nil && a.Err == "" {
 					return
 				}
 			}
@@ -239,8 +242,8 @@
 	case "cancel":
 		p.mu.Lock()
 		var ids []uint64
-		for id, j := range p.works {
-			if !j.taken && !j.done {
+		for id, j := range p.jobs {
+			if !j.started && !j.ended {
 				ids = append(ids, id)
 			}
 		}
@@ -252,75 +255,76 @@
 		p.group.Add(1)
 		go func() {
 			defer p.group.Done()
-			p.Order(ctx, s.A, "cancel", fmt.Sprintf("cancel-%d", i), ids[0])
+			p.CommandWork(ctx, s.A, "cancel", fmt.Sprintf("cancel-%d", i), ids[0])
 		}()
 	case "wipe", "putback":
-		return p.disk(ctx, s)
+		return p.replaceDisk(ctx, s)
 	}
 	return true
 }
 
-// disk takes a voter's disk away, or puts an older copy of it back, when all else is well.
-func (p *play) disk(ctx context.Context, s Step) bool {
-	began := time.Now()
-	defer func() { p.waited += time.Since(began) }()
-	v := s.A % p.voters
+// replaceDisk removes a voter's disk, or replaces it by an older copy, once the fleet is healthy.
+func (p *scriptRun) replaceDisk(ctx context.Context, s Step) bool {
+	startedAt := time.Now()
+	defer func() { p.waitTime += time.Since(startedAt) }()
+	voter := s.A % p.voters
 	p.group.Wait()
 	p.Heal()
 	if !p.Whole(ctx, 40*time.Second) {
 		return false
 	}
-	p.Down(v)
+	p.KillFront(voter)
 	var err error
-	old, have := p.copies[v]
+	oldCopy, haveCopy := p.diskCopies[voter]
 	switch {
 	case s.Kind == "wipe":
-		err = p.Wipe(v)
-	case have:
-		err = p.PutBack(v, old)
+		err = p.WipeDisk(voter)
+	case haveCopy:
+		err = p.RestoreDisk(voter, oldCopy)
 	}
-	if !have && err == nil && s.Kind == "putback" { // the copy for the next time
-		dir, made := os.MkdirTemp(p.Dir(), "copy-")
-		if err = made; err == nil {
-			p.copies[v] = filepath.Join(dir, "fleet")
-			err = p.Copy(v, p.copies[v])
+	if !haveCopy && err == nil && s.Kind == "putback" { // the copy for the next putback
+		dir, mkdirErr := os.MkdirTemp(p.Dir(), "copy-")
+		if err = mkdirErr; err == nil {
+			p.diskCopies[voter] = filepath.Join(dir, "fleet")
+			err = p.CopyDisk(voter, p.diskCopies[voter])
 		}
 	}
-	if up := p.Up(v); err == nil {
-		err = up
+	if restartErr := p.RestartFront(voter); err == nil {
+		err = restartErr
 	}
-	if err != nil && p.failed == nil {
-		p.failed = err
+	if err != nil && p.firstErr == nil {
+		p.firstErr = err
 	}
 	p.Whole(ctx, 40*time.Second)
 	return err == nil
 }
 
-// Whole waits until one front leads and all are here and know what is new.
-func (r *Rig) Whole(ctx context.Context, most time.Duration) bool {
-	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
-		if r.whole(ctx) {
+// WaitUntilHealthy waits until the fleet is healthy; it gives false if it is not before the timeout.
+func (r *Rig) Whole(ctx context.Context, timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
+		if r.healthy(ctx) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Rig) whole(ctx context.Context) bool {
+// healthy tells whether one front leads, and all fronts are present and have fresh state.
+func (r *Rig) healthy(ctx context.Context) bool {
 	if r.Leader(ctx) < 0 {
 		return false
 	}
 	for i := range r.fronts {
-		look, cancel := context.WithTimeout(ctx, time.Second)
-		s, err := r.Status(look, i)
+		statusCtx, cancel := context.WithTimeout(ctx, time.Second)
+		s, err := r.Status(statusCtx, i)
 		cancel()
-		here := 0
+		present := 0
 		for _, h := range s.Here {
 			if h.Here {
-				here++
+				present++
 			}
 		}
-		if err != nil || !s.Fresh || s.Silent || here != r.fronts {
+		if err != nil || !s.Fresh || s.Silent || present != r.fronts {
 			return false
 		}
 	}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -15,50 +15,51 @@
 	"tealledge/internal/standin/ports"
 )
 
-// Rig is a fleet of fronts as processes, with relays between them, media stand-ins, viewers, and somebody who works on
-// machines that are let go.
+// Rig is a fleet of fronts as processes, with relays between them, media stand-ins, viewers, and a simulated operator
+// who works on the machines that are out.
 type Rig struct {
 	*day.World
-	Net    *Net
-	ports  *ports.Kept // where fronts listen for each other
-	fronts int
-	voters int
-	mu     sync.Mutex
-	cut    map[int]bool
-	down   map[int]bool
-	works  map[uint64]*job
-	calls  []Call
-	client *http.Client
-	end    context.CancelFunc
-	group  sync.WaitGroup
-	hold   time.Duration // how long machines are worked on
+	Net      *Net
+	ports    *ports.Kept // reserved for the fronts' listeners
+	fronts   int
+	voters   int
+	mu       sync.Mutex
+	isolated map[int]bool
+	down     map[int]bool
+	jobs     map[uint64]*job
+	calls    []Call
+	client   *http.Client
+	cancel   context.CancelFunc
+	group    sync.WaitGroup
+	workTime time.Duration // how long machines are worked on
 }
 
-// job is a work of which this rig has to do its part.
+// job is a work as the simulated operator sees it.
 type job struct {
 	servers []uint32
-	taken   bool
-	done    bool
+	started bool
+	ended   bool
 }
 
-// Call is a command and its answer, for the check of the record's history.
+// Call is a command and its answer, for the check of the history.
 type Call struct {
-	Kind       string
-	Key        string
-	ID         uint64
-	Begin, End int64
-	Answer     ledger.Answer
-	Unknown    bool // no answer, or one that leaves it open
+	Kind               string
+	Key                string
+	ID                 uint64
+	StartedAt, EndedAt int64
+	Answer             ledger.Answer
+	Unknown            bool // no answer, or one that does not say whether the command was carried out
 }
 
-// Limits are what the rig's settings allow, as the auditor is to know them.
+// Limits are the limits in the rig's settings, for the auditor.
 var Limits = audit.Upkeep{Rack: 1, Zone: 2, Whole: 3, Grace: 250 * time.Millisecond}
 
-// settings gives the (fleet ...) form of one front.
-func settings(me, fronts, voters int, listen []string, n *Net) string {
+// settings gives the (fleet ...) form of one front's settings.
+func settings(front, fronts, voters int, listen []string, n *Net) string {
 	name := func(i int) string { return fmt.Sprintf("front-%d", i) }
 	b := &strings.Builder{}
-	fmt.Fprintf(b, "(fleet (cluster rig) (listen %q) (control \"127.0.0.1:0\") (keys %q)\n (voters", listen[me], strings.Repeat("5a", 32))
+	fmt.Fprintf(b, "(fleet (cluster rig) (listen %q) (control \"127.0.0.1:0\") (keys %q)\n (voters",
+		listen[front], strings.Repeat("5a", 32))
 	for i := range voters {
 		fmt.Fprintf(b, " (voter %q (zone \"z%d\"))", name(i), i+1)
 	}
@@ -68,8 +69,8 @@
 	}
 	b.WriteString(")\n (via")
 	for i := range fronts {
-		if i != me {
-			fmt.Fprintf(b, " (front %q %q)", name(i), n.Via(me, i))
+		if i != front {
+			fmt.Fprintf(b, " (front %q %q)", name(i), n.Address(front, i))
 		}
 	}
 	fmt.Fprintf(b, ")\n (upkeep (rack %d) (zone %d) (whole %d) (holders 1) (margin 0.1) (paid 100) (patience 5s)\n  (hear 3s) (drain 12s) (late 8s) (back 2s) (stale 6s)))\n",
@@ -77,14 +78,15 @@
 	return b.String()
 }
 
-// Open starts fronts, of which some vote, on a day's stand-ins.
+// Open starts a day's stand-ins and its fronts, of which the first ones are voters.
 func Open(ctx context.Context, s *day.Script, o day.Options, voters int) (*Rig, error) {
 	kept, err := ports.Keep(s.Fronts)
 	if err != nil {
 		return nil, err
 	}
 	listen := kept.Addrs
-	r := &Rig{ports: kept, fronts: s.Fronts, voters: voters, cut: map[int]bool{}, down: map[int]bool{}, works: map[uint64]*job{}, hold: 1500 * time.Millisecond,
+	r := &Rig{ports: kept, fronts: s.Fronts, voters: voters, isolated: map[int]bool{},
+		down: map[int]bool{}, jobs: map[uint64]*job{}, workTime: 1500 * time.Millisecond,
 		client: &http.Client{Timeout: 16 * time.Second}}
 	if r.Net, err = NewNet(s.Seed, listen); err != nil {
 		kept.Close()
@@ -94,15 +96,15 @@
 	if r.World, err = day.Open(ctx, s, o); err != nil {
 		return nil, errors.Join(err, r.Net.Close(), kept.Close())
 	}
-	ctx, r.end = context.WithCancel(ctx)
+	ctx, r.cancel = context.WithCancel(ctx)
 	r.group.Add(1)
-	go r.work(ctx)
+	go r.runOperator(ctx)
 	return r, nil
 }
 
-// Close ends all.
+// Close stops the fronts, relays and stand-ins.
 func (r *Rig) Close() {
-	r.end()
+	r.cancel()
 	r.group.Wait()
 	r.client.CloseIdleConnections()
 	r.World.Close()
@@ -110,13 +112,13 @@
 	r.ports.Close()
 }
 
-// AllSeen waits until every work that is known has ended, for a while.
+// WaitForWorks waits until all known works have ended, at most 2 minutes.
 func (r *Rig) AllSeen(ctx context.Context) {
 	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		open := 0
 		r.mu.Lock()
-		for _, j := range r.works {
-			if !j.done {
+		for _, j := range r.jobs {
+			if !j.ended {
 				open++
 			}
 		}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -19,7 +19,7 @@
 	"tealledge/internal/serve"
 )
 
-// TestMain serves as a front when asked to: the rig starts its fronts as processes.
+// TestMain runs as a front if AS_FRONT is set: the rig starts its fronts as processes of this test binary.
 func TestMain(m *testing.M) {
 	if os.Getenv("AS_FRONT") == "" {
 		os.Exit(m.Run())
@@ -27,7 +27,7 @@
 	cfg, err := config.Load(os.Args[len(os.Args)-1])
 	var s *serve.Server
 	if err == nil {
-		if os.Getenv("APART") != "" { // clocks of the fleet 5 s apart
+		if os.Getenv("APART") != "" { // the fleet's clocks differ by up to 5 s
 			cfg.Fleet.Skew = time.Duration(cfg.Front.Me%3-1) * 5 * time.Second / 2
 		}
 		s, err = serve.New(cfg, zerolog.New(os.Stderr).Level(zerolog.InfoLevel).With().Timestamp().Logger())
@@ -44,7 +44,8 @@
 	}
 }
 
-func open(t *testing.T, env ...string) (*Rig, context.Context) {
+// openRig starts a rig with three voters.
+func openRig(t *testing.T, env ...string) (*Rig, context.Context) {
 	t.Helper()
 	s, err := day.Parse("rig", Site)
 	if err != nil {
@@ -60,11 +61,11 @@
 	return r, ctx
 }
 
-// holds waits for something.
-func holds(t *testing.T, r *Rig, what string, most time.Duration, is func() bool) {
+// waitFor waits for a condition and shows the fronts' last log lines if it does not hold in time.
+func waitFor(t *testing.T, r *Rig, what string, timeout time.Duration, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-		if is() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(30 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
@@ -72,13 +73,13 @@
 		lines := strings.Split(r.LogOf(i), "\n")
 		t.Logf("front-%d: %s", i, strings.Join(lines[max(0, len(lines)-12):], "\n"))
 	}
-	t.Fatalf("not within %v: %s", most, what)
+	t.Fatalf("not within %v: %s", timeout, what)
 }
 
-// whole waits until one leads and all are here and know what is new; it gives the leader.
-func whole(t *testing.T, r *Rig, ctx context.Context) int {
+// waitUntilHealthy waits until the fleet is healthy and gives the leader.
+func waitUntilHealthy(t *testing.T, r *Rig, ctx context.Context) int {
 	t.Helper()
-	holds(t, r, "a fleet of five that all see", 45*time.Second, func() bool { return r.whole(ctx) })
+	waitFor(t, r, "a healthy fleet of five", 45*time.Second, func() bool { return r.healthy(ctx) })
 	return r.Leader(ctx)
 }
 
@@ -94,21 +95,21 @@
 	return p
 }
 
-func ask(t *testing.T, r *Rig, ctx context.Context, front int, key string, servers ...uint32) uint64 {
+func requestWork(t *testing.T, r *Rig, ctx context.Context, front int, key string, servers ...uint32) uint64 {
 	t.Helper()
-	for range 6 { // the same key: at most one work, however often it is asked
-		a, err := r.Ask(ctx, front, key, servers...)
+	for range 6 { // with the same key it makes at most one work, however often it is sent
+		a, err := r.RequestWork(ctx, front, key, servers...)
 		if err == nil && a.Err == "" {
 			return a.ID
 		}
 	}
-	t.Fatalf("ask %s is not answered", key)
+	t.Fatalf("request %s was not answered", key)
 	return 0
 }
 
-func reaches(t *testing.T, r *Rig, ctx context.Context, front int, id uint64, want ...ledger.Phase) {
+func waitForPhase(t *testing.T, r *Rig, ctx context.Context, front int, id uint64, want ...ledger.Phase) {
 	t.Helper()
-	holds(t, r, fmt.Sprintf("work %d %v", id, want), 60*time.Second, func() bool {
+	waitFor(t, r, fmt.Sprintf("work %d %v", id, want), 60*time.Second, func() bool {
 		p := phase(r, ctx, front, id)
 		for _, w := range want {
 			if p == w {
@@ -119,41 +120,41 @@
 	})
 }
 
-// trial is five fronts as processes, three of them voters, under load.
+// trial is a test with five fronts as processes, three of them voters, under load.
 type trial struct {
 	*Rig
-	t      *testing.T
-	ctx    context.Context
-	lead   int
-	began  time.Time
-	enough func()
-	loaded func() error
+	t              *testing.T
+	ctx            context.Context
+	leader         int
+	startedAt      time.Time
+	stopViewers    func()
+	waitForViewers func() error
 }
 
-func begin(t *testing.T, env ...string) *trial {
-	r, ctx := open(t, env...)
-	x := &trial{Rig: r, t: t, ctx: ctx, began: time.Now()}
-	x.lead = whole(t, r, ctx)
-	crowd, enough := context.WithCancel(ctx)
-	x.enough, x.loaded = enough, r.Viewers(crowd, 3*time.Minute)
+func startTrial(t *testing.T, env ...string) *trial {
+	r, ctx := openRig(t, env...)
+	x := &trial{Rig: r, t: t, ctx: ctx, startedAt: time.Now()}
+	x.leader = waitUntilHealthy(t, r, ctx)
+	viewersCtx, stopViewers := context.WithCancel(ctx)
+	x.stopViewers, x.waitForViewers = stopViewers, r.Viewers(viewersCtx, 3*time.Minute)
 	return x
 }
 
-// step plays a case, which leaves a whole fleet behind.
+// step runs a case and then waits for a healthy fleet.
 func (x *trial) step(name string, f func()) {
 	f()
-	x.lead = whole(x.t, x.Rig, x.ctx)
-	x.t.Logf("%s: %.1f s", name, time.Since(x.began).Seconds())
+	x.leader = waitUntilHealthy(x.t, x.Rig, x.ctx)
+	x.t.Logf("%s: %.1f s", name, time.Since(x.startedAt).Seconds())
 }
 
-// second is a voter that does not lead.
-func (x *trial) second() int { return (x.lead + 1) % 3 }
+// otherVoter gives a voter that does not lead.
+func (x *trial) otherVoter() int { return (x.leader + 1) % 3 }
 
-// judge ends the trial; what crossed the stand-ins' sockets is judged.
-func (x *trial) judge(outs int) {
+// judge ends the trial and checks the record of what crossed the stand-ins' sockets.
+func (x *trial) judge(minChecks int) {
 	t, r := x.t, x.Rig
-	x.enough()
-	if err := x.loaded(); err != nil {
+	x.stopViewers()
+	if err := x.waitForViewers(); err != nil {
 		t.Error(err)
 	}
 	r.AllSeen(x.ctx)
@@ -164,148 +165,153 @@
 	for _, v := range report.Violations {
 		t.Error(v)
 	}
-	if report.Checked["9 never more out than agreed"] < outs || report.Replies["plays"] < 200 {
-		t.Errorf("too little was judged: %v, replies %v", report.Checked, report.Replies)
+	if report.Checked["9 never more out than agreed"] < minChecks || report.Replies["plays"] < 200 {
+		t.Errorf("too few checks: %v, replies %v", report.Checked, report.Replies)
 	}
 	if !Linearizable(r.Calls(), 20*time.Second) {
 		t.Errorf("no order of these commands explains their answers: %+v", r.Calls())
 	}
-	t.Logf("%.0f s, checked %v, replies %v, %d commands", time.Since(x.began).Seconds(), report.Checked, report.Replies, len(r.Calls()))
+	t.Logf("%.0f s, checked %v, replies %v, %d commands", time.Since(x.startedAt).Seconds(),
+		report.Checked, report.Replies, len(r.Calls()))
 }
 
-// Faults of processes, and of disks.
-func TestFrontsThatDieAndComeBack(t *testing.T) {
+// TestProcessAndDiskFaults: fronts that are killed, paused or restarted, and disks that are lost or replaced by an
+// older copy, must not let more machines out than the limits allow, nor lose a command.
+func TestProcessAndDiskFaults(t *testing.T) {
 	t.Parallel()
-	x := begin(t)
+	x := startTrial(t)
 	r, ctx := x.Rig, x.ctx
-	x.step("nothing wrong", func() {
-		a := ask(t, r, ctx, 4, "plain", 1)
-		reaches(t, r, ctx, 3, a, ledger.Done)
+	x.step("no fault", func() {
+		a := requestWork(t, r, ctx, 4, "plain", 1)
+		waitForPhase(t, r, ctx, 3, a, ledger.Done)
 	})
-	x.step("leader killed between a grant and its telling", func() {
-		a := ask(t, r, ctx, 4, "killed", 2)
-		reaches(t, r, ctx, x.lead, a, ledger.Granted, ledger.Draining, ledger.Out)
-		r.Down(x.lead)
-		b := ask(t, r, ctx, 3, "killed-2", 8) // the rack of 2
-		reaches(t, r, ctx, 3, a, ledger.Done)
-		reaches(t, r, ctx, 3, b, ledger.Done)
-		if err := r.Up(x.lead); err != nil {
+	x.step("leader killed between a grant and its announcement", func() {
+		a := requestWork(t, r, ctx, 4, "killed", 2)
+		waitForPhase(t, r, ctx, x.leader, a, ledger.Granted, ledger.Draining, ledger.Out)
+		r.KillFront(x.leader)
+		b := requestWork(t, r, ctx, 3, "killed-2", 8) // in the rack of 2
+		waitForPhase(t, r, ctx, 3, a, ledger.Done)
+		waitForPhase(t, r, ctx, 3, b, ledger.Done)
+		if err := r.RestartFront(x.leader); err != nil {
 			t.Fatal(err)
 		}
 	})
-	x.step("leader stopped and continued in the belief that it leads", func() {
-		a := ask(t, r, ctx, 4, "stopped", 3)
-		r.Freeze(x.lead)
-		b := ask(t, r, ctx, 4, "stopped-2", 9)
+	x.step("leader paused and resumed as if it still led", func() {
+		a := requestWork(t, r, ctx, 4, "stopped", 3)
+		r.PauseFront(x.leader)
+		b := requestWork(t, r, ctx, 4, "stopped-2", 9)
 		time.Sleep(6 * time.Second)
-		r.Thaw(x.lead)
-		reaches(t, r, ctx, 3, a, ledger.Done)
-		reaches(t, r, ctx, 3, b, ledger.Done)
+		r.ResumeFront(x.leader)
+		waitForPhase(t, r, ctx, 3, a, ledger.Done)
+		waitForPhase(t, r, ctx, 3, b, ledger.Done)
 	})
-	x.step("a disk lost, then one put back", func() {
-		v := x.second()
-		r.Down(v)
+	x.step("a disk lost, then replaced by an older copy", func() {
+		v := x.otherVoter()
+		r.KillFront(v)
 		old := t.TempDir()
-		if err := r.Copy(v, old); err != nil {
+		if err := r.CopyDisk(v, old); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.Wipe(v); err != nil {
+		if err := r.WipeDisk(v); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.Up(v); err != nil {
+		if err := r.RestartFront(v); err != nil {
 			t.Fatal(err)
 		}
-		whole(t, r, ctx)
-		r.Hold(5 * time.Second)
-		a := ask(t, r, ctx, 4, "wiped", 10)
-		reaches(t, r, ctx, 4, a, ledger.Out)
-		r.Down(3) // a follower that starts without a disk while a machine is out
-		if err := r.Wipe(3); err != nil {
+		waitUntilHealthy(t, r, ctx)
+		r.SetWorkTime(5 * time.Second)
+		a := requestWork(t, r, ctx, 4, "wiped", 10)
+		waitForPhase(t, r, ctx, 4, a, ledger.Out)
+		r.KillFront(3) // a follower that starts without a disk while a machine is out
+		if err := r.WipeDisk(3); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.Up(3); err != nil {
+		if err := r.RestartFront(3); err != nil {
 			t.Fatal(err)
 		}
-		r.Hold(1500 * time.Millisecond)
-		reaches(t, r, ctx, v, a, ledger.Done)
-		r.Down(v)
-		if err := r.PutBack(v, old); err != nil {
+		r.SetWorkTime(1500 * time.Millisecond)
+		waitForPhase(t, r, ctx, v, a, ledger.Done)
+		r.KillFront(v)
+		if err := r.RestoreDisk(v, old); err != nil {
 			t.Fatal(err)
 		}
-		if err := r.Up(v); err != nil {
+		if err := r.RestartFront(v); err != nil {
 			t.Fatal(err)
 		}
-		x.lead = whole(t, r, ctx)
-		b := ask(t, r, ctx, 4, "put back", 12)
-		reaches(t, r, ctx, v, b, ledger.Done)
+		x.leader = waitUntilHealthy(t, r, ctx)
+		b := requestWork(t, r, ctx, 4, "put back", 12)
+		waitForPhase(t, r, ctx, v, b, ledger.Done)
 	})
 	x.judge(7)
 }
 
-// Faults of links and machines, and a restart of all, with the fleet's clocks apart by 5 s all the time.
-func TestLinksAndMachinesThatFail(t *testing.T) {
+// TestNetworkAndMachineFaults: network faults, a failed machine and a restart of all fronts, with the fleet's clocks
+// up to 5 s apart, must not let more machines out than the limits allow, nor lose a command.
+func TestNetworkAndMachineFaults(t *testing.T) {
 	t.Parallel()
-	x := begin(t, "APART=1")
+	x := startTrial(t, "APART=1")
 	r, ctx := x.Rig, x.ctx
-	x.step("a voter that hears and is not heard", func() {
-		r.Mute(x.second())
-		a := ask(t, r, ctx, 4, "mute", 4)
-		reaches(t, r, ctx, 3, a, ledger.Done)
+	x.step("a voter that receives but whose messages are dropped", func() {
+		r.Mute(x.otherVoter())
+		a := requestWork(t, r, ctx, 4, "mute", 4)
+		waitForPhase(t, r, ctx, 3, a, ledger.Done)
 		r.Heal()
 	})
-	x.step("split two to three, asked at both sides, healed while a machine is out", func() {
-		r.Hold(8 * time.Second)
-		a := ask(t, r, ctx, 4, "split", 5)
-		reaches(t, r, ctx, 4, a, ledger.Out)
-		r.Split(x.lead, 4)
-		if y, err := r.Ask(ctx, 4, "minority", 11); err == nil && y.Err == "" && phase(r, ctx, 4, y.ID) != ledger.Asked {
-			t.Errorf("the smaller side agreed: %+v", y)
+	x.step("partition of two and three, requests on both sides, healed while a machine is out", func() {
+		r.SetWorkTime(8 * time.Second)
+		a := requestWork(t, r, ctx, 4, "split", 5)
+		waitForPhase(t, r, ctx, 4, a, ledger.Out)
+		r.Split(x.leader, 4)
+		if y, err := r.RequestWork(ctx, 4, "minority", 11); err == nil && y.Err == "" &&
+			phase(r, ctx, 4, y.ID) != ledger.Asked {
+			t.Errorf("the minority agreed: %+v", y)
 		}
-		b := ask(t, r, ctx, 3, "majority", 6)
+		b := requestWork(t, r, ctx, 3, "majority", 6)
 		r.Heal()
-		r.Hold(1500 * time.Millisecond)
-		reaches(t, r, ctx, 3, a, ledger.Done)
-		reaches(t, r, ctx, 3, b, ledger.Done)
-		reaches(t, r, ctx, 3, ask(t, r, ctx, 4, "minority", 11), ledger.Done)
+		r.SetWorkTime(1500 * time.Millisecond)
+		waitForPhase(t, r, ctx, 3, a, ledger.Done)
+		waitForPhase(t, r, ctx, 3, b, ledger.Done)
+		waitForPhase(t, r, ctx, 3, requestWork(t, r, ctx, 4, "minority", 11), ledger.Done)
 	})
 	x.step("a machine fails while another is out", func() {
-		m := r.Servers()[6] // 7, the rack of 1
+		m := r.Servers()[6] // server 7, in the rack of 1
 		m.Kill()
 		r.World.List(m, "removed")
 		time.Sleep(time.Second)
-		a := ask(t, r, ctx, 4, "beside a failed one", 1)
+		a := requestWork(t, r, ctx, 4, "beside a failed one", 1)
 		time.Sleep(3 * time.Second)
-		if p := phase(r, ctx, x.lead, a); p != ledger.Asked {
-			t.Errorf("%s beside a failed one of its rack", p)
+		if p := phase(r, ctx, x.leader, a); p != ledger.Asked {
+			t.Errorf("phase %s while another machine of its rack has failed", p)
 		}
 		if err := m.Restart(); err != nil {
 			t.Fatal(err)
 		}
 		r.World.List(m, "ready")
-		reaches(t, r, ctx, 3, a, ledger.Done)
+		waitForPhase(t, r, ctx, 3, a, ledger.Done)
 	})
-	x.step("all fronts restarted while a machine is out, a stalled link meanwhile", func() {
-		r.Hold(6 * time.Second)
-		a := ask(t, r, ctx, 4, "restart", 2)
-		reaches(t, r, ctx, 4, a, ledger.Out)
+	x.step("all fronts restarted while a machine is out, with a stalled connection", func() {
+		r.SetWorkTime(6 * time.Second)
+		a := requestWork(t, r, ctx, 4, "restart", 2)
+		waitForPhase(t, r, ctx, 4, a, ledger.Out)
 		r.Net.Between([]int{0}, []int{1}, Fault{Stall: true})
 		for i := range 5 {
-			r.Down(i)
+			r.KillFront(i)
 		}
 		for i := range 5 {
-			if err := r.Up(i); err != nil {
+			if err := r.RestartFront(i); err != nil {
 				t.Fatal(err)
 			}
 		}
 		r.Heal()
-		r.Hold(1500 * time.Millisecond)
-		reaches(t, r, ctx, 3, a, ledger.Done)
+		r.SetWorkTime(1500 * time.Millisecond)
+		waitForPhase(t, r, ctx, 3, a, ledger.Done)
 	})
 	x.judge(6)
 }
 
-// A script of random faults is the same for a seed, and is read as it was written; what is no script is told with its place.
-func TestScripts(t *testing.T) {
+// TestScriptRoundTrip: a random script is the same for the same seed and is read as it was written; an error in a
+// script has its position.
+func TestScriptRoundTrip(t *testing.T) {
 	list := Random(7, 50, 5, 12)
 	b := &strings.Builder{}
 	Write(b, list)
