--- a/internal/fleet/fleetsim/fleetsim.go
+++ b/internal/fleet/fleetsim/fleetsim.go
@@ -44,17 +44,17 @@
 	Name          string
 	Core          *core.Core // nil: its process is not running
 	Disk          *Disk
-	ClockSkew     Time // added to its clock
-	Stopped       bool // its process is stopped: nothing runs, and messages are queued
-	KeptServers   map[uint32]uint64
-	KeptFronts    map[string]uint64
-	Returned      map[uint32]Time
-	Sessions      map[uint32]core.Standing
-	queued        [][2]any
+	ClockSkew     Time                     // added to its clock
+	Stopped       bool                     // its process is stopped: nothing runs, and messages are queued
+	KeptServers   map[uint32]uint64        // servers to keep free, each with its work
+	KeptFronts    map[string]uint64        // fronts to keep free, each with its work
+	Returned      map[uint32]Time          // when servers came back from work
+	Sessions      map[uint32]core.Standing // sessions that this front has, by server
+	queued        [][2]any                 // sender and content of each message that came while the process was stopped
 	meta          core.Meta
 	comparedIndex uint64 // index of the state that was compared most recently
 	Sent          uint64 // bytes
-	Received      uint64
+	Received      uint64 // bytes
 	Log           []string
 }
 
