--- a/internal/background/background.go
+++ b/internal/background/background.go
@@ -1,5 +1,5 @@
-// Package background runs background work on one goroutine, a step at a time, as decide/schedule says. A task is told how long a
-// step may last and gives back where it stands; what it does with disks and sockets is its own.
+// Package background runs background tasks on one goroutine, one step at a time. decide/schedule decides which step
+// runs next and how long it may take. A task does its own disk and network I/O.
 package background
 
 import (
@@ -10,10 +10,11 @@
 	"tealledge/decide/schedule"
 )
 
-// Step does a part of a task's work within about a budget. It tells the bytes that it moved and whether the run is done.
+// Step does a part of a task's work in about the given time. It returns the number of bytes moved and whether the run
+// is done.
 type Step func(ctx context.Context, budget time.Duration) (bytes int, done bool)
 
-// Scheduler runs tasks. Make one with New.
+// Scheduler runs tasks. It is created by New.
 type Scheduler struct {
 	mu       sync.Mutex
 	plan     schedule.Plan
@@ -24,20 +25,22 @@
 	stats    map[string]Stats
 }
 
-// Stats is what a task has had.
+// Stats counts the work done for one task.
 type Stats struct {
 	Runs, Steps int
-	Took        time.Duration
-	Longest     time.Duration // step
+	TotalTime   time.Duration
+	LongestStep time.Duration
 	Bytes       int
 }
 
-// New makes a scheduler. pressure tells how the request path fares and is called often, from another goroutine.
+// New returns a scheduler without tasks. pressure reports the load of the request path; it is called often, and from
+// another goroutine.
 func New(now func() int64, pressure func() schedule.Pressure) *Scheduler {
-	return &Scheduler{steps: map[string]Step{}, pressure: pressure, now: now, wake: make(chan struct{}, 1), stats: map[string]Stats{}}
+	return &Scheduler{steps: map[string]Step{}, pressure: pressure, now: now, wake: make(chan struct{}, 1),
+		stats: map[string]Stats{}}
 }
 
-// Add adds a task; false if there are too many or one of its name.
+// Add adds a task. It returns false if there are too many tasks or one of that name exists.
 func (s *Scheduler) Add(t schedule.Task, step Step) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,37 +48,37 @@
 		return false
 	}
 	s.steps[t.Name] = step
-	s.rouse()
+	s.signalWake()
 	return true
 }
 
-// Wake makes a task due now.
+// Wake makes a task due immediately.
 func (s *Scheduler) Wake(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan.Wake(s.now(), name)
-	s.rouse()
+	s.signalWake()
 }
 
-func (s *Scheduler) rouse() {
+func (s *Scheduler) signalWake() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run runs tasks until ctx ends.
+// Run runs tasks until ctx is cancelled.
 func (s *Scheduler) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		now := s.now()
-		name, budget, again := s.plan.Next(now, s.pressure())
+		name, budget, retryAt := s.plan.Next(now, s.pressure())
 		step := s.steps[name]
 		s.mu.Unlock()
 		if name == "" {
-			timer.Reset(time.Duration(max(again-now, 1)))
+			timer.Reset(time.Duration(max(retryAt-now, 1)))
 			select {
 			case <-ctx.Done():
 			case <-s.wake:
@@ -87,26 +90,26 @@
 		s.mu.Lock()
 		end := s.now()
 		s.plan.RecordStep(end, name, end-now, bytes, done, s.pressure())
-		st := s.stats[name]
-		st.Steps++
-		st.Took += time.Duration(end - now)
-		st.Longest = max(st.Longest, time.Duration(end-now))
-		st.Bytes += bytes
+		taskStats := s.stats[name]
+		taskStats.Steps++
+		taskStats.TotalTime += time.Duration(end - now)
+		taskStats.LongestStep = max(taskStats.LongestStep, time.Duration(end-now))
+		taskStats.Bytes += bytes
 		if done {
-			st.Runs++
+			taskStats.Runs++
 		}
-		s.stats[name] = st
+		s.stats[name] = taskStats
 		s.mu.Unlock()
 	}
 }
 
-// Stats gives what each task has had.
+// Stats returns the counters of each task by name.
 func (s *Scheduler) Stats() map[string]Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]Stats, len(s.stats))
+	copied := make(map[string]Stats, len(s.stats))
 	for k, v := range s.stats {
-		out[k] = v
+		copied[k] = v
 	}
-	return out
+	return copied
 }
