--- a/internal/media/connect.go
+++ b/internal/media/connect.go
@@ -11,37 +11,37 @@
 	"tealledge/internal/transport"
 )
 
-// connect opens a connection to HOST:PORT, or to a Unix socket given as a path that begins with '/'.
-func connect(addr string, within time.Duration) (net.Conn, error) {
+// connect opens a connection to HOST:PORT, or to a Unix socket if addr is a path that begins with '/'.
+func connect(addr string, timeout time.Duration) (net.Conn, error) {
 	if strings.HasPrefix(addr, "/") {
-		if err := trusted(addr); err != nil {
+		if err := checkSocket(addr); err != nil {
 			return nil, err
 		}
-		return net.DialTimeout("unix", addr, within)
+		return net.DialTimeout("unix", addr, timeout)
 	}
-	return transport.DialTCP(addr, within)
+	return transport.DialTCP(addr, timeout)
 }
 
-// trusted checks a Unix socket before it is connected to: it must be a socket of this user or of root, in a place that
-// others can't write to. Danger: whoever may put a socket there would be sent viewers' set-ups.
-func trusted(path string) error {
+// checkSocket checks a Unix socket before a connection to it: it must be owned by this user or by root, in a directory
+// that others can't write to. Otherwise whoever creates a socket there would receive viewers' set-ups.
+func checkSocket(path string) error {
 	info, err := os.Lstat(path)
 	if err != nil {
 		return err
 	}
-	st, ok := info.Sys().(*syscall.Stat_t)
+	stat, ok := info.Sys().(*syscall.Stat_t)
 	switch {
 	case info.Mode()&os.ModeSocket == 0:
-		return fmt.Errorf("%s: no socket", path)
-	case ok && st.Uid != 0 && int(st.Uid) != os.Geteuid():
-		return fmt.Errorf("%s: belongs to user %d", path, st.Uid)
+		return fmt.Errorf("%s: not a socket", path)
+	case ok && stat.Uid != 0 && int(stat.Uid) != os.Geteuid():
+		return fmt.Errorf("%s: owned by user %d", path, stat.Uid)
 	}
 	dir, err := os.Stat(path[:strings.LastIndexByte(path, '/')+1])
 	if err != nil {
 		return err
 	}
 	if dir.Mode().Perm()&0o002 != 0 && dir.Mode()&os.ModeSticky == 0 {
-		return fmt.Errorf("%s: anybody may write to its directory", path)
+		return fmt.Errorf("%s: directory is writable by any user", path)
 	}
 	return nil
 }
--- a/internal/media/media.go
+++ b/internal/media/media.go
@@ -1,5 +1,5 @@
-// Package media carries the connections to the media servers: it dials, reads whole RTSP messages and
-// writes without holding anyone up. What is said on them is internal/rtspclient's matter.
+// Package media manages the connections to the media servers: it dials, decodes RTSP messages and writes without
+// blocking the caller. internal/rtspclient implements the protocol on them.
 package media
 
 import (
@@ -12,67 +12,70 @@
 	"tealledge/internal/transport"
 )
 
-// Sink takes what the connections bring. Its methods are called from many goroutines; they may wait.
+// Sink receives the events of the connections. Its methods are called from many goroutines and may block.
 type Sink interface {
 	Connected(server uint32, conn uint64)
 	DialFailed(server uint32, conn uint64, err error)
-	Received(server uint32, conn uint64, list []*rtsp.Message)
-	Lost(server uint32, conn uint64, begun uint64)
+	Received(server uint32, conn uint64, messages []*rtsp.Message)
+	ConnectionLost(server uint32, conn uint64, submitted uint64)
 }
 
-// Links holds the connections.
-type Links struct {
-	sink  Sink
-	wait  time.Duration
-	links *transport.Conns
-	dials atomic.Int64
+// Conns holds the connections.
+type Conns struct {
+	sink        Sink
+	dialTimeout time.Duration
+	conns       *transport.Conns
+	dialCount   atomic.Int64
 }
 
-// New makes an empty set: a dial may take wait, a write writeWait, and most bytes may wait on one connection.
-func New(sink Sink, wait, writeWait time.Duration, most int) *Links {
-	return &Links{sink: sink, wait: wait, links: transport.NewConns(most, writeWait)}
+// New returns an empty set. A dial takes at most dialTimeout and a write at most writeTimeout; each connection queues
+// at most maxQueuedBytes.
+func New(sink Sink, dialTimeout, writeTimeout time.Duration, maxQueuedBytes int) *Conns {
+	return &Conns{sink: sink, dialTimeout: dialTimeout, conns: transport.NewConns(maxQueuedBytes, writeTimeout)}
 }
 
-// Do carries out an act of the desk. It never waits.
-func (l *Links) Do(a rtspclient.Effect) {
+// Do carries out an effect of the protocol. It never blocks.
+func (c *Conns) Do(effect rtspclient.Effect) {
 	switch {
-	case a.Dial != "":
-		l.dials.Add(1)
-		l.dial(a)
-	case a.Close:
-		l.links.CloseConn(a.Conn)
+	case effect.Dial != "":
+		c.dialCount.Add(1)
+		c.dial(effect)
+	case effect.Close:
+		c.conns.CloseConn(effect.Conn)
 	default:
-		l.links.Send(a.Conn, a.Bytes)
+		c.conns.Send(effect.Conn, effect.Bytes)
 	}
 }
 
-func (l *Links) dial(a rtspclient.Effect) {
-	var d rtsp.Decoder
-	l.links.Dial(a.Conn, func() (net.Conn, error) { return connect(a.Dial, min(l.wait, time.Duration(a.Timeout))) }, transport.Handler{
-		Connected: func() { l.sink.Connected(a.Server, a.Conn) },
-		Failed:    func(err error) { l.sink.DialFailed(a.Server, a.Conn, err) },
-		Closed:    func(begun uint64) { l.sink.Lost(a.Server, a.Conn, begun) },
+func (c *Conns) dial(effect rtspclient.Effect) {
+	var decoder rtsp.Decoder
+	c.conns.Dial(effect.Conn, func() (net.Conn, error) {
+		return connect(effect.Dial, min(c.dialTimeout, time.Duration(effect.Timeout)))
+	}, transport.Handler{
+		Connected: func() { c.sink.Connected(effect.Server, effect.Conn) },
+		Failed:    func(err error) { c.sink.DialFailed(effect.Server, effect.Conn, err) },
+		Closed:    func(submitted uint64) { c.sink.ConnectionLost(effect.Server, effect.Conn, submitted) },
 		Read: func(b []byte) {
-			d.Feed(b)
-			var list []*rtsp.Message
+			decoder.Feed(b)
+			var messages []*rtsp.Message
 			for {
-				m, err := d.Next()
-				if err != nil { // what follows can't be told apart: the connection is of no more use
-					l.links.CloseConn(a.Conn)
+				message, err := decoder.Next()
+				if err != nil { // the message boundaries are lost, so the connection can't be used any more
+					c.conns.CloseConn(effect.Conn)
 				}
-				if m == nil {
+				if message == nil {
 					break
 				}
-				list = append(list, m)
+				messages = append(messages, message)
 			}
-			if len(list) > 0 {
-				l.sink.Received(a.Server, a.Conn, list)
+			if len(messages) > 0 {
+				c.sink.Received(effect.Server, effect.Conn, messages)
 			}
 		}})
 }
 
-// Dials tells how many connections were tried.
-func (l *Links) Dials() int { return int(l.dials.Load()) }
+// Dials returns the number of connection attempts.
+func (c *Conns) Dials() int { return int(c.dialCount.Load()) }
 
-// Close closes all connections, once what waits on them is written, and waits for dials under way.
-func (l *Links) Close() { l.links.Close() }
+// Close closes all connections after their queued bytes are written, and waits for dials in progress.
+func (c *Conns) Close() { c.conns.Close() }
--- a/internal/players/api.go
+++ b/internal/players/api.go
@@ -30,7 +30,7 @@
 	Token      string  `json:"token"`
 }
 
-// PlaysResult is the result of a session.open that plays.
+// PlaysResult is the result of a session.open whose session plays.
 type PlaysResult struct {
 	Status  string  `json:"status"` // "plays"
 	Session string  `json:"session"`
@@ -39,44 +39,44 @@
 	Rung    int     `json:"rung"`
 	Rate    float64 `json:"rate"`            // kB a second
 	Token   string  `json:"token,omitempty"` // for session.resume
-	HTTP    string  `json:"-"`               // HOST:PORT at which the server delivers segments
+	HTTP    string  `json:"-"`               // HOST:PORT at which the server serves segments
 }
 
-// NoData comes with the errors refused and failed.
+// ErrorData is the data of the errors "refused" and "failed".
 type NoData struct {
 	Session      string `json:"session,omitempty"`
 	RetryAfterMs int64  `json:"retryAfterMs,omitempty"`
 }
 
-// maxName bounds names that players send.
-const maxName = 200
+// maxNameBytes limits the names sent by players.
+const maxNameBytes = 200
 
-// message takes one text message of a player.
-func (c *Conn) message(now front.Time, text []byte) {
-	if c.hub.owner.Limited() && c.turnedAway(text) {
+// handleMessage handles one text message from a player.
+func (c *Conn) handleMessage(now front.Time, text []byte) {
+	if c.hub.owner.Limited() && c.refuseEarly(text) {
 		return
 	}
-	list, isBatch, bad := jsonrpc.Parse(text)
-	if bad != nil {
-		c.send(jsonrpc.Failure(nil, bad))
+	requests, isBatch, parseErr := jsonrpc.Parse(text)
+	if parseErr != nil {
+		c.send(jsonrpc.Failure(nil, parseErr))
 		return
 	}
-	var b *batch
+	var answers *batch
 	if isBatch {
-		b = &batch{}
-		for _, r := range list {
+		answers = &batch{}
+		for _, r := range requests {
 			if r.ID != nil {
-				b.left++
+				answers.pending++
 			}
 		}
-		b.list = make([][]byte, b.left)
+		answers.answers = make([][]byte, answers.pending)
 	}
 	slot := 0
-	for _, r := range list {
-		if r.ID == nil { // a notification: nobody could be told what came of it, so nothing is begun
+	for _, r := range requests {
+		if r.ID == nil { // a notification has no response to report the result in, so it is ignored
 			continue
 		}
-		call := &Call{Conn: c, id: bytes.Clone(r.ID), batch: b, slot: slot}
+		call := &Call{Conn: c, id: bytes.Clone(r.ID), batch: answers, slot: slot}
 		slot++
 		if r.Bad != nil {
 			call.Fail(r.Bad.Code, r.Bad.Message, nil)
@@ -113,54 +113,59 @@
 		call.Fail(jsonrpc.InvalidParams, err.Error(), nil)
 		return
 	}
-	ask, err := c.hub.ask(now, &p)
+	request, err := c.hub.parseOpen(now, &p)
 	if err != nil {
 		call.Fail(jsonrpc.InvalidParams, err.Error(), nil)
 		return
 	}
-	at, ok := c.hub.cfg.Place(p.Title, ask.Class)
+	placement, ok := c.hub.cfg.Place(p.Title, request.Class)
 	if !ok {
 		call.Fail(CodeUnknownTitle, fmt.Sprintf("no title %.60q", p.Title), nil)
 		return
 	}
-	ask.Title, ask.Home, ask.Copies, ask.Holders, ask.Name = at.Number, at.Home, at.Copies, at.Holders, at.Name
-	if !c.hub.owner.Limited() { // else the gate was asked before
-		if after, ok := c.hub.owner.Admit(ask.Class, ask.Tenant); !ok {
+	request.Title, request.Home, request.Copies, request.Holders, request.Name =
+		placement.Number, placement.Home, placement.Copies, placement.Holders, placement.Name
+	if !c.hub.owner.Limited() { // otherwise refuseEarly has already asked the rate limiter
+		if retryAfter, ok := c.hub.owner.Admit(request.Class, request.Tenant); !ok {
 			c.hub.Stats.Busy.Add(1)
-			call.Fail(CodeRefused, "refused: busy", NoData{RetryAfterMs: after / policy.Millisecond})
+			call.Fail(CodeRefused, "refused: busy", NoData{RetryAfterMs: retryAfter / policy.Millisecond})
 			return
 		}
 	}
-	switch full := call.takeRoom(ask.Tenant); full {
+	switch exceeded := call.reserve(request.Tenant); exceeded {
 	case overload.NotFull:
-		c.hub.owner.Open(call, ask)
+		c.hub.owner.Open(call, request)
 	case overload.ConnectionFull:
-		call.Fail(CodeTooManyOpen, fmt.Sprintf("%d requests at most may be open on a connection", c.hub.cfg.Front.OpenPerConnection), nil)
+		call.Fail(CodeTooManyOpen, fmt.Sprintf("%d requests at most may be open on a connection",
+			c.hub.cfg.Front.OpenPerConnection), nil)
 	default:
 		c.hub.Stats.Busy.Add(1)
-		call.Fail(CodeRefused, "refused: busy ("+string(full)+")", NoData{RetryAfterMs: c.hub.cfg.Service.MaxRetryAfter / policy.Millisecond})
+		call.Fail(CodeRefused, "refused: busy ("+string(exceeded)+")",
+			NoData{RetryAfterMs: c.hub.cfg.Service.MaxRetryAfter / policy.Millisecond})
 	}
 }
 
-// turnedAway asks the gate about a request while requests are being turned away, before it is decoded. It gives
-// true if the request was answered so.
-func (c *Conn) turnedAway(text []byte) bool {
+// refuseEarly asks the rate limiter about a request before it is decoded, while requests are being refused. It returns
+// true if it has refused the request.
+func (c *Conn) refuseEarly(text []byte) bool {
 	method, id, class, tenant, ok := jsonrpc.Peek(text, "class", "tenant")
 	if !ok || string(method) != "session.open" {
 		return false
 	}
-	k, t := index(c.hub.cfg.Classes, string(class)), max(index(c.hub.cfg.Tenants, string(tenant)), 0)
-	if k < 0 {
-		return false // its parameters are refused
+	classIndex, tenantIndex :=
+		indexOf(c.hub.cfg.Classes, string(class)), max(indexOf(c.hub.cfg.Tenants, string(tenant)), 0)
+	if classIndex < 0 {
+		return false // handleMessage answers with an error for the invalid class
 	}
-	after, ok := c.hub.owner.Admit(k, t)
+	retryAfter, ok := c.hub.owner.Admit(classIndex, tenantIndex)
 	if ok {
 		return false
 	}
 	c.hub.Stats.Busy.Add(1)
-	b := fmt.Appendf(make([]byte, 0, 160), `{"jsonrpc":"2.0","error":{"code":%d,"message":"refused: busy","data":{"retryAfterMs":%d}},"id":%s}`,
-		CodeRefused, after/policy.Millisecond, id)
-	c.sock.Out = wsock.Frame(c.sock.Out, ws.OpText, b)
+	reply := fmt.Appendf(make([]byte, 0, 160),
+		`{"jsonrpc":"2.0","error":{"code":%d,"message":"refused: busy","data":{"retryAfterMs":%d}},"id":%s}`,
+		CodeRefused, retryAfter/policy.Millisecond, id)
+	c.sock.Out = wsock.Frame(c.sock.Out, ws.OpText, reply)
 	return true
 }
 
@@ -182,52 +187,52 @@
 	c.hub.owner.Resume(call, id, token)
 }
 
-// sessionID gives the number of a session of this front.
+// sessionID returns the number of a session of this front.
 func (h *Hub) sessionID(text string) (uint64, bool) {
 	name, id, ok := cutLast(text, "-")
 	n, err := strconv.ParseUint(id, 10, 64)
 	return n, ok && err == nil && name == h.cfg.Front.Name
 }
 
-// ask checks parameters and turns names into numbers.
-func (h *Hub) ask(now front.Time, p *OpenParams) (a front.Request, err error) {
-	for _, s := range []string{p.Title, p.Class, p.Tenant, p.Viewer, p.Token} {
-		if len(s) > maxName {
-			return a, fmt.Errorf("names hold %d bytes at most", maxName)
+// parseOpen checks the parameters and maps names to numbers.
+func (h *Hub) parseOpen(now front.Time, p *OpenParams) (request front.Request, err error) {
+	for _, text := range []string{p.Title, p.Class, p.Tenant, p.Viewer, p.Token} {
+		if len(text) > maxNameBytes {
+			return request, fmt.Errorf("names hold %d bytes at most", maxNameBytes)
 		}
 	}
 	if p.Title == "" || p.Viewer == "" {
-		return a, fmt.Errorf("title and viewer are needed")
+		return request, fmt.Errorf("title and viewer are needed")
 	}
-	a.Class = index(h.cfg.Classes, p.Class)
-	if a.Class < 0 {
-		return a, fmt.Errorf("no class %.60q", p.Class)
+	request.Class = indexOf(h.cfg.Classes, p.Class)
+	if request.Class < 0 {
+		return request, fmt.Errorf("no class %.60q", p.Class)
 	}
-	if a.Tenant = index(h.cfg.Tenants, p.Tenant); a.Tenant < 0 {
+	if request.Tenant = indexOf(h.cfg.Tenants, p.Tenant); request.Tenant < 0 {
 		if p.Tenant != "" || len(h.cfg.Tenants) > 0 {
-			return a, fmt.Errorf("no tenant %.60q", p.Tenant)
+			return request, fmt.Errorf("no tenant %.60q", p.Tenant)
 		}
-		a.Tenant = 0
+		request.Tenant = 0
 	}
-	a.Top = len(h.cfg.Service.RungKB) - 1
+	request.Top = len(h.cfg.Service.RungKB) - 1
 	if p.Top != nil {
-		if *p.Top < 0 || *p.Top > a.Top {
-			return a, fmt.Errorf("top must be from 0 to %d", a.Top)
+		if *p.Top < 0 || *p.Top > request.Top {
+			return request, fmt.Errorf("top must be from 0 to %d", request.Top)
 		}
-		a.Top = *p.Top
+		request.Top = *p.Top
 	}
 	if p.Length < 0 || p.Length > 86400 || p.DeadlineMs < 0 || p.DeadlineMs > 3_600_000 {
-		return a, fmt.Errorf("length must be 0 to 86400 s, deadlineMs 0 to 3600000")
+		return request, fmt.Errorf("length must be 0 to 86400 s, deadlineMs 0 to 3600000")
 	}
-	a.Length, a.Hinted = front.Time(p.Length*float64(policy.Second)), p.Length > 0
-	a.Timeout, a.ReadAt, a.Again = p.DeadlineMs*policy.Millisecond, now, p.Again
-	a.Viewer = xxhash.Sum64String(p.Viewer)
+	request.Length, request.Hinted = front.Time(p.Length*float64(policy.Second)), p.Length > 0
+	request.Timeout, request.ReadAt, request.Again = p.DeadlineMs*policy.Millisecond, now, p.Again
+	request.Viewer = xxhash.Sum64String(p.Viewer)
 	if p.Token != "" {
-		if a.Token, err = strconv.ParseUint(p.Token, 16, 64); err != nil {
-			return a, fmt.Errorf("token is not one that a front gave")
+		if request.Token, err = strconv.ParseUint(p.Token, 16, 64); err != nil {
+			return request, fmt.Errorf("token is not one that a front gave")
 		}
 	}
-	return a, nil
+	return request, nil
 }
 
 func (c *Conn) closeSession(call *Call, params json.RawMessage) {
@@ -238,15 +243,15 @@
 		call.Fail(jsonrpc.InvalidParams, err.Error(), nil)
 		return
 	}
-	n, ok := c.hub.sessionID(p.Session)
+	id, ok := c.hub.sessionID(p.Session)
 	if !ok {
 		call.Fail(CodeUnknownSession, "no such session here", nil)
 		return
 	}
-	c.hub.owner.Close(call, n)
+	c.hub.owner.Close(call, id)
 }
 
-// SessionName is a session's id as players know it: unique over fronts.
+// SessionName returns the session id used by players, which is unique across fronts.
 func SessionName(front string, id uint64) string { return front + "-" + strconv.FormatUint(id, 10) }
 
 func cutLast(s, sep string) (before, after string, ok bool) {
@@ -257,7 +262,7 @@
 	return s[:i], s[i+1:], true
 }
 
-func index(list []string, s string) int {
+func indexOf(list []string, s string) int {
 	for i, x := range list {
 		if x == s {
 			return i
--- a/internal/serve/paths_test.go
+++ b/internal/serve/addresses_test.go
@@ -14,9 +14,9 @@
 	"tealledge/internal/standin/mediasim"
 )
 
-// blackHole is an IPv6 address on which connects neither succeed nor fail, as one whose packets are dropped: a listener
-// that nobody accepts from, whose backlog is full. The kernel then drops further SYNs without a word.
-func blackHole(t *testing.T) string {
+// unresponsiveAddr returns an IPv6 address on which connects neither succeed nor fail, like one whose packets are
+// dropped: a listener that accepts nothing and whose backlog is full, so that the kernel silently drops further SYNs.
+func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET6, unix.SOCK_STREAM, 0)
 	if err != nil {
@@ -41,12 +41,12 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 	}
-	t.Fatal("the backlog never fills")
+	t.Fatal("the listener's backlog did not fill up")
 	return ""
 }
 
-// refused is an address that nobody listens on.
-func refused(t *testing.T) string {
+// refusingAddr returns an address without a listener.
+func refusingAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", "[::1]:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,25 +55,25 @@
 	return ln.Addr().String()
 }
 
-// relist lists the servers anew, each with addresses beside its IPv4 one.
-func (x *site) relist(more ...string) {
+// relistWithAddresses updates the list entry of each server with addresses besides its IPv4 one.
+func (x *site) relistWithAddresses(more ...string) {
 	for _, m := range x.farm.Servers() {
-		e := listed(m, "ready")
+		e := listEntry(m, "ready")
 		e.More = more
 		x.list.Set(e)
 	}
-	x.until("relisted", func() bool { return x.look().ready == 3 })
+	x.waitFor("relisted", func() bool { return x.snapshot().readyServers == 3 })
 	time.Sleep(150 * time.Millisecond)
 }
 
-// TestOneBadFamilyCostsNoSession has each bad behaviour on the address that is tried first, for a safe and a paid
-// class: every session starts within a second, at its first attempt, and the module hears of no failure.
-func TestOneBadFamilyCostsNoSession(t *testing.T) {
+// TestUnusableAddressFamilyDelaysNoSession gives the address that is tried first each kind of failure, for a safe and a
+// paid class: every session must start at its first attempt, within a second, and no failure may reach the module.
+func TestUnusableAddressFamilyDelaysNoSession(t *testing.T) {
 	for name, bad := range map[string]func(t *testing.T, x *site){
-		"drops silently":         func(t *testing.T, x *site) { x.relist(blackHole(t)) },
-		"refuses":                func(t *testing.T, x *site) { x.relist(refused(t)) },
-		"accepts, never answers": func(t *testing.T, x *site) { x.paths("tcp6", mediasim.PathSilent) },
-		"accepts, then resets":   func(t *testing.T, x *site) { x.paths("tcp6", mediasim.PathResets) },
+		"drops silently":         func(t *testing.T, x *site) { x.relistWithAddresses(unresponsiveAddr(t)) },
+		"refuses":                func(t *testing.T, x *site) { x.relistWithAddresses(refusingAddr(t)) },
+		"accepts, never answers": func(t *testing.T, x *site) { x.setPathMode("tcp6", mediasim.PathSilent) },
+		"accepts, then resets":   func(t *testing.T, x *site) { x.setPathMode("tcp6", mediasim.PathResets) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newSiteWith(t, "", "ipv6")
@@ -88,22 +88,24 @@
 					t.Errorf("session %d started after %v", i, took)
 				}
 			}
-			if r := x.judge(); r.Further != 0 || r.Setups != 6 {
-				t.Error(r.Setups, "set-ups,", r.Further, "of them again")
+			if r := x.audit(); r.Further != 0 || r.Setups != 6 {
+				t.Error(r.Setups, "set-ups,", r.Further, "of them retries")
 			}
 		})
 	}
 }
 
-func (x *site) paths(network, mode string) {
+// setPathMode sets the behaviour of all servers' addresses of one network.
+func (x *site) setPathMode(network, mode string) {
 	for _, m := range x.farm.Servers() {
 		m.Path(network, mode)
 	}
 }
 
-func TestAnAddressThatStallsSetUpsNeverHasThemDoubled(t *testing.T) {
+func TestStalledAddressCausesNoSecondSetUp(t *testing.T) {
 	x := newSiteWith(t, "", "ipv6")
-	x.farm.Server(1).Path("tcp6", mediasim.PathStalls) // the only holder of title b; its connection is proven, then stalls
+	// Server 1 is the only holder of title b; its connection responds once, then stalls.
+	x.farm.Server(1).Path("tcp6", mediasim.PathStalls)
 	if a := x.player().open("paid", "b"); a.Error == nil || a.Error.Code != -32002 {
 		t.Fatalf("paid: %+v", a)
 	}
@@ -111,51 +113,51 @@
 		t.Fatalf("safe: %+v", a.Error)
 	}
 	x.farm.Server(1).Path("tcp6", mediasim.PathGood)
-	x.judge()
+	x.audit()
 }
 
-func TestAllAddressesDarkThenBack(t *testing.T) {
+func TestRecoversAfterAllAddressesUnreachable(t *testing.T) {
 	x := newSiteWith(t, "", "ipv6")
-	x.paths("tcp6", mediasim.PathResets)
-	x.paths("tcp", mediasim.PathSilent)
+	x.setPathMode("tcp6", mediasim.PathResets)
+	x.setPathMode("tcp", mediasim.PathSilent)
 	began := time.Now()
-	if a := x.player().open("paid", "a"); a.Error == nil || a.Error.Code != -32001 { // provably never ran
+	if a := x.player().open("paid", "a"); a.Error == nil || a.Error.Code != -32001 { // refused, as it certainly never ran
 		t.Fatalf("%+v", a)
 	}
 	if took := time.Since(began); took > 1500*time.Millisecond {
 		t.Error("refused after", took)
 	}
-	x.paths("tcp6", mediasim.PathGood)
-	x.paths("tcp", mediasim.PathGood)
-	x.until("plays again", func() bool { return x.player().open("safe", "a").Result != nil })
-	x.judge()
+	x.setPathMode("tcp6", mediasim.PathGood)
+	x.setPathMode("tcp", mediasim.PathGood)
+	x.waitFor("plays again", func() bool { return x.player().open("safe", "a").Result != nil })
+	x.audit()
 }
 
-func TestTheAddressListChangesWhileAConnectIsUnderWay(t *testing.T) {
+func TestAddressChangeDuringConnect(t *testing.T) {
 	x := newSite(t, "")
-	hole := blackHole(t)
+	unresponsive := unresponsiveAddr(t)
 	m := x.farm.Server(1)
-	e := listed(m, "ready")
-	e.Addr = hole // the only holder of title b can't be reached
+	e := listEntry(m, "ready")
+	e.Addr = unresponsive // the only holder of title b is unreachable
 	x.list.Set(e)
 	time.Sleep(150 * time.Millisecond)
 	p := x.player()
 	p.ask("paid", "b")
 	time.Sleep(60 * time.Millisecond)
-	x.list.Set(listed(m, "ready"))
+	x.list.Set(listEntry(m, "ready"))
 	if a := p.read(); a.Result == nil {
 		t.Fatalf("%+v", a.Error)
 	}
-	if r := x.judge(); r.Setups != 1 {
+	if r := x.audit(); r.Setups != 1 {
 		t.Error(r.Setups)
 	}
 }
 
-func TestOddLists(t *testing.T) {
+func TestDuplicateAndMissingAddresses(t *testing.T) {
 	x := newSite(t, "")
 	// One address written in two ways is one connection.
 	for _, m := range x.farm.Servers() {
-		e := listed(m, "ready")
+		e := listEntry(m, "ready")
 		e.More = []string{"[::ffff:127.0.0.1]:" + m.Addr()[strings.LastIndex(m.Addr(), ":")+1:]}
 		x.list.Set(e)
 	}
@@ -163,32 +165,32 @@
 	if a := x.player().open("safe", "b"); a.Result == nil {
 		t.Fatalf("%+v", a.Error)
 	}
-	// A server listed with no address at all is never sent anything, and does no harm.
+	// A server listed without an address gets no requests and does not affect other servers.
 	x.list.Set(listsim.Server{ID: 1, Cell: 0, Zone: "z", Kind: "std", Size: 1, Health: "ready"})
-	x.until("refused", func() bool { a := x.player().open("safe", "b"); return a.Error != nil })
+	x.waitFor("refused", func() bool { a := x.player().open("safe", "b"); return a.Error != nil })
 	if a := x.player().open("safe", "a"); a.Result == nil {
 		t.Fatalf("%+v", a.Error)
 	}
-	x.list.Set(listed(x.farm.Server(1), "ready"))
-	x.judge()
+	x.list.Set(listEntry(x.farm.Server(1), "ready"))
+	x.audit()
 }
 
-func TestUnixSocketsAreUsedFirstAndOnlyIfTrusted(t *testing.T) {
+func TestUnixSocketIsPreferredOnlyIfTrusted(t *testing.T) {
 	x := newSiteWith(t, "", "unix")
 	if a := x.player().open("safe", "b"); a.Result == nil || !strings.HasPrefix(a.Result.Server, "127.0.0.1:") {
 		t.Fatalf("%+v", a)
 	}
-	x.farm.Server(1).Path("tcp", mediasim.PathResets) // resets what came by IPv4
+	x.farm.Server(1).Path("tcp", mediasim.PathResets) // resets connections over IPv4
 	if n := x.farm.Streams(); n != 1 {
-		t.Error("the session did not go by the Unix socket")
+		t.Error("the session did not use the Unix socket")
 	}
 	x.farm.Server(1).Path("tcp", mediasim.PathGood)
-	x.end()
-	os.Chmod(x.dir, 0o777) // now anybody may put a socket there
+	x.leave()
+	os.Chmod(x.dir, 0o777) // any user may create a socket there now
 	x.start("")
 	x.farm.Server(1).Path("tcp", mediasim.PathResets)
 	if a := x.player().open("safe", "b"); a.Error == nil {
-		t.Error("a socket was used that anybody could have put there")
+		t.Error("a socket in a directory writable by any user was used")
 	}
 	os.Chmod(x.dir, 0o755)
 }
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -18,17 +18,19 @@
 	"tealledge/internal/standin/playersim"
 )
 
-// BenchmarkBackground opens sessions from 20 clients, with nothing in the background and with a whole catalogue of
-// 200,000 titles read anew four times a second and kept, and tells how long an answer takes.
+// BenchmarkBackground opens sessions from 20 clients, without background work and with a full catalogue of 200,000
+// titles that is read four times a second and saved, and reports the latency of the answers.
 func BenchmarkBackground(b *testing.B) {
 	for _, heavy := range []bool{false, true} {
 		b.Run(fmt.Sprintf("heavy=%v", heavy), func(b *testing.B) {
 			dir := catalogue.Dir{Path: b.TempDir()}
-			whole := func(n uint64) string {
-				v, err := catalogue.Build(n, func(yield func(*catalogue.Title) bool) {
-					yield(&catalogue.Title{Name: "a", Holders: []catalogue.Holding{{Server: 1, Rungs: 7}, {Server: 2, Rungs: 7}}})
+			fullCatalogue := func(number uint64) string {
+				v, err := catalogue.Build(number, func(yield func(*catalogue.Title) bool) {
+					yield(&catalogue.Title{Name: "a", Holders: []catalogue.Holding{{Server: 1, Rungs: 7},
+						{Server: 2, Rungs: 7}}})
 					for i := range 200_000 {
-						if !yield(&catalogue.Title{Name: fmt.Sprint("t", i), Holders: []catalogue.Holding{{Server: 1, Rungs: 7}}}) {
+						if !yield(&catalogue.Title{Name: fmt.Sprint("t", i),
+							Holders: []catalogue.Holding{{Server: 1, Rungs: 7}}}) {
 							return
 						}
 					}
@@ -40,15 +42,18 @@
 				v.Write(&out)
 				return out.String()
 			}
-			versions := []string{whole(1)}
-			for n := uint64(2); heavy && n < 14; n++ {
-				versions = append(versions, whole(n))
+			versions := []string{fullCatalogue(1)}
+			for number := uint64(2); heavy && number < 14; number++ {
+				versions = append(versions, fullCatalogue(number))
 			}
-			if err := dir.Deliver("full.cat", func(w io.Writer) error { _, err := io.WriteString(w, versions[0]); return err }); err != nil {
+			if err := dir.Deliver("full.cat", func(w io.Writer) error {
+				_, err := io.WriteString(w, versions[0])
+				return err
+			}); err != nil {
 				b.Fatal(err)
 			}
-			x := newSite(b, fmt.Sprintf("(catalogue %q)", dir.Path))
-			defer x.end()
+			site := newSite(b, fmt.Sprintf("(catalogue %q)", dir.Path))
+			defer site.leave()
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			defer cancel()
 			if heavy {
@@ -62,43 +67,46 @@
 				}()
 			}
 			var mu sync.Mutex
-			var took []time.Duration
+			var latencies []time.Duration
 			var wg sync.WaitGroup
 			for i := range 20 {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					nc, err := playersim.Dial(ctx, x.s.Addr())
+					nc, err := playersim.Dial(ctx, site.s.Addr())
 					if err != nil {
 						return
 					}
 					defer nc.Close()
-					for n := 0; ctx.Err() == nil; n++ {
-						began := time.Now()
-						wsutil.WriteClientText(nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.open","params":{"title":"a","class":"safe","viewer":"v%d"},"id":"%d"}`, i, n))
+					for number := 0; ctx.Err() == nil; number++ {
+						startedAt := time.Now()
+						wsutil.WriteClientText(nc, fmt.Appendf(nil,
+							`{"jsonrpc":"2.0","method":"session.open","params":{"title":"a","class":"safe","viewer":"v%d"},"id":"%d"}`,
+							i, number))
 						for {
 							text, err := wsutil.ReadServerText(nc)
 							if err != nil {
 								return
 							}
-							if strings.Contains(string(text), fmt.Sprintf(`"id":"%d"`, n)) {
+							if strings.Contains(string(text), fmt.Sprintf(`"id":"%d"`, number)) {
 								break
 							}
 						}
 						mu.Lock()
-						took = append(took, time.Since(began))
+						latencies = append(latencies, time.Since(startedAt))
 						mu.Unlock()
 						time.Sleep(20 * time.Millisecond)
 					}
 				}()
 			}
 			wg.Wait()
-			slices.Sort(took)
-			for name, at := range map[string]int{"p50-us": len(took) / 2, "p99-us": len(took) * 99 / 100, "max-us": len(took) - 1} {
-				b.ReportMetric(float64(took[at].Microseconds()), name)
+			slices.Sort(latencies)
+			for name, at := range map[string]int{"p50-us": len(latencies) / 2, "p99-us": len(latencies) * 99 / 100,
+				"max-us": len(latencies) - 1} {
+				b.ReportMetric(float64(latencies[at].Microseconds()), name)
 			}
-			b.ReportMetric(float64(len(took)), "opens")
-			b.ReportMetric(float64(x.s.cfg.Catalogue.Now().Number), "version")
+			b.ReportMetric(float64(len(latencies)), "opens")
+			b.ReportMetric(float64(site.s.cfg.Catalogue.Now().Number), "version")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/serve/events.go
+++ b/internal/serve/events.go
@@ -11,60 +11,60 @@
 	"tealledge/policy"
 )
 
-// What the sockets bring the owner, and who is turned away before that.
+// This file defines the events that the sockets send to the owner, and refuses requests that are not queued for it.
 
 type (
-	asked struct {
-		call Caller
-		ask  front.Request
+	openRequested struct {
+		call    Caller
+		request front.Request
 	}
-	closed struct {
+	closeRequested struct {
 		call    Caller
 		session uint64
 	}
-	resumed struct {
+	resumeRequested struct {
 		call           Caller
 		session, token uint64
 	}
-	ended      struct{ session uint64 } // at the word of a player without a socket
-	playerGone struct{ held map[uint64]struct{} }
-	connected  struct{ server, conn uint64 }
-	dialFailed struct{ server, conn uint64 }
-	lost       struct{ server, conn, begun uint64 }
-	received   struct {
+	endRequested       struct{ session uint64 } // by a player without a socket, such as an HLS player
+	playerDisconnected struct{ sessions map[uint64]struct{} }
+	connected          struct{ server, conn uint64 }
+	dialFailed         struct{ server, conn uint64 }
+	connectionLost     struct{ server, conn, submitted uint64 }
+	messagesReceived   struct {
 		server, conn uint64
-		list         []*rtsp.Message
+		messages     []*rtsp.Message
 	}
-	listAnswer struct {
-		serverlist.Answer
+	listResponse struct {
+		serverlist.Response
 		err error
 	}
-	leave   struct{}
-	inspect struct{ reply chan Snapshot }
+	shutdown          struct{}
+	snapshotRequested struct{ reply chan Snapshot }
 )
 
-// owner is the hub's view of the server.
+// owner implements players.Owner for the server.
 type owner struct{ s *Server }
 
 func (o owner) Now() front.Time { return o.s.now() }
 
-func (o owner) Open(call *players.Call, ask front.Request) { o.s.open(call, ask) }
+func (o owner) Open(call *players.Call, request front.Request) { o.s.open(call, request) }
 
-// open takes a request of any kind of player.
-func (s *Server) open(call Caller, ask front.Request) {
-	if !s.queue.Put(admission.Request, asked{call, ask}) {
-		// The queue is full of work already taken: turned away before any work is spent, and never begun.
-		busy(call, s.comeBack())
+// open queues a request from any kind of player.
+func (s *Server) open(call Caller, request front.Request) {
+	if !s.queue.Put(admission.Request, openRequested{call, request}) {
+		// The queue is full of requests accepted earlier: this one is refused before any work is spent on it.
+		refuseBusy(call, s.retryAfter())
 	}
 }
 
-// busy turns a request away before anything of it was begun.
-func busy(call Caller, after front.Time) {
-	call.Fail(players.CodeRefused, "refused: busy", players.NoData{RetryAfterMs: after / policy.Millisecond})
+// refuseBusy refuses a request that has not been started.
+func refuseBusy(call Caller, retryAfter front.Time) {
+	call.Fail(players.CodeRefused, "refused: busy", players.NoData{RetryAfterMs: retryAfter / policy.Millisecond})
 }
 
 func (o owner) Resume(call *players.Call, session, token uint64) {
-	o.s.queue.Put(admission.Outcome, resumed{call, session, token})
+	o.s.queue.Put(admission.Outcome, resumeRequested{call, session, token})
 }
 
 func (o owner) Limited() bool { return o.s.limited.Load() }
@@ -74,59 +74,60 @@
 	if s.cfg.Front.NoGate {
 		return 0, true
 	}
-	s.gateMu.Lock()
-	ok := s.gate.Admit(s.now(), class*max(len(s.cfg.Tenants), 1)+tenant)
-	s.limited.Store(s.gate.Limited())
-	s.gateMu.Unlock()
+	s.rateLimiterMu.Lock()
+	ok := s.rateLimiter.Admit(s.now(), class*max(len(s.cfg.Tenants), 1)+tenant)
+	s.limited.Store(s.rateLimiter.Limited())
+	s.rateLimiterMu.Unlock()
 	if ok {
 		return 0, true
 	}
-	return s.comeBack(), false
+	return s.retryAfter(), false
 }
 
-// comeBack is the time told to those turned away before they were taken.
-func (s *Server) comeBack() front.Time {
+// retryAfter returns the retry delay for requests that are refused before the core sees them.
+func (s *Server) retryAfter() front.Time {
 	return admission.RetryAfter(s.cfg.Service.MaxRetryAfter, float64(s.now()%1000)/1000)
 }
 
-// weights gives the gate's flows: classes by tenants, a class's worth times a tenant's share.
-func weights(cfg *config.Config) (list []float64) {
+// flowWeights returns the weights of the rate limiter's flows, one per class and tenant: the class's worth times the
+// tenant's share.
+func flowWeights(cfg *config.Config) (flows []float64) {
 	total := 0.0
-	for _, t := range cfg.Service.Tenants {
-		total += t.PerSecond
+	for _, tenant := range cfg.Service.Tenants {
+		total += tenant.PerSecond
 	}
-	for _, k := range cfg.Service.Classes {
+	for _, class := range cfg.Service.Classes {
 		if total == 0 {
 			for range max(len(cfg.Tenants), 1) {
-				list = append(list, k.Worth)
+				flows = append(flows, class.Worth)
 			}
 			continue
 		}
-		for _, t := range cfg.Service.Tenants {
-			list = append(list, k.Worth*t.PerSecond/total)
+		for _, tenant := range cfg.Service.Tenants {
+			flows = append(flows, class.Worth*tenant.PerSecond/total)
 		}
 	}
-	return list
+	return flows
 }
 
-// waited reports to the gate how long a request waited, and tells whether it is turned away for it.
-func (s *Server) waited(now front.Time, ask *front.Request) (stale bool) {
+// observeWait reports to the rate limiter how long a request has waited, and returns whether it is refused for that.
+func (s *Server) observeWait(now front.Time, request *front.Request) (stale bool) {
 	if s.cfg.Front.NoGate {
 		return false
 	}
-	s.gateMu.Lock()
-	defer s.gateMu.Unlock()
-	s.gate.ObserveWait(now, now-ask.ReadAt, s.backlog)
-	s.limited.Store(s.gate.Limited())
-	return overload.Stale(now-ask.ReadAt, s.gate.Limited())
+	s.rateLimiterMu.Lock()
+	defer s.rateLimiterMu.Unlock()
+	s.rateLimiter.ObserveWait(now, now-request.ReadAt, s.backlog)
+	s.limited.Store(s.rateLimiter.Limited())
+	return overload.Stale(now-request.ReadAt, s.rateLimiter.Limited())
 }
 
 func (o owner) Close(call *players.Call, session uint64) {
-	o.s.queue.Put(admission.Outcome, closed{call, session})
+	o.s.queue.Put(admission.Outcome, closeRequested{call, session})
 }
-func (o owner) Gone(conn *players.Conn) { o.s.queue.Force(playerGone{conn.Sessions}) }
+func (o owner) Disconnected(conn *players.Conn) { o.s.queue.Force(playerDisconnected{conn.Sessions}) }
 
-// sink is the links' view of the server.
+// sink implements media.Sink for the server.
 type sink struct{ s *Server }
 
 func (k sink) Connected(server uint32, conn uint64) { k.s.queue.Force(connected{uint64(server), conn}) }
@@ -134,9 +135,9 @@
 	k.s.log.Debug().Uint32("server", server).Err(err).Msg("dial failed")
 	k.s.queue.Force(dialFailed{uint64(server), conn})
 }
-func (k sink) Received(server uint32, conn uint64, list []*rtsp.Message) {
-	k.s.queue.Put(admission.Outcome, received{uint64(server), conn, list})
+func (k sink) Received(server uint32, conn uint64, messages []*rtsp.Message) {
+	k.s.queue.Put(admission.Outcome, messagesReceived{uint64(server), conn, messages})
 }
-func (k sink) Lost(server uint32, conn uint64, begun uint64) {
-	k.s.queue.Force(lost{uint64(server), conn, begun})
+func (k sink) ConnectionLost(server uint32, conn uint64, submitted uint64) {
+	k.s.queue.Force(connectionLost{uint64(server), conn, submitted})
 }
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -15,37 +15,42 @@
 	"tealledge/policy"
 )
 
-// The fleet's part of a front: the owner tells it the list and what stands, and is told what to keep free. Neither waits
-// for the other: with the fleet slow, gone or wrong, the front places sessions as it does alone, by the last it was told.
+// This file connects the owner with the front's fleet node: the owner reports the server list and its sessions, and
+// receives the servers that get no new sessions. Neither waits for the other: if the fleet is slow, unreachable or
+// wrong, the front places sessions as it does alone, by the last state received.
 
-// fleet is what the owner knows of it.
+// fleet is the owner's state about the fleet.
 type fleet struct {
-	node  *node.Node // nil: this front has no fleet
-	keeps core.Keeps
-	kind  policy.ListKind // of the list believed last
-	list  []serverlist.Entry
-	tell  front.Time
-	seen  *catalogue.Version // that groups are of
+	node            *node.Node // nil: this front is in no fleet
+	unavailable     core.Keeps
+	listKind        policy.ListKind // of the most recent accepted list
+	list            []serverlist.Entry
+	nextReportAt    front.Time
+	reportedVersion *catalogue.Version // whose holder sets were reported last
 }
 
-type keeps struct{ core.Keeps }
+// unavailableChanged is the event that the fleet has agreed on other servers and fronts that are out of service.
+type unavailableChanged struct{ core.Keeps }
 
-// fleetEvery is how often the fleet's part is told what stands here.
-const fleetEvery = front.Time(time.Second)
+// fleetReportInterval is the interval between reports of this front's sessions to the fleet node.
+const fleetReportInterval = front.Time(time.Second)
 
-// startFleet starts the fleet's part, if the settings name a fleet.
+// startFleet starts the fleet node, if the settings name a fleet.
 func (s *Server) startFleet() (err error) {
-	f := s.cfg.Fleet
-	if f.Cluster == "" {
+	settings := s.cfg.Fleet
+	if settings.Cluster == "" {
 		return nil
 	}
-	s.fleet.node, err = node.New(node.Config{Name: s.cfg.Front.Name, Zone: s.cfg.Service.Zone, Cluster: f.Cluster, Listen: f.Listen, Advertise: f.Advertise,
-		Join: f.Join, Via: f.Via, Keys: f.Keys, Voters: f.Voters, Dir: s.cfg.Front.StateDir, Control: f.Control, Limits: f.Limits, Times: f.Times,
-		Stale: f.Stale, Skew: f.Skew, RackKB: s.cfg.Service.RackKB}, s.log, func(k core.Keeps) { s.queue.Force(keeps{k}) })
+	s.fleet.node, err = node.New(node.Config{Name: s.cfg.Front.Name, Zone: s.cfg.Service.Zone,
+		Cluster: settings.Cluster, Listen: settings.Listen, Advertise: settings.Advertise,
+		Join: settings.Join, Via: settings.Via, Keys: settings.Keys, Voters: settings.Voters,
+		Dir: s.cfg.Front.StateDir, Control: settings.Control, Limits: settings.Limits, Times: settings.Times,
+		Stale: settings.Stale, Skew: settings.Skew, RackKB: s.cfg.Service.RackKB},
+		s.log, func(unavailable core.Keeps) { s.queue.Force(unavailableChanged{unavailable}) })
 	return err
 }
 
-// Control is where commands for the fleet are taken, "" if nowhere.
+// Control returns the address that accepts commands for the fleet, "" if there is none.
 func (s *Server) Control() string {
 	if s.fleet.node == nil {
 		return ""
@@ -53,142 +58,145 @@
 	return s.fleet.node.ControlAddr()
 }
 
-// keepFree takes over what nothing new may go to, and what has just come back.
-func (s *Server) keepFree(now front.Time, k core.Keeps) {
-	was := s.fleet.keeps
-	s.fleet.keeps = k
-	for id := range was.Servers {
-		if k.Servers[id] == 0 {
+// setUnavailable sets the servers and fronts that are out of service, and those that have just returned.
+func (s *Server) setUnavailable(now front.Time, unavailable core.Keeps) {
+	previous := s.fleet.unavailable
+	s.fleet.unavailable = unavailable
+	for id := range previous.Servers {
+		if unavailable.Servers[id] == 0 {
 			s.step(now, front.Vacate{Vacate: policy.Vacate{Server: id}})
 		}
 	}
 	if len(s.fleet.list) > 0 {
-		s.believe(s.fleet.kind, s.fleet.list, now)
+		s.applyList(s.fleet.listKind, s.fleet.list, now)
 	}
 }
 
-// rests tells whether this front's own host is out for work: it takes nothing new.
-func (s *Server) rests() bool { return s.fleet.keeps.Fronts[s.cfg.Front.Name] != 0 }
+// outOfService reports whether this front's own host is out for work; the front then accepts no new sessions.
+func (s *Server) outOfService() bool { return s.fleet.unavailable.Fronts[s.cfg.Front.Name] != 0 }
 
-// overlay is a list's entry as the fleet has agreed on it: out for work, or just back and as cold as one that started.
-func (s *Server) overlay(e policy.Entry, now front.Time) policy.Entry {
-	if s.fleet.keeps.Servers[e.Server] != 0 {
+// withFleetState returns a list entry with the state that the fleet has agreed on: draining if the server is out for
+// work, and started on its return if it is just back, as it is then as cold as a server that has started.
+func (s *Server) withFleetState(e policy.Entry, now front.Time) policy.Entry {
+	if s.fleet.unavailable.Servers[e.Server] != 0 {
 		e.Health = max(e.Health, policy.Draining)
 	}
-	if at := s.fleet.keeps.Returned[e.Server]; at > 0 {
-		e.Started = max(e.Started, min(at, now)) // the clock is another front's
+	if at := s.fleet.unavailable.Returned[e.Server]; at > 0 {
+		e.Started = max(e.Started, min(at, now)) // the time is by another front's clock and may lie ahead
 	}
 	return e
 }
 
-// vacate has the module move away what would outlast the time that servers have.
-func (s *Server) vacate(now front.Time) {
-	for id := range s.fleet.keeps.Servers {
-		s.step(now, front.Vacate{Vacate: policy.Vacate{Server: id, Until: s.fleet.keeps.Until[id]}})
+// vacateServers has the module move the sessions that would run past the time at which their servers go out.
+func (s *Server) vacateServers(now front.Time) {
+	for id := range s.fleet.unavailable.Servers {
+		s.step(now, front.Vacate{Vacate: policy.Vacate{Server: id, Until: s.fleet.unavailable.Until[id]}})
 	}
 }
 
-// tellFleet tells the fleet's part what stands here.
-func (s *Server) tellFleet(now front.Time) {
-	if s.fleet.node == nil || now < s.fleet.tell {
+// reportToFleet reports this front's sessions to the fleet node.
+func (s *Server) reportToFleet(now front.Time) {
+	if s.fleet.node == nil || now < s.fleet.nextReportAt {
 		return
 	}
-	s.fleet.tell = now + fleetEvery
-	set := &s.cfg.Service
-	mine := map[uint32]core.Standing{}
+	s.fleet.nextReportAt = now + fleetReportInterval
+	settings := &s.cfg.Service
+	sessions := map[uint32]core.Standing{}
 	s.core.ActiveSessions(func(server uint32, class, rung int) {
-		if class < 0 || class >= len(set.Classes) || rung < 0 || rung >= len(set.RungKB) {
+		if class < 0 || class >= len(settings.Classes) || rung < 0 || rung >= len(settings.RungKB) {
 			return
 		}
-		m := mine[server]
-		m.Sessions++
-		m.KB += set.RungKB[rung] * set.Classes[class].Scale
-		if set.Classes[class].Paid {
-			m.Paid++
+		standing := sessions[server]
+		standing.Sessions++
+		standing.KB += settings.RungKB[rung] * settings.Classes[class].Scale
+		if settings.Classes[class].Paid {
+			standing.Paid++
 		}
-		mine[server] = m
+		sessions[server] = standing
 	})
-	s.fleet.node.Mine(mine)
-	if c := s.cfg.Catalogue; c != nil && c.Now() != s.fleet.seen {
-		s.tellServers()
+	s.fleet.node.Mine(sessions)
+	if c := s.cfg.Catalogue; c != nil && c.Now() != s.fleet.reportedVersion {
+		s.reportServers()
 	}
 }
 
-// tellServers tells the fleet's part the list, and which servers hold titles between them.
-func (s *Server) tellServers() {
+// reportServers reports the server list to the fleet node, and the sets of servers that hold the same titles.
+func (s *Server) reportServers() {
 	if s.fleet.node == nil {
 		return
 	}
 	var list []core.Server
 	for _, e := range s.fleet.list {
-		// Removed is one with a critical check: it failed, and counts as out. One that left the list is no machine any more.
-		list = append(list, core.Server{ID: e.Server, Rack: s.rack(e.Entry), Zone: e.Zone, KB: e.Size * s.cfg.Service.WeightKB, Ready: e.Health == policy.Ready})
+		// Removed means a critical check: the server has failed and counts as out. A server that is no longer listed
+		// isn't counted as a machine at all.
+		list = append(list, core.Server{ID: e.Server, Rack: s.rack(e.Entry), Zone: e.Zone,
+			KB: e.Size * s.cfg.Service.WeightKB, Ready: e.Health == policy.Ready})
 	}
 	slices.SortFunc(list, func(a, b core.Server) int { return int(int64(a.ID) - int64(b.ID)) })
-	n := s.fleet.node
-	if c := s.cfg.Catalogue; c != nil { // millions of titles: not by the owner
-		v := c.Now()
-		s.fleet.seen = v
+	fleetNode := s.fleet.node
+	if c := s.cfg.Catalogue; c != nil { // millions of titles: in a goroutine of its own, so that the owner isn't blocked
+		version := c.Now()
+		s.fleet.reportedVersion = version
 		s.group.Add(1)
 		go func() {
 			defer s.group.Done()
-			n.Servers(list, named(v))
+			fleetNode.Servers(list, catalogueHolderSets(version))
 		}()
 		return
 	}
-	n.Servers(list, placed(s.cfg, s.fleet.list))
+	fleetNode.Servers(list, titleHolderSets(s.cfg, s.fleet.list))
 }
 
-// rack is where the module counts a server.
+// rack returns the rack that the module assigns a server to.
 func (s *Server) rack(e policy.Entry) int {
 	racks := max(s.cfg.Service.Racks, 1)
 	return (e.Cell%racks + racks) % racks
 }
 
-// groupsMost bounds the different sets of holders that are told.
-const groupsMost = 100_000
+// maxHolderSets limits the distinct sets of holders that are reported.
+const maxHolderSets = 100_000
 
-// placed gives the sets of servers that hold the settings' titles, each once.
-func placed(cfg *config.Config, list []serverlist.Entry) (groups [][]uint32) {
+// titleHolderSets returns the distinct sets of servers that hold the titles of the settings.
+func titleHolderSets(cfg *config.Config, list []serverlist.Entry) (holderSets [][]uint32) {
 	cells := max(cfg.Service.Cells, 1)
 	seen := map[[2]int]bool{}
 	for _, t := range cfg.Titles {
 		key := [2]int{t.Home, t.Copies}
-		if seen[key] || len(groups) >= groupsMost {
+		if seen[key] || len(holderSets) >= maxHolderSets {
 			continue
 		}
 		seen[key] = true
-		var g []uint32
+		var holders []uint32
 		for _, e := range list {
 			if ((e.Cell-t.Home)%cells+cells)%cells < t.Copies {
-				g = append(g, e.Server)
+				holders = append(holders, e.Server)
 			}
 		}
-		if len(g) > 0 {
-			groups = append(groups, g)
+		if len(holders) > 0 {
+			holderSets = append(holderSets, holders)
 		}
 	}
-	return groups
+	return holderSets
 }
 
-// named gives the sets of servers that a catalogue names as holders, each once.
-func named(v *catalogue.Version) (groups [][]uint32) {
+// catalogueHolderSets returns the distinct sets of holders in a catalogue.
+func catalogueHolderSets(version *catalogue.Version) (holderSets [][]uint32) {
 	seen := map[uint64]bool{}
-	v.All(func(t *catalogue.Title) bool {
-		h := xxhash.New()
-		var g []uint32
-		for _, x := range t.Ask(0) {
-			g = append(g, x.Server)
+	version.All(func(t *catalogue.Title) bool {
+		hash := xxhash.New()
+		var holders []uint32
+		for _, holder := range t.Ask(0) {
+			holders = append(holders, holder.Server)
 		}
-		slices.Sort(g)
-		for _, id := range g {
-			h.Write([]byte{byte(id), byte(id >> 8), byte(id >> 16), byte(id >> 24)})
+		slices.Sort(holders)
+		for _, id := range holders {
+			hash.Write([]byte{byte(id), byte(id >> 8), byte(id >> 16), byte(id >> 24)})
 		}
-		if sum := h.Sum64(); len(g) > 0 && !seen[sum] {
+		if sum := hash.Sum64(); len(holders) > 0 && !seen[sum] {
 			seen[sum] = true
-			groups = append(groups, g)
+			holderSets = append(holderSets, holders)
 		}
-		return len(groups) < groupsMost
+		return len(holderSets) < maxHolderSets
 	})
-	return groups
+	return holderSets
 }
--- a/internal/serve/fleet_test.go
+++ b/internal/serve/fleet_test.go
@@ -6,34 +6,38 @@
 	"tealledge/internal/fleet/core"
 )
 
-// What the fleet keeps free gets nothing new and loses its sessions, however often the list is told anew; given back, it is
-// used again. A front whose own host is out refuses with a time to come back.
-func TestTheFleetsWordIsKept(t *testing.T) {
+// TestUnavailableServersGetNoSessions checks that servers which the fleet has taken out of service get no new sessions
+// and lose those they have, whatever the server list says, and are used again once returned. A front whose own host is
+// out refuses requests with a retry delay.
+func TestUnavailableServersGetNoSessions(t *testing.T) {
 	x := newSite(t, "")
 	p := x.player()
 	until := x.s.now() + 60e9
-	x.s.queue.Force(keeps{core.Keeps{Servers: map[uint32]uint64{1: 7, 2: 8}, Until: map[uint32]core.Time{1: until, 2: until}}})
-	x.until("two of three kept free", func() bool { return x.look().Ready == 1 })
+	x.s.queue.Force(unavailableChanged{core.Keeps{Servers: map[uint32]uint64{1: 7, 2: 8},
+		Until: map[uint32]core.Time{1: until, 2: until}}})
+	x.waitFor("two of three servers out of service", func() bool { return x.snapshot().ReadyServers == 1 })
 	for range 5 {
 		a := p.open("safe", "a")
 		if a.Result == nil || a.Result.Server != x.farm.Server(3).Addr() {
 			t.Fatalf("%+v", a)
 		}
 	}
-	x.list.Set(listed(x.farm.Server(1), "ready")) // the list's word does not undo the fleet's
+	x.list.Set(listEntry(x.farm.Server(1), "ready")) // the list must not override the fleet
 	if a := p.open("safe", "a"); a.Result == nil || a.Result.Server != x.farm.Server(3).Addr() {
-		t.Fatalf("after a new list: %+v", a)
+		t.Fatalf("after a list update: %+v", a)
 	}
-	x.s.queue.Force(keeps{core.Keeps{Servers: map[uint32]uint64{3: 9}, Until: map[uint32]core.Time{3: until}, Returned: map[uint32]core.Time{1: x.s.now()}}})
-	x.until("two ready, and the sessions moved", func() bool { return x.look().Ready == 2 && x.farm.Server(3).Streams() == 0 })
-	p = x.player() // the first one is told of its moves
-	x.s.queue.Force(keeps{core.Keeps{Fronts: map[string]uint64{"f": 10}}})
-	x.until("all ready", func() bool { return x.look().Ready == 3 })
+	x.s.queue.Force(unavailableChanged{core.Keeps{Servers: map[uint32]uint64{3: 9},
+		Until: map[uint32]core.Time{3: until}, Returned: map[uint32]core.Time{1: x.s.now()}}})
+	x.waitFor("two servers ready and the sessions moved",
+		func() bool { return x.snapshot().ReadyServers == 2 && x.farm.Server(3).Streams() == 0 })
+	p = x.player() // the first player gets notifications of its moves
+	x.s.queue.Force(unavailableChanged{core.Keeps{Fronts: map[string]uint64{"f": 10}}})
+	x.waitFor("all servers ready", func() bool { return x.snapshot().ReadyServers == 3 })
 	if a := p.open("safe", "a"); a.Error == nil || a.Error.Data.RetryAfterMs <= 0 {
-		t.Fatalf("its host is out: %+v", a)
+		t.Fatalf("want a refusal with a retry delay while the front's host is out of service: %+v", a)
 	}
-	x.s.queue.Force(keeps{})
+	x.s.queue.Force(unavailableChanged{})
 	if a := p.open("safe", "a"); a.Result == nil {
-		t.Fatalf("its host is back: %+v", a)
+		t.Fatalf("want a session after the front's host has returned: %+v", a)
 	}
 }
--- a/internal/serve/hls.go
+++ b/internal/serve/hls.go
@@ -9,21 +9,21 @@
 	"tealledge/internal/manifest"
 )
 
-// hlsOwner is the manifest hub's view of the server.
+// hlsOwner implements manifest.Owner for the server.
 type hlsOwner struct{ s *Server }
 
 func (o hlsOwner) Now() front.Time { return o.s.now() }
 
-// Open asks the gate as a session.open does, and hands the request to the owner.
-func (o hlsOwner) Open(c *manifest.Call, ask front.Request) {
-	if after, ok := (owner{o.s}).Admit(ask.Class, ask.Tenant); !ok {
-		busy(c, after)
+// Open asks the rate limiter, as session.open does, and queues the request for the owner.
+func (o hlsOwner) Open(c *manifest.Call, request front.Request) {
+	if retryAfter, ok := owner(o).Admit(request.Class, request.Tenant); !ok {
+		refuseBusy(c, retryAfter)
 		return
 	}
-	o.s.open(c, ask)
+	o.s.open(c, request)
 }
 
-func (o hlsOwner) End(session uint64) { o.s.queue.Put(admission.Outcome, ended{session}) }
+func (o hlsOwner) End(session uint64) { o.s.queue.Put(admission.Outcome, endRequested{session}) }
 
 func (o hlsOwner) Number(name string) (uint64, bool) {
 	text, ok := strings.CutPrefix(name, o.s.cfg.Front.Name+"-")
--- a/internal/serve/hls_test.go
+++ b/internal/serve/hls_test.go
@@ -20,30 +20,32 @@
 	"tealledge/internal/standin/playersim"
 )
 
-const hlsForm = `(hls (listen "127.0.0.1:0") (keys "` + hlsKey + `") (origin-wait 300ms))`
+const hlsSettings = `(hls (listen "127.0.0.1:0") (keys "` + hlsKey + `") (origin-wait 300ms))`
 
-// web is an HLS player.
-type web struct {
-	x      *site
-	viewer string
-	class  string
-	title  string
-	client *http.Client
-	last   map[string]uint64 // sequence last told, by address
-	disc   map[string]uint64
-	n      int
+// hlsPlayer is an HLS player.
+type hlsPlayer struct {
+	site            *site
+	viewer          string
+	class           string
+	title           string
+	client          *http.Client
+	sequences       map[string]uint64 // last media sequence number, by playlist address
+	discontinuities map[string]uint64
+	opened          int
 }
 
-func (x *site) web(viewer, class, title string) *web {
-	tr := &http.Transport{}
-	x.t.Cleanup(tr.CloseIdleConnections)
-	return &web{x: x, viewer: viewer, class: class, title: title, client: &http.Client{Transport: tr}, last: map[string]uint64{}, disc: map[string]uint64{}}
+func (x *site) hlsPlayer(viewer, class, title string) *hlsPlayer {
+	transport := &http.Transport{}
+	x.t.Cleanup(transport.CloseIdleConnections)
+	return &hlsPlayer{site: x, viewer: viewer, class: class, title: title,
+		client: &http.Client{Transport: transport}, sequences: map[string]uint64{}, discontinuities: map[string]uint64{}}
 }
 
-func (p *web) get(path string) (int, string, http.Header) {
-	p.x.t.Helper()
+// get requests a path at the front, or a full URL.
+func (p *hlsPlayer) get(path string) (int, string, http.Header) {
+	p.site.t.Helper()
 	if strings.HasPrefix(path, "/") {
-		path = "http://" + p.x.s.HLS() + path
+		path = "http://" + p.site.s.HLS() + path
 	}
 	resp, err := p.client.Get(path)
 	if err != nil {
@@ -54,22 +56,24 @@
 	return resp.StatusCode, string(b), resp.Header
 }
 
-// open asks for the title, as recorded for the auditor, and gives the variants' addresses.
-func (p *web) open() (code int, variants []string, h http.Header) {
-	p.x.t.Helper()
-	p.n++
-	call := fmt.Sprintf("hls-%p-%d", p, p.n)
+// open requests the master playlist, records that for the audit and returns the variants' addresses.
+func (p *hlsPlayer) open() (code int, variants []string, h http.Header) {
+	p.site.t.Helper()
+	p.opened++
+	call := fmt.Sprintf("hls-%p-%d", p, p.opened)
 	hash := playersim.Hash(p.viewer)
-	p.x.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[p.class], Viewer: hash})
-	code, text, h := p.get("/hls/" + p.title + "/master.m3u8?" + url.Values{"class": {p.class}, "viewer": {p.viewer}}.Encode())
+	p.site.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[p.class], Viewer: hash})
+	code, text, h := p.get("/hls/" + p.title + "/master.m3u8?" +
+		url.Values{"class": {p.class}, "viewer": {p.viewer}}.Encode())
 	kind := map[int]string{200: "plays", 503: "refused", 502: "failed"}[code]
-	p.x.rec.Add(record.Event{What: record.Reply, Front: "f", Call: call, Class: classes[p.class], Text: kind, Session: strings.TrimPrefix(h.Get("X-Tealledge-Session"), "f-")})
+	p.site.rec.Add(record.Event{What: record.Reply, Front: "f", Call: call, Class: classes[p.class], Text: kind,
+		Session: strings.TrimPrefix(h.Get("X-Tealledge-Session"), "f-")})
 	if code != 200 {
 		return code, nil, h
 	}
 	list, kind2, err := m3u8.DecodeFrom(strings.NewReader(text), true)
 	if err != nil || kind2 != m3u8.MASTER {
-		p.x.t.Fatalf("%v\n%s", err, text)
+		p.site.t.Fatalf("%v\n%s", err, text)
 	}
 	for _, v := range list.(*m3u8.MasterPlaylist).Variants {
 		variants = append(variants, v.URI)
@@ -77,45 +81,47 @@
 	return code, variants, h
 }
 
-// reload reads a media playlist, checks it with another library and against what was told before, and gives the
-// segments' addresses.
-func (p *web) reload(variant string) (code int, segments []string) {
-	p.x.t.Helper()
+// reload reads a media playlist, parses it with an independent library, compares it with the one read before and returns
+// the segments' addresses.
+func (p *hlsPlayer) reload(variant string) (code int, segments []string) {
+	p.site.t.Helper()
 	code, text, _ := p.get(variant)
 	if code != 200 {
 		return code, nil
 	}
 	list, kind, err := m3u8.DecodeFrom(strings.NewReader(text), true)
 	if err != nil || kind != m3u8.MEDIA {
-		p.x.t.Fatalf("%v\n%s", err, text)
+		p.site.t.Fatalf("%v\n%s", err, text)
 	}
-	m := list.(*m3u8.MediaPlaylist)
-	if m.SeqNo < p.last[variant] || m.DiscontinuitySeq < p.disc[variant] {
-		p.x.t.Fatalf("went back: sequence %d after %d, discontinuity %d after %d", m.SeqNo, p.last[variant], m.DiscontinuitySeq, p.disc[variant])
+	playlist := list.(*m3u8.MediaPlaylist)
+	if playlist.SeqNo < p.sequences[variant] || playlist.DiscontinuitySeq < p.discontinuities[variant] {
+		p.site.t.Fatalf("playlist went back: sequence %d after %d, discontinuity %d after %d", playlist.SeqNo,
+			p.sequences[variant], playlist.DiscontinuitySeq, p.discontinuities[variant])
 	}
-	p.last[variant], p.disc[variant] = m.SeqNo, m.DiscontinuitySeq
-	for _, s := range m.Segments[:m.Count()] {
+	p.sequences[variant], p.discontinuities[variant] = playlist.SeqNo, playlist.DiscontinuitySeq
+	for _, s := range playlist.Segments[:playlist.Count()] {
 		segments = append(segments, s.URI)
 	}
 	return code, segments
 }
 
-// holder gives the server that streams for the viewer now.
-func (p *web) holder(segments []string) string {
+// currentHolder returns the host of the last segment: the server that streams for the viewer now.
+func (p *hlsPlayer) currentHolder(segments []string) string {
 	u, err := url.Parse(segments[len(segments)-1])
 	if err != nil {
-		p.x.t.Fatal(err)
+		p.site.t.Fatal(err)
 	}
 	return u.Host
 }
 
-func TestAnHLSPlayerIsPlacedAndItsSegmentsExist(t *testing.T) {
-	x := newSite(t, hlsForm)
+func TestHLSPlayerIsPlacedAndGetsItsSegments(t *testing.T) {
+	x := newSite(t, hlsSettings)
 	for _, title := range []string{"a", "live-a"} {
-		p := x.web("v-"+title, "floored", title)
+		p := x.hlsPlayer("v-"+title, "floored", title)
 		code, variants, h := p.open()
-		if code != 200 || len(variants) == 0 || !strings.HasSuffix(variants[0], "/1.m3u8") || h.Get("X-Tealledge-Session") == "" {
-			t.Fatal(code, variants, h) // rung 0 lies under the class's floor
+		if code != 200 || len(variants) == 0 || !strings.HasSuffix(variants[0], "/1.m3u8") ||
+			h.Get("X-Tealledge-Session") == "" {
+			t.Fatal(code, variants, h) // rung 0 is below the class's floor
 		}
 		code, segments := p.reload(variants[len(variants)-1])
 		if code != 200 || len(segments) < 4 {
@@ -127,24 +133,24 @@
 			}
 		}
 		if code, _, _ := p.get(strings.Split(segments[0], "?")[0]); code != 403 {
-			t.Error("a segment without a token:", code)
+			t.Error("status of a segment without a token:", code)
 		}
 	}
 	if n := x.farm.Streams(); n != 2 {
 		t.Error(n, "streams")
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestRepeatedAndParallelGetsAreOneSession(t *testing.T) {
-	x := newSite(t, hlsForm)
+func TestRepeatedAndParallelGetsShareOneSession(t *testing.T) {
+	x := newSite(t, hlsSettings)
 	var wg sync.WaitGroup
 	names := make(chan string, 20)
 	for range 20 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			p := x.web("same", "paid", "a")
+			p := x.hlsPlayer("same", "paid", "a")
 			code, _, h := p.get("/hls/a/master.m3u8?class=paid&viewer=same")
 			names <- fmt.Sprint(code, h.Get("X-Tealledge-Session"))
 		}()
@@ -158,8 +164,8 @@
 	if len(seen) != 1 || x.farm.Streams() != 1 {
 		t.Fatal(seen, x.farm.Streams(), "streams")
 	}
-	// Without a name two GETs are two viewers; with the cookie that the first got, one.
-	p, q := x.web("", "safe", "a"), x.web("", "safe", "a")
+	// Without a viewer name two GETs are two viewers; with the first one's cookie they are one.
+	p, q := x.hlsPlayer("", "safe", "a"), x.hlsPlayer("", "safe", "a")
 	_, _, h := p.get("/hls/a/master.m3u8?class=safe")
 	q.get("/hls/a/master.m3u8?class=safe")
 	if n := x.farm.Streams(); n != 3 {
@@ -173,71 +179,72 @@
 	}
 	resp.Body.Close()
 	if n := x.farm.Streams(); n != 3 {
-		t.Error(n, "streams after a lost answer was asked for again")
+		t.Error(n, "streams after a repeated request with the cookie")
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestRefusedAndFailedHaveTheirStatus(t *testing.T) {
-	x := newSite(t, hlsForm)
-	x.web("w", "safe", "b").open()
+func TestHLSStatusOfRefusedAndFailedRequests(t *testing.T) {
+	x := newSite(t, hlsSettings)
+	x.hlsPlayer("w", "safe", "b").open()
 	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Lose = 1 })
-	if code, _, _ := x.web("v1", "paid", "b").open(); code != 502 {
-		t.Error("a paid set-up that may have run:", code)
+	if code, _, _ := x.hlsPlayer("v1", "paid", "b").open(); code != 502 {
+		t.Error("status of a paid set-up that may have run:", code)
 	}
 	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Lose = 0 })
 	x.farm.Server(1).Kill()
-	x.until("refused", func() bool {
-		code, _, h := x.web("v2", "safe", "b").open()
+	x.waitFor("refused", func() bool {
+		code, _, h := x.hlsPlayer("v2", "safe", "b").open()
 		return code == 503 && h.Get("Retry-After") == "1"
 	})
-	for path, want := range map[string]int{"/hls/zzz/master.m3u8?class=safe": 404, "/hls/a/master.m3u8?class=x": 400, "/hls/a/master.m3u8?class=safe&top=99": 400,
+	for path, want := range map[string]int{"/hls/zzz/master.m3u8?class=safe": 404,
+		"/hls/a/master.m3u8?class=x": 400, "/hls/a/master.m3u8?class=safe&top=99": 400,
 		"/hls/s/nonsense/0.m3u8": 403, "/other": 404, "/hls/a/b/c/d": 404} {
-		if code, _, _ := x.web("v", "safe", "a").get(path); code != want {
+		if code, _, _ := x.hlsPlayer("v", "safe", "a").get(path); code != want {
 			t.Errorf("%s: %d, want %d", path, code, want)
 		}
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestTokensThatAreExpiredOrForged(t *testing.T) {
-	x := newSite(t, hlsForm)
-	p := x.web("v", "safe", "a")
+func TestExpiredOrForgedHLSTokens(t *testing.T) {
+	x := newSite(t, hlsSettings)
+	p := x.hlsPlayer("v", "safe", "a")
 	now := time.Now().Unix()
 	c := hlstoken.Claims{Session: 5, Viewer: 7, Title: "a", Top: 2, Issued: now - 100, Expires: now - 1}
 	if code, _ := p.reload("/hls/s/" + hlsKeys.Sign(c) + "/0.m3u8"); code != 410 {
-		t.Error("expired:", code)
+		t.Error("status of an expired token:", code)
 	}
 	other, _ := hlstoken.NewKeys([]byte("another key of some length"))
 	c.Expires = now + 100
 	if code, _ := p.reload("/hls/s/" + other.Sign(c) + "/0.m3u8"); code != 403 {
-		t.Error("forged:", code)
+		t.Error("status of a forged token:", code)
 	}
 	c.Class = 1
 	if code, _ := p.reload("/hls/s/" + hlsKeys.Sign(c) + "/0.m3u8"); code != 410 {
-		t.Error("a paid session of elsewhere is not set up again:", code)
+		t.Error("status of the token of a paid session of another front:", code)
 	}
 	if x.farm.Streams() != 0 {
-		t.Error("something was set up")
+		t.Error("a session was set up for an invalid token")
 	}
-	c.Class = 0 // a safe one is placed, once, however many requests carry its token
+	c.Class = 0 // a safe session is set up again, once for all requests with its token
 	var wg sync.WaitGroup
 	for range 10 {
 		wg.Add(1)
-		go func() { defer wg.Done(); x.web("v", "safe", "a").get("/hls/s/" + hlsKeys.Sign(c) + "/0.m3u8") }()
+		go func() { defer wg.Done(); x.hlsPlayer("v", "safe", "a").get("/hls/s/" + hlsKeys.Sign(c) + "/0.m3u8") }()
 	}
 	wg.Wait()
 	if n := x.farm.Streams(); n != 1 {
 		t.Error(n, "streams")
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestTheServerDiesOrDrainsAndTheNextReloadGoesOn(t *testing.T) {
+func TestReloadContinuesAfterServerCrashOrDrain(t *testing.T) {
 	for _, how := range []string{"dies before the first media playlist", "dies in mid-stream", "drains"} {
 		t.Run(how, func(t *testing.T) {
-			x := newSite(t, hlsForm)
-			p := x.web("v", "safe", "live-a")
+			x := newSite(t, hlsSettings)
+			p := x.hlsPlayer("v", "safe", "live-a")
 			_, variants, _ := p.open()
 			variant := variants[0]
 			var at string
@@ -249,54 +256,55 @@
 				}
 			} else {
 				_, segments := p.reload(variant)
-				at = p.holder(segments)
+				at = p.currentHolder(segments)
 			}
 			for _, m := range x.farm.Servers() {
 				if m.HTTPAddr() != at {
 					continue
 				}
 				if how == "drains" {
-					x.list.Set(listed(m, "draining"))
+					x.list.Set(listEntry(m, "draining"))
 					time.Sleep(300 * time.Millisecond)
 				}
 				m.Kill()
 			}
 			var segments []string
-			x.until("plays elsewhere", func() bool {
+			x.waitFor("plays from another server", func() bool {
 				time.Sleep(100 * time.Millisecond)
 				code, list := p.reload(variant)
 				segments = list
-				return code == 200 && p.holder(list) != at
+				return code == 200 && p.currentHolder(list) != at
 			})
 			time.Sleep(1100 * time.Millisecond)
-			if _, segments = p.reload(variant); p.holder(segments) == at {
+			if _, segments = p.reload(variant); p.currentHolder(segments) == at {
 				t.Error(segments)
 			}
 			if n := x.farm.Streams(); n != 1 {
 				t.Error(n, "streams")
 			}
-			x.judge()
+			x.audit()
 		})
 	}
 }
 
-func TestAFrontThatRestartedTakesItsPlayersTokensUp(t *testing.T) {
-	x := newSite(t, hlsForm)
-	p := x.web("v", "safe", "live-a")
+func TestRestartedFrontAcceptsEarlierHLSTokens(t *testing.T) {
+	x := newSite(t, hlsSettings)
+	p := x.hlsPlayer("v", "safe", "live-a")
 	_, variants, _ := p.open()
 	p.reload(variants[0])
-	x.end()
-	x.start(hlsForm)
-	x.until("goes on", func() bool { code, _ := p.reload(variants[0]); return code == 200 })
+	x.leave()
+	x.start(hlsSettings)
+	x.waitFor("reloads succeed again", func() bool { code, _ := p.reload(variants[0]); return code == 200 })
 	if n := x.farm.Streams(); n != 1 {
 		t.Error(n, "streams")
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestPlayersThatStopAskingEndTheirSessions(t *testing.T) {
-	x := newSite(t, hlsForm)
-	steady, gone, left := x.web("steady", "safe", "live-a"), x.web("gone", "safe", "live-a"), x.web("left", "safe", "live-a")
+func TestHLSSessionEndsWhenPlayerStopsReloading(t *testing.T) {
+	x := newSite(t, hlsSettings)
+	steady, gone, left := x.hlsPlayer("steady", "safe", "live-a"),
+		x.hlsPlayer("gone", "safe", "live-a"), x.hlsPlayer("left", "safe", "live-a")
 	_, v, _ := steady.open()
 	_, w, _ := gone.open()
 	gone.reload(w[0])
@@ -308,7 +316,7 @@
 	} else {
 		resp.Body.Close()
 	}
-	x.until("closed at its word", func() bool { return x.farm.Streams() == 2 })
+	x.waitFor("closed by the DELETE request", func() bool { return x.farm.Streams() == 2 })
 	for range 16 {
 		time.Sleep(500 * time.Millisecond)
 		if code, _ := steady.reload(v[0]); code != 200 {
@@ -316,14 +324,14 @@
 		}
 	}
 	if n := x.farm.Streams(); n != 1 || x.s.hls.Sessions() != 1 {
-		t.Error(n, "streams,", x.s.hls.Sessions(), "sessions: only the steady one is there")
+		t.Error(n, "streams,", x.s.hls.Sessions(), "sessions; want one, that of the player that still reloads")
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestAPlayerThatReloadsTooFastIsToldToWaitAndKeepsItsSession(t *testing.T) {
-	x := newSite(t, hlsForm)
-	p := x.web("v", "safe", "live-a")
+func TestFastReloadsAreThrottledWithoutEndingSession(t *testing.T) {
+	x := newSite(t, hlsSettings)
+	p := x.hlsPlayer("v", "safe", "live-a")
 	_, variants, _ := p.open()
 	codes := map[int]int{}
 	for range 60 {
@@ -337,32 +345,32 @@
 	if code, _ := p.reload(variants[0]); code != 200 || x.farm.Streams() != 1 {
 		t.Error(code, x.farm.Streams())
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestAnOriginThatIsTruncatedOrStalls(t *testing.T) {
-	x := newSite(t, hlsForm)
-	p := x.web("v", "safe", "live-b")
+func TestTruncatedOriginPlaylistFallsBackToCachedOne(t *testing.T) {
+	x := newSite(t, hlsSettings)
+	p := x.hlsPlayer("v", "safe", "live-b")
 	_, variants, _ := p.open()
 	if code, _ := p.reload(variants[0]); code != 200 {
 		t.Fatal(code)
 	}
 	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Half = 1 })
 	time.Sleep(700 * time.Millisecond)
-	if code, _ := p.reload(variants[0]); code != 200 { // truncated: the last good one is still usable
-		t.Error("a stale list is better than none:", code)
+	if code, _ := p.reload(variants[0]); code != 200 { // truncated: the last complete playlist is still usable
+		t.Error("status with a recent cached playlist:", code)
 	}
 	time.Sleep(2500 * time.Millisecond)
-	if code, _ := p.reload(variants[0]); code != 503 { // too old by now
-		t.Error("a list older than two targets:", code)
+	if code, _ := p.reload(variants[0]); code != 503 { // the cached playlist is too old by now
+		t.Error("status with a playlist older than two target durations:", code)
 	}
 	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Half = 0 })
-	x.until("goes on", func() bool { code, _ := p.reload(variants[0]); return code == 200 })
-	x.judge()
+	x.waitFor("reloads succeed again", func() bool { code, _ := p.reload(variants[0]); return code == 200 })
+	x.audit()
 }
 
-func TestFiveHundredHLSPlayers(t *testing.T) {
-	x := newSite(t, hlsForm)
+func TestFiveHundredHLSPlayersOpenAndReload(t *testing.T) {
+	x := newSite(t, hlsSettings)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	var wg sync.WaitGroup
@@ -371,11 +379,11 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			p := x.web("v"+strconv.Itoa(i), "safe", []string{"live-a", "a"}[i%2])
+			p := x.hlsPlayer("v"+strconv.Itoa(i), "safe", []string{"live-a", "a"}[i%2])
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
 			began := time.Now()
 			code, variants, _ := p.open()
-			for n := 0; n < 8 && code == 503; n++ { // turned away at once on a loaded machine, and comes again as it is told to
+			for n := 0; n < 8 && code == 503; n++ { // refused quickly on a loaded machine; retries as the response says
 				if took := time.Since(began); took > time.Second {
 					break
 				}
@@ -400,5 +408,5 @@
 	for b := range bad {
 		t.Error(b)
 	}
-	x.judge()
+	x.audit()
 }
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -8,91 +8,98 @@
 	"tealledge/policy"
 )
 
-// The server list: what is believed of an answer, and what the core and the desk are told.
+// This file handles responses of the server list: it accepts or rejects them and updates the core and the RTSP protocol.
 
-func (s *Server) listed(now front.Time, a listAnswer) {
-	if a.err != nil {
-		s.log.Warn().Err(a.err).Msg("server list not had; the old one stands")
+// handleListResponse handles a response, or an error, of the list's source.
+func (s *Server) handleListResponse(now front.Time, response listResponse) {
+	if response.err != nil {
+		s.log.Warn().Err(response.err).Msg("server list request failed; keeping the previous list")
 		return
 	}
-	for _, text := range a.Skipped {
+	for _, text := range response.Skipped {
 		s.log.Warn().Str("entry", text).Msg("server list: entry skipped")
 	}
-	entries := make([]policy.Entry, 0, len(a.Entries))
-	for _, e := range a.Entries {
+	entries := make([]policy.Entry, 0, len(response.Entries))
+	for _, e := range response.Entries {
 		entries = append(entries, e.Entry)
 	}
-	list, verdict := s.view.Apply(now, serverview.Response{Index: a.Index, Entries: entries})
-	s.index.set(s.view.Index())
-	if s.view.EmptyPending() { // asked again from the start, so that the service answers at once
-		s.index.set(0)
+	list, verdict := s.serverView.Apply(now, serverview.Response{Index: response.Index, Entries: entries})
+	s.listIndex.set(s.serverView.Index())
+	if s.serverView.EmptyPending() { // index 0 makes the service respond immediately
+		s.listIndex.set(0)
 	}
 	if verdict != serverview.Accepted {
-		if verdict != serverview.Unchanged && !s.doubt {
-			s.doubt = true
-			s.log.Warn().Uint64("index", a.Index).Int("entries", len(entries)).Msg("server list not believed; the old one stands")
+		if verdict != serverview.Unchanged && !s.rejectionLogged {
+			s.rejectionLogged = true
+			s.log.Warn().Uint64("index", response.Index).Int("entries", len(entries)).
+				Msg("server list rejected; keeping the previous list")
 		}
 		return
 	}
-	s.doubt = false
-	byID := make(map[uint32]serverlist.Entry, len(a.Entries))
-	for _, e := range a.Entries {
+	s.rejectionLogged = false
+	byID := make(map[uint32]serverlist.Entry, len(response.Entries))
+	for _, e := range response.Entries {
 		byID[e.Server] = e
 	}
-	out := make([]serverlist.Entry, 0, len(list))
+	accepted := make([]serverlist.Entry, 0, len(list))
 	for _, e := range list {
-		out = append(out, serverlist.Entry{Entry: e, Addr: byID[e.Server].Addr, Paths: byID[e.Server].Paths,
+		accepted = append(accepted, serverlist.Entry{Entry: e, Addr: byID[e.Server].Addr, Paths: byID[e.Server].Paths,
 			HTTP: byID[e.Server].HTTP})
 	}
-	s.believe(policy.ListFull, out, now)
+	s.applyList(policy.ListFull, accepted, now)
 	s.group.Add(1)
-	go func() { // a slow disk holds nobody up
+	go func() { // so that a slow disk doesn't block the owner
 		defer s.group.Done()
-		if err := s.cache.Save(out); err != nil {
-			s.log.Warn().Err(err).Msg("last list not kept")
+		if err := s.listCache.Save(accepted); err != nil {
+			s.log.Warn().Err(err).Msg("saving the server list failed")
 		}
 	}()
 }
 
-func (s *Server) believe(kind policy.ListKind, list []serverlist.Entry, now front.Time) {
+// applyList updates the core, the RTSP protocol and the fleet node with an accepted list.
+func (s *Server) applyList(kind policy.ListKind, list []serverlist.Entry, now front.Time) {
 	now = max(now, s.now())
-	s.fleet.kind, s.fleet.list = kind, list
+	s.fleet.listKind, s.fleet.list = kind, list
 	var servers []rtspclient.Server
 	var entries []policy.Entry
 	ready := 0
-	s.https = make(map[uint32]string, len(list))
+	s.httpAddrs = make(map[uint32]string, len(list))
 	for _, e := range list {
-		s.https[e.Server] = e.HTTP
+		s.httpAddrs[e.Server] = e.HTTP
 		servers = append(servers, rtspclient.Server{ID: e.Server, Addr: e.Addr, Paths: e.Paths, StartedAt: e.Started})
-		told := s.overlay(e.Entry, now)
-		entries = append(entries, told)
-		if told.Health == policy.Ready {
+		overlaid := s.withFleetState(e.Entry, now)
+		entries = append(entries, overlaid)
+		if overlaid.Health == policy.Ready {
 			ready++
 		}
 	}
-	s.log.Info().Int("servers", len(list)).Int("ready", ready).Bool("cached", kind == policy.ListCached).Msg("server list")
-	// The core first: what was not sent to a server that drains is taken back before its connection is touched.
+	s.log.Info().Int("servers", len(list)).Int("ready", ready).
+		Bool("cached", kind == policy.ListCached).Msg("server list")
+	// The core is updated first, so that set-ups not yet sent to a draining server are cancelled before its connection
+	// changes.
 	s.step(now, front.Listed{List: policy.List{Kind: kind, Entries: entries}})
-	s.desk.SetServers(now, servers)
-	s.settle(nil)
-	s.vacate(now)
-	s.tellServers()
-	s.keep.takeUp(now)
+	s.protocol.SetServers(now, servers)
+	s.applyEffects(nil)
+	s.vacateServers(now)
+	s.reportServers()
+	s.store.restoreSessions(now)
 }
 
-func (s *Server) redirected(now front.Time, server uint32) {
-	e, news := s.view.HandleRedirect(server, now)
-	if !news {
+// handleRedirect marks a server that has sent a REDIRECT as draining.
+func (s *Server) handleRedirect(now front.Time, server uint32) {
+	e, changed := s.serverView.HandleRedirect(server, now)
+	if !changed {
 		return
 	}
-	s.log.Info().Uint32("server", server).Msg("server says that it drains")
-	for i := range s.fleet.list { // which is believed again when the fleet agrees on something
+	s.log.Info().Uint32("server", server).Msg("server reported that it is draining")
+	for i := range s.fleet.list { // this list is applied again when the fleet state changes
 		if s.fleet.list[i].Server == server {
 			s.fleet.list[i].Health = max(s.fleet.list[i].Health, e.Health)
 		}
 	}
-	e = s.overlay(e, now)
-	for _, effect := range s.core.Step(now, front.Listed{List: policy.List{Kind: policy.ListDelta, Entries: []policy.Entry{e}}}) {
-		s.effect(effect)
+	e = s.withFleetState(e, now)
+	for _, effect := range s.core.Step(now, front.Listed{List: policy.List{Kind: policy.ListDelta,
+		Entries: []policy.Entry{e}}}) {
+		s.applyEffect(effect)
 	}
 }
--- a/internal/serve/owner.go
+++ b/internal/serve/owner.go
@@ -8,68 +8,69 @@
 	"tealledge/internal/players"
 )
 
-// The owner: one goroutine that takes what came, lets the core decide, and carries the effects out.
-
-func (s *Server) own() {
+// runOwner is the owner goroutine: it takes events from the queue, passes them to the core and carries out the effects.
+func (s *Server) runOwner() {
 	defer close(s.finished)
-	timer := time.NewTimer(deskEvery)
+	timer := time.NewTimer(tickInterval)
 	defer timer.Stop()
 	var batch []any
-	deskAt := s.now()
-	last := deskAt
-	var drainBy, closeBy, readUntil front.Time
+	tickAt := s.now()
+	lastRoundAt := tickAt
+	var drainDeadline, closeDeadline, readUntil front.Time
 	for {
 		now := s.now()
-		if wait := admission.ReadWindowAfterStall(now - last); wait > 0 {
+		if wait := admission.ReadWindowAfterStall(now - lastRoundAt); wait > 0 {
 			readUntil = now + wait
-			s.log.Warn().Dur("gap", time.Duration(now-last)).Msg("stood still")
+			s.log.Warn().Dur("gap", time.Duration(now-lastRoundAt)).
+				Msg("process was stalled; reading the sockets before timers run")
 		}
-		last = now
-		batch, s.backlog = s.queue.Take(batchMost, batch)
-		s.waiting.Store(int64(s.backlog))
+		lastRoundAt = now
+		batch, s.backlog = s.queue.Take(maxBatch, batch)
+		s.queueLength.Store(int64(s.backlog))
 		for _, item := range batch {
 			s.handle(item)
 		}
-		s.waitedFor.Store(s.now() - now)
+		s.lastRoundNanos.Store(s.now() - now)
 		now = s.now()
 		if now < readUntil {
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		s.settle(s.core.Advance(now))
-		if at, racing := s.desk.NextTick(); now >= deskAt || racing && now >= at {
-			deskAt = now + front.Time(deskEvery)
-			s.desk.Tick(now)
-			s.keep.tick(now)
-			s.tellFleet(now)
-			s.settle(nil)
+		s.applyEffects(s.core.Advance(now))
+		if at, scheduled := s.protocol.NextTick(); now >= tickAt || scheduled && now >= at {
+			tickAt = now + front.Time(tickInterval)
+			s.protocol.Tick(now)
+			s.store.tick(now)
+			s.reportToFleet(now)
+			s.applyEffects(nil)
 		}
 		if s.leaving && !s.closing {
-			if drainBy == 0 {
-				drainBy = now + front.Time(s.cfg.Front.DrainLimit)
+			if drainDeadline == 0 {
+				drainDeadline = now + front.Time(s.cfg.Front.DrainLimit)
 			}
-			if s.core.OpenRequests() == 0 || now >= drainBy {
+			if s.core.OpenRequests() == 0 || now >= drainDeadline {
 				s.closing = true
-				closeBy = now + front.Time(closeMost)
-				s.settle(s.core.Step(now, front.CloseAll{}))
+				closeDeadline = now + front.Time(closeTimeout)
+				s.applyEffects(s.core.Step(now, front.CloseAll{}))
 			}
 		}
 		if s.closing {
-			if _, calls := s.desk.Counts(); calls == 0 || now >= closeBy {
-				st := s.core.Stats()
-				s.log.Info().Uint64("taken", st.Taken).Uint64("plays", st.Plays).Uint64("refused", st.Refused).
-					Uint64("failed", st.Failed).Uint64("faults", st.Faults).Uint64("attempts", st.Attempts).Int("dials", s.links.Dials()).Msg("left service")
+			if _, unanswered := s.protocol.Counts(); unanswered == 0 || now >= closeDeadline {
+				stats := s.core.Stats()
+				s.log.Info().Uint64("taken", stats.Taken).Uint64("plays", stats.Plays).Uint64("refused", stats.Refused).
+					Uint64("failed", stats.Failed).Uint64("faults", stats.Faults).
+					Uint64("attempts", stats.Attempts).Int("dials", s.conns.Dials()).Msg("left service")
 				return
 			}
 		}
-		if len(batch) == batchMost {
+		if len(batch) == maxBatch {
 			continue
 		}
-		wait := time.Duration(deskAt - now)
+		wait := time.Duration(tickAt - now)
 		if at, ok := s.core.Next(); ok {
 			wait = min(wait, time.Duration(at-now))
 		}
-		if at, ok := s.desk.NextTick(); ok {
+		if at, ok := s.protocol.NextTick(); ok {
 			wait = min(wait, time.Duration(at-now))
 		}
 		if wait <= 0 {
@@ -83,83 +84,85 @@
 	}
 }
 
+// handle handles one event from the queue.
 func (s *Server) handle(item any) {
 	now := s.now()
 	switch e := item.(type) {
-	case asked:
-		s.take(now, e)
-	case resumed:
-		s.handles++
-		s.calls[s.handles] = e.call
-		s.step(now, front.Resume{Session: e.session, Token: e.token, Player: s.handles})
-	case closed:
+	case openRequested:
+		s.handleOpen(now, e)
+	case resumeRequested:
+		s.lastHandle++
+		s.callsByHandle[s.lastHandle] = e.call
+		s.step(now, front.Resume{Session: e.session, Token: e.token, Player: s.lastHandle})
+	case closeRequested:
 		if _, mine := e.call.Held()[e.session]; !mine {
 			e.call.Fail(players.CodeUnknownSession, "no such session here", nil)
 			return
 		}
 		s.step(now, front.Leave{Session: e.session})
 		s.forget(e.session)
-		e.call.Result(map[string]string{"status": "closed", "session": players.SessionName(s.cfg.Front.Name, e.session)})
-	case playerGone:
-		for id := range e.held {
+		e.call.Result(map[string]string{"status": "closed",
+			"session": players.SessionName(s.cfg.Front.Name, e.session)})
+	case playerDisconnected:
+		for id := range e.sessions {
 			s.step(now, front.Detach{Session: id})
 			if !s.core.HoldsSession(id) {
 				s.forget(id)
 			}
 		}
-	case ended:
+	case endRequested:
 		s.step(now, front.Leave{Session: e.session})
 		s.forget(e.session)
 	case connected:
-		s.desk.Connected(now, uint32(e.server), e.conn)
+		s.protocol.Connected(now, uint32(e.server), e.conn)
 	case dialFailed:
-		s.desk.DialFailed(now, uint32(e.server), e.conn)
-	case received:
-		for _, m := range e.list {
-			s.desk.Received(now, uint32(e.server), e.conn, m)
+		s.protocol.DialFailed(now, uint32(e.server), e.conn)
+	case messagesReceived:
+		for _, m := range e.messages {
+			s.protocol.Received(now, uint32(e.server), e.conn, m)
 		}
-	case lost:
-		s.desk.ConnectionLost(now, uint32(e.server), e.conn, e.begun)
-	case stored:
-		s.keep.stored(now, e)
-	case listAnswer:
-		s.listed(now, e)
-	case keeps:
-		s.keepFree(now, e.Keeps)
-	case leave:
+	case connectionLost:
+		s.protocol.ConnectionLost(now, uint32(e.server), e.conn, e.submitted)
+	case recordWritten:
+		s.store.handleRecordWritten(now, e)
+	case listResponse:
+		s.handleListResponse(now, e)
+	case unavailableChanged:
+		s.setUnavailable(now, e.Keeps)
+	case shutdown:
 		s.leaving = true
-	case inspect:
+	case snapshotRequested:
 		e.reply <- s.snapshot()
 	}
-	s.settle(nil)
+	s.applyEffects(nil)
 }
 
-// take takes a request. Its session id is known once the core has taken it.
-func (s *Server) take(now front.Time, e asked) {
-	if e.call.Left() { // nobody is there to be answered, and nothing was begun
+// handleOpen passes a request to the core, which assigns the session id when it accepts the request.
+func (s *Server) handleOpen(now front.Time, e openRequested) {
+	if e.call.Left() { // the player has disconnected and nothing was started
 		e.call.Drop()
 		return
 	}
-	if s.waited(now, &e.ask) {
-		busy(e.call, s.comeBack())
+	if s.observeWait(now, &e.request) {
+		refuseBusy(e.call, s.retryAfter())
 		return
 	}
-	s.handles++
-	e.ask.Player, e.ask.Draining, *e.call.Ref() = s.handles, s.leaving || s.rests(), s.handles
-	s.calls[s.handles] = e.call
+	s.lastHandle++
+	e.request.Player, e.request.Draining, *e.call.Ref() = s.lastHandle, s.leaving || s.outOfService(), s.lastHandle
+	s.callsByHandle[s.lastHandle] = e.call
 	before := s.core.Stats().Taken
-	effects := s.core.Step(now, e.ask)
+	effects := s.core.Step(now, e.request)
 	if s.core.Stats().Taken == before+1 {
 		id := s.core.LastID()
-		s.byID[id] = e.call
-		s.keep.took(id, e.ask)
+		s.callsBySession[id] = e.call
+		s.store.addRequest(id, e.request)
 		e.call.Held()[id] = struct{}{}
-		if e.call.Left() { // it left just now: nobody would tell so any more
-			s.settle(effects)
+		if e.call.Left() { // disconnected just now, so no event for this session follows
+			s.applyEffects(effects)
 			s.step(now, front.Leave{Session: id})
 			s.forget(id)
 			return
 		}
 	}
-	s.settle(effects)
+	s.applyEffects(effects)
 }
--- a/internal/serve/players_test.go
+++ b/internal/serve/players_test.go
@@ -17,20 +17,20 @@
 	"tealledge/internal/standin/playersim"
 )
 
-// askWithin asks with a deadline of the player's own.
-func (p *player) askWithin(class, title string, wait time.Duration) string {
-	p.n++
-	call := fmt.Sprintf("%p-%d", p, p.n)
-	p.x.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[class], Wait: int64(wait)})
+// askWithDeadline requests a session with a deadline set by the player.
+func (p *player) askWithDeadline(class, title string, deadline time.Duration) string {
+	p.asked++
+	call := fmt.Sprintf("%p-%d", p, p.asked)
+	p.site.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[class], Wait: int64(deadline)})
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":%q,"class":%q,"viewer":%q,"deadlineMs":%d},"id":%q}`,
-		title, class, call, wait.Milliseconds(), call)
+		title, class, call, deadline.Milliseconds(), call)
 	if err := wsutil.WriteClientText(p.nc, []byte(text)); err != nil {
-		p.x.t.Fatal(err)
+		p.site.t.Fatal(err)
 	}
 	return call
 }
 
-func TestAllHoldersStallAndEachIsAnsweredWithinItsSecond(t *testing.T) {
+func TestRequestsAreAnsweredInTimeWhenAllHoldersStall(t *testing.T) {
 	x := newSite(t, "")
 	for _, m := range x.farm.Servers() {
 		m.Fault(func(f *mediasim.Faults) { f.Stalled = true })
@@ -38,7 +38,7 @@
 	var players []*player
 	for i := range 30 {
 		p := x.player()
-		p.askWithin([]string{"safe", "paid", "floored"}[i%3], "a", time.Second)
+		p.askWithDeadline([]string{"safe", "paid", "floored"}[i%3], "a", time.Second)
 		players = append(players, p)
 	}
 	for _, p := range players {
@@ -49,15 +49,15 @@
 	for _, m := range x.farm.Servers() {
 		m.Fault(func(f *mediasim.Faults) { f.Stalled = false })
 	}
-	r := x.judge()
+	r := x.audit()
 	for _, d := range r.Open {
 		if d > time.Second+100*time.Millisecond {
-			t.Error("answered after", d)
+			t.Error("request answered after", d)
 		}
 	}
 }
 
-func TestAClassOfThirtyOpensOneTitleAtOnce(t *testing.T) {
+func TestThirtyPlayersOpenOneTitleAtOnce(t *testing.T) {
 	x := newSite(t, "")
 	var players []*player
 	for range 30 {
@@ -86,16 +86,17 @@
 	if n := x.farm.Streams(); n != 30 {
 		t.Error(n, "streams")
 	}
-	x.judge()
+	x.audit()
 }
 
 func (p *player) resume(session, token string) answer {
-	p.x.t.Helper()
-	wsutil.WriteClientText(p.nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.resume","params":{"session":%q,"token":%q},"id":"r"}`, session, token))
+	p.site.t.Helper()
+	wsutil.WriteClientText(p.nc, fmt.Appendf(nil,
+		`{"jsonrpc":"2.0","method":"session.resume","params":{"session":%q,"token":%q},"id":"r"}`, session, token))
 	return p.read()
 }
 
-func TestAPlayerThatLostItsSocketTakesItsSessionUpAgain(t *testing.T) {
+func TestResumeAfterLostConnection(t *testing.T) {
 	x := newSite(t, "(timing (resume-for 2s))")
 	p := x.player()
 	a := p.open("paid", "b")
@@ -106,55 +107,59 @@
 	time.Sleep(200 * time.Millisecond)
 	q := x.player()
 	if b := q.resume(a.Result.Session, "0123456789abcdef"); b.Error == nil || b.Error.Code != -32003 {
-		t.Fatalf("a wrong token: %+v", b)
+		t.Fatalf("resume with a wrong token: %+v", b)
 	}
 	b := q.resume(a.Result.Session, a.Result.Token)
 	if b.Result == nil || b.Result.Session != a.Result.Session || b.Result.Server != a.Result.Server {
 		t.Fatalf("%+v", b)
 	}
 	if x.farm.Streams() != 1 {
-		t.Fatal("not one stream")
+		t.Fatal("want one stream")
 	}
-	time.Sleep(2200 * time.Millisecond) // the first break's time is over
+	time.Sleep(2200 * time.Millisecond) // the resume window of the first connection loss is over
 	x.farm.Server(1).EndStreams()
 	if n := q.read(); n.Method != "session.ended" {
-		t.Fatalf("the new connection is not told: %+v", n)
+		t.Fatalf("want the notification on the new connection, got %+v", n)
 	}
-	if r := x.judge(); r.Setups != 1 {
+	if r := x.audit(); r.Setups != 1 {
 		t.Fatal(r.Setups, "set-ups")
 	}
 }
 
-func TestASessionThatNobodyTakesUpEndsInTime(t *testing.T) {
+func TestDetachedSessionExpires(t *testing.T) {
 	x := newSite(t, "(timing (resume-for 300ms))")
 	p := x.player()
 	a := p.open("safe", "b")
 	p.nc.Close()
-	x.until("ended", func() bool { v := x.look(); return v.Held == 0 && v.Kept == 0 && x.farm.Streams() == 0 })
+	x.waitFor("ended", func() bool {
+		v := x.snapshot()
+		return v.Sessions == 0 && v.PlayerSessions == 0 && x.farm.Streams() == 0
+	})
 	if b := x.player().resume(a.Result.Session, a.Result.Token); b.Error == nil || b.Error.Code != -32003 {
 		t.Fatalf("%+v", b)
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestAViewerThatAsksAnewHoldsOneSeat(t *testing.T) {
+func TestRepeatedOpenOfOneViewerHoldsOneSeat(t *testing.T) {
 	x := newSite(t, "(timing (resume-for 5s))")
-	for i := range 6 { // class paid has 3 seats; each break leaves one session waiting
+	for i := range 6 { // class paid has 3 seats; each lost connection leaves one detached session
 		p := x.player()
-		p.n = 0
-		text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":"a","class":"paid","viewer":"same"},"id":"%d"}`, i)
+		p.asked = 0
+		text := fmt.Sprintf(
+			`{"jsonrpc":"2.0","method":"session.open","params":{"title":"a","class":"paid","viewer":"same"},"id":"%d"}`, i)
 		wsutil.WriteClientText(p.nc, []byte(text))
 		if a := p.read(); a.Result == nil {
 			t.Fatalf("%d: %+v", i, a)
 		}
 		p.nc.Close()
-		x.until("detached", func() bool { return x.look().Held == 1 })
+		x.waitFor("detached", func() bool { return x.snapshot().Sessions == 1 })
 		time.Sleep(20 * time.Millisecond)
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestFiveHundredReconnectAtOnceAndAreLetInAtAPace(t *testing.T) {
+func TestHandshakesAreRateLimitedAfterMassReconnect(t *testing.T) {
 	x := newSite(t, "(limits (handshakes 400)) (timing (handshake-line 3s))")
 	began := time.Now()
 	var wg sync.WaitGroup
@@ -184,23 +189,23 @@
 	for err := range errs {
 		t.Error(err)
 	}
-	// 100 at once, the others at 400 a second.
+	// 100 are accepted immediately, the others at 400 per second.
 	if took := time.Since(began); took < 800*time.Millisecond {
-		t.Error("all were let in within", took)
+		t.Error("all handshakes were accepted within", took)
 	}
-	if n := x.s.hub.Stats.Waited.Load(); n < 300 {
-		t.Error(n, "waited at the door")
+	if n := x.s.hub.Stats.Delayed.Load(); n < 300 {
+		t.Error(n, "handshakes were delayed")
 	}
 }
 
-func TestAConnectionThatPipelinesMoreThanItsShare(t *testing.T) {
+func TestOpenRequestsPerConnectionAreLimited(t *testing.T) {
 	x := newSite(t, "(limits (open-per-connection 5))")
 	for _, m := range x.farm.Servers() {
 		m.Fault(func(f *mediasim.Faults) { f.Stalled = true })
 	}
 	p := x.player()
 	for range 20 {
-		p.askWithin("safe", "a", 600*time.Millisecond)
+		p.askWithDeadline("safe", "a", 600*time.Millisecond)
 	}
 	codes := map[int]int{}
 	for range 20 {
@@ -214,29 +219,29 @@
 	for _, m := range x.farm.Servers() {
 		m.Fault(func(f *mediasim.Faults) { f.Stalled = false })
 	}
-	x.until("its room is free again", func() bool { return x.player().open("safe", "a").Result != nil })
+	x.waitFor("the open requests are released", func() bool { return x.player().open("safe", "a").Result != nil })
 }
 
-func TestASlowReaderIsCutOffAndItsSessionCanBeTakenUp(t *testing.T) {
+func TestSlowReaderIsClosedAndCanResume(t *testing.T) {
 	x := newSite(t, "(limits (write-buffer 4096)) (timing (write-wait 200ms) (resume-for 3s))")
 	p := x.player()
 	a := p.open("safe", "a")
 	junk := []byte(`{"jsonrpc":"2.0","method":"nothing","id":"` + strings.Repeat("x", 200) + `"}`)
-	for range 200_000 { // reads nothing
+	for range 200_000 { // the player reads no responses
 		p.nc.SetWriteDeadline(time.Now().Add(time.Second))
 		if wsutil.WriteClientText(p.nc, junk) != nil {
 			break
 		}
 	}
-	// Nothing is read before the front has cut it off: a reader that drains meanwhile would not be slow.
-	x.until("cut off", func() bool { return x.s.hub.Connections() == 0 })
+	// Nothing is read before the front has closed the connection, as a player that reads meanwhile would not be slow.
+	x.waitFor("the connection to be closed", func() bool { return x.s.hub.Connections() == 0 })
 	if b := x.player().resume(a.Result.Session, a.Result.Token); b.Result == nil {
 		t.Fatalf("%+v", b)
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestQuietPlayersArePingedAndThenClosed(t *testing.T) {
+func TestIdlePlayersArePingedThenClosed(t *testing.T) {
 	x := newSite(t, "(timing (ping 100ms) (idle 1s))")
 	p, q := x.player(), x.player()
 	go func() { // q answers pings
@@ -269,6 +274,6 @@
 	}
 	time.Sleep(1500 * time.Millisecond)
 	if x.s.hub.Connections() != 1 {
-		t.Error("one player answers its pings:", x.s.hub.Connections())
+		t.Error("want the one connection that answers pings, got", x.s.hub.Connections())
 	}
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,5 +1,6 @@
-// Package serve runs one front: it feeds the core from the sockets and carries its effects out. One goroutine, the
-// owner, drives core and desk; sockets hand it events through a bounded queue.
+// Package serve runs one front: it passes events from the sockets to the core and carries out the core's effects. One
+// goroutine, the owner, calls the core and the RTSP protocol; the sockets' goroutines send it events through a bounded
+// queue.
 package serve
 
 import (
@@ -31,104 +32,108 @@
 )
 
 const (
-	batchMost  = 256                          // events that the owner takes before it looks at its timers
-	deskEvery  = 50 * time.Millisecond        // how often the desk looks at its connections
-	closeMost  = time.Second                  // how long a front that leaves waits for its last teardowns
-	idleClose  = front.Time(60 * time.Second) // a server connection without sessions is closed after
-	mediaBytes = 1 << 20                      // bytes that may wait on one server's connection
+	maxBatch           = 256                          // events that the owner handles before it checks its timers
+	tickInterval       = 50 * time.Millisecond        // interval of the RTSP protocol's checks of its connections
+	closeTimeout       = time.Second                  // how long a leaving front waits for its last teardowns and its store
+	idleTimeout        = front.Time(60 * time.Second) // after which a server connection without sessions is closed
+	maxConnQueuedBytes = 1 << 20                      // limit of queued bytes per server connection
 )
 
 // Server is one front.
 type Server struct {
-	cfg        *config.Config
-	log        zerolog.Logger
-	start      time.Time
-	core       *front.Core
-	desk       *rtspclient.Protocol
-	links      *media.Links
-	hub        *players.Hub
-	hls        *manifest.Hub // nil: not served
-	queue      *inbox.Queue
-	view       serverview.View
-	index      indexBox
-	cache      serverlist.Cache
-	source     serverlist.Source
-	https      map[uint32]string // where servers deliver segments
-	calls      map[uint64]Caller // by the handle given to the core
-	handles    uint64
-	byID       map[uint64]Caller // sessions that play or wait, by session id
-	later      []front.Event     // that arose while effects were carried out
-	keep       *keeper
-	work       *background.Scheduler
-	titleDir   *catalogue.Dir
-	keptTitles uint64       // version
-	waiting    atomic.Int64 // events, when the owner looked last
-	waitedFor  atomic.Int64 // nanoseconds that the owner's last round took: how long an event may have waited
-	fleet      fleet
-	doubt      bool // the last answer of the list was not believed; told once
+	cfg             *config.Config
+	log             zerolog.Logger
+	startedAt       time.Time
+	core            *front.Core
+	protocol        *rtspclient.Protocol
+	conns           *media.Conns
+	hub             *players.Hub
+	hls             *manifest.Hub // nil: HLS is not served
+	queue           *inbox.Queue
+	serverView      serverview.View
+	listIndex       sharedIndex
+	listCache       serverlist.Cache
+	listSource      serverlist.Source
+	httpAddrs       map[uint32]string // HOST:PORT of the servers' segments, by server
+	callsByHandle   map[uint64]Caller // unanswered calls, by the handle given to the core
+	lastHandle      uint64
+	callsBySession  map[uint64]Caller // calls of sessions that play or wait, by session id
+	deferredEvents  []front.Event     // events that arose while effects were carried out
+	store           *sessionStore
+	scheduler       *background.Scheduler
+	catalogueDir    *catalogue.Dir
+	savedVersion    uint64       // version of the saved catalogue
+	queueLength     atomic.Int64 // queued events after the owner's last batch
+	lastRoundNanos  atomic.Int64 // duration of the owner's last round, as a measure of how long an event waits
+	fleet           fleet
+	rejectionLogged bool // a rejected list was logged, and none has been accepted since
 
-	leaving  bool
-	closing  bool
-	gateMu   sync.Mutex
-	gate     *overload.RateLimiter // guarded by gateMu
-	limited  atomic.Bool           // what the gate said last
-	backlog  int
-	ctx      context.Context
-	cancel   context.CancelFunc
-	finished chan struct{}
-	group    sync.WaitGroup
+	leaving       bool
+	closing       bool
+	rateLimiterMu sync.Mutex
+	rateLimiter   *overload.RateLimiter // guarded by rateLimiterMu
+	limited       atomic.Bool           // most recent RateLimiter.Limited
+	backlog       int
+	ctx           context.Context
+	cancel        context.CancelFunc
+	finished      chan struct{}
+	group         sync.WaitGroup
 }
 
-// indexBox hands the list's index from the owner to the follower.
-type indexBox struct {
-	mu sync.Mutex
-	v  uint64
+// sharedIndex passes the list's index from the owner to the list's follower.
+type sharedIndex struct {
+	mu    sync.Mutex
+	value uint64
 }
 
-func (b *indexBox) get() uint64 { b.mu.Lock(); defer b.mu.Unlock(); return b.v }
-func (b *indexBox) set(v uint64) {
+func (b *sharedIndex) get() uint64 { b.mu.Lock(); defer b.mu.Unlock(); return b.value }
+func (b *sharedIndex) set(v uint64) {
 	b.mu.Lock()
-	b.v = v
+	b.value = v
 	b.mu.Unlock()
 }
 
-// New makes a front and listens; nothing is taken before Run.
+// New returns a front that listens; it accepts no connections before Run.
 func New(cfg *config.Config, log zerolog.Logger) (*Server, error) {
-	s := &Server{cfg: cfg, log: log, start: time.Now(), https: map[uint32]string{}, calls: map[uint64]Caller{},
-		byID: map[uint64]Caller{}, queue: inbox.New(cfg.Front.Queue), finished: make(chan struct{})}
-	seed := uint64(s.start.UnixNano())
-	s.gate = overload.New(weights(cfg))
-	s.keep = newKeeper(s)
+	s := &Server{cfg: cfg, log: log, startedAt: time.Now(), httpAddrs: map[uint32]string{},
+		callsByHandle: map[uint64]Caller{}, callsBySession: map[uint64]Caller{},
+		queue: inbox.New(cfg.Front.Queue), finished: make(chan struct{})}
+	seed := uint64(s.startedAt.UnixNano())
+	s.rateLimiter = overload.New(flowWeights(cfg))
+	s.store = newSessionStore(s)
 	var module front.Module = policy.New(cfg.Service, seed)
 	if cfg.Front.Baseline != "" {
 		module = baseline.New(baseline.Kind(cfg.Front.Baseline), cfg.Service, seed)
-		log.Warn().Str("baseline", cfg.Front.Baseline).Msg("a baseline decides in the module's place")
+		log.Warn().Str("baseline", cfg.Front.Baseline).Msg("a baseline policy replaces the module")
 	}
-	s.core = front.New(front.Config{Settings: cfg.Service, Module: module, NewToken: newTokens(),
-		FirstID:      seed / uint64(time.Millisecond) << 12 & (1<<52 - 1), // above every id of an earlier start
+	s.core = front.New(front.Config{Settings: cfg.Service, Module: module, NewToken: newTokenSource(),
+		FirstID:      seed / uint64(time.Millisecond) << 12 & (1<<52 - 1), // above all ids used before a restart
 		AnswerMargin: policy.Time(cfg.Front.AnswerMargin), FailsafeMargin: policy.Time(cfg.Front.LastLine),
-		MoveTokenTTL: policy.Time(cfg.Front.MovedFor), MaxMoveTokens: 10_000, ResumeWindow: policy.Time(cfg.Front.ResumeFor)})
-	var aims []front.Time
+		MoveTokenTTL: policy.Time(cfg.Front.MovedFor), MaxMoveTokens: 10_000,
+		ResumeWindow: policy.Time(cfg.Front.ResumeFor)})
+	var setupTargets []front.Time
 	for _, k := range cfg.Service.Classes {
-		aims = append(aims, k.SetupTarget)
+		setupTargets = append(setupTargets, k.SetupTarget)
 	}
-	s.desk = rtspclient.New(rtspclient.Config{Front: cfg.Front.Name, Fields: cfg.Service.Fields,
+	s.protocol = rtspclient.New(rtspclient.Config{Front: cfg.Front.Name, Fields: cfg.Service.Fields,
 		ProbeTimeout: policy.Time(cfg.Front.ProbeWait), StallTimeout: policy.Time(cfg.Front.Stall),
-		KeepAliveInterval: policy.Time(cfg.Front.KeepAlive), TitleName: s.titleName, ConnectTimeout: cfg.Service.ConnectTimeout, IdleTimeout: idleClose,
-		Aims: aims, Random: rand.Float64})
-	s.links = media.New(sink{s}, time.Duration(cfg.Service.ConnectTimeout), cfg.Front.WriteWait, mediaBytes)
+		KeepAliveInterval: policy.Time(cfg.Front.KeepAlive), TitleName: s.titleName,
+		ConnectTimeout: cfg.Service.ConnectTimeout, IdleTimeout: idleTimeout,
+		Aims: setupTargets, Random: rand.Float64})
+	s.conns = media.New(sink{s}, time.Duration(cfg.Service.ConnectTimeout), cfg.Front.WriteWait, maxConnQueuedBytes)
 	names := serverlist.Names{Kinds: cfg.Kinds, Zones: cfg.Zones}
-	s.cache = serverlist.Cache{Dir: cfg.Front.StateDir, Names: names}
+	s.listCache = serverlist.Cache{Dir: cfg.Front.StateDir, Names: names}
 	if cfg.Front.ListFile != "" {
-		s.source = &serverlist.File{Path: cfg.Front.ListFile, Names: names}
+		s.listSource = &serverlist.File{Path: cfg.Front.ListFile, Names: names}
 	} else {
 		var err error
-		if s.source, err = serverlist.NewConsul(cfg.Front.Consul, cfg.Front.Service, cfg.Front.Name, names); err != nil {
+		if s.listSource, err = serverlist.NewConsul(cfg.Front.Consul, cfg.Front.Service, cfg.Front.Name,
+			names); err != nil {
 			return nil, err
 		}
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	err := s.titles()
+	err := s.loadCatalogue()
 	if err != nil {
 		return nil, err
 	}
@@ -143,7 +148,7 @@
 	return s, s.startFleet()
 }
 
-// HLS is where HLS players connect, "" if they are not served.
+// HLS returns the address for HLS players, "" if they are not served.
 func (s *Server) HLS() string {
 	if s.hls == nil {
 		return ""
@@ -151,9 +156,10 @@
 	return s.hls.Addr().String()
 }
 
-// Addr is where players connect.
+// Addr returns the address for players.
 func (s *Server) Addr() string { return s.hub.Addr().String() }
 
+// titleName returns the name of a title's number in RTSP requests.
 func (s *Server) titleName(n uint64) string {
 	if n == 0 || n > uint64(len(s.cfg.Titles)) {
 		return strconv.FormatUint(n, 10)
@@ -161,30 +167,31 @@
 	return s.cfg.Titles[n-1].Name
 }
 
-// now is the module's clock: wall time at the start and monotonic from there, so that it never steps, and the
-// server list's start times compare with it.
-func (s *Server) now() front.Time { return s.start.UnixNano() + int64(time.Since(s.start)) }
+// now returns the module's time: the wall time at the start plus monotonic time since then. So it never jumps, and the
+// start times in the server list can be compared with it.
+func (s *Server) now() front.Time { return s.startedAt.UnixNano() + int64(time.Since(s.startedAt)) }
 
-// Run serves until ctx ends, then leaves: it answers what it holds, takes nothing new and ends in bounded time.
+// Run serves until ctx is cancelled, then leaves service: it answers open requests, accepts no new ones and returns in
+// bounded time.
 func (s *Server) Run(ctx context.Context) error {
-	s.keep.open()
-	defer s.keep.close()
-	cached, err := s.cache.Load()
+	s.store.open()
+	defer s.store.close()
+	cached, err := s.listCache.Load()
 	if err != nil {
-		s.log.Warn().Err(err).Msg("started without the last list")
+		s.log.Warn().Err(err).Msg("loading the saved server list failed; starting without it")
 	}
 	if len(cached) > 0 {
-		s.believe(policy.ListCached, cached, 0)
+		s.applyList(policy.ListCached, cached, 0)
 	}
 	s.group.Add(1)
 	go func() {
 		defer s.group.Done()
-		serverlist.Follow(s.ctx, s.source, s.index.get, func(a serverlist.Answer, err error) {
-			s.queue.Put(admission.Advisory, listAnswer{a, err})
+		serverlist.Follow(s.ctx, s.listSource, s.listIndex.get, func(response serverlist.Response, err error) {
+			s.queue.Put(admission.Advisory, listResponse{response, err})
 		})
 	}()
-	s.background(s.ctx)
-	go s.own()
+	s.startBackground(s.ctx)
+	go s.runOwner()
 	served := make(chan error, 2)
 	go func() { served <- s.hub.Serve() }()
 	if s.hls != nil {
@@ -195,37 +202,38 @@
 		err = nil
 	case err = <-served:
 		if err == nil {
-			err = errors.New("players: the listener ended")
+			err = errors.New("players: listener closed unexpectedly")
 		}
 	}
-	s.queue.Force(leave{})
+	s.queue.Force(shutdown{})
 	<-s.finished
 	if s.fleet.node != nil {
 		s.fleet.node.Close()
 	}
 	s.cancel()
-	end, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	s.hub.Shutdown(end)
+	s.hub.Shutdown(shutdownCtx)
 	if s.hls != nil {
-		s.hls.Shutdown(end)
+		s.hls.Shutdown(shutdownCtx)
 	}
-	s.links.Close()
+	s.conns.Close()
 	s.queue.Close()
 	s.group.Wait()
 	return err
 }
 
-// Caller is a request that waits for its answer, and then the player that its session plays for.
+// Caller is a request that waits for its answer; after that it represents the player of the session.
 type Caller interface {
-	// Result and Fail answer; the first answer counts.
+	// Result and Fail answer the request; only the first answer is sent, and any other call returns false.
 	Result(v any) bool
 	Fail(code int, message string, data any) bool
 	Notify(method string, params any)
-	// Left tells whether the player is gone; Drop ends a call that nobody waits for.
+	// Left reports whether the player has disconnected; Drop ends the request without an answer.
 	Left() bool
 	Drop()
-	// Held and Ref are the owner's: the sessions that end with the player, and its handle.
+	// Held returns the sessions that end with the player and Ref a pointer to the request's handle. Both are used by
+	// the owner only.
 	Held() map[uint64]struct{}
 	Ref() *uint64
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -30,13 +30,15 @@
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m,
-		goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"), // the library's pollers live on
+		// The library's pollers run until the process ends.
+		goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"),
 		goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.newDefaultPool"),
 		goleak.IgnoreAnyFunction("github.com/bytedance/gopkg/util/gopool.(*worker).run.func1"),
-		goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"), goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
+		goleak.IgnoreAnyFunction("net/http.(*persistConn).readLoop"),
+		goleak.IgnoreAnyFunction("net/http.(*persistConn).writeLoop"))
 }
 
-const service = `
+const serviceSettings = `
 (service
   (ladder (rung 200 0.25) (rung 400 0.6) (rung 800 1))
   (classes
@@ -51,31 +53,31 @@
   (max-attempts 4) (retry-after-most 1s) (connect-wait 250ms) (drain-grace 250ms) (price-move 0.01))
 (titles (title "a" (home 0) (copies 3)) (title "b" (home 0) (copies 1)) (title "live-a" (home 0) (copies 3)) (title "live-b" (home 0) (copies 1)))`
 
-// site is a front with its stand-ins, in one process.
+// site is a front with its stand-ins in one process.
 type site struct {
-	t    testing.TB
-	rec  *record.Log
-	farm *mediasim.Farm
-	list *listsim.List
-	s    *Server
-	dir  string
-	kept string // state directory; "": one of its own
-	stop context.CancelFunc
-	done chan error
+	t        testing.TB
+	rec      *record.Log
+	farm     *mediasim.Farm
+	list     *listsim.List
+	s        *Server
+	dir      string
+	stateDir string // state directory; "": one in dir
+	stop     context.CancelFunc
+	done     chan error
 }
 
 func newSite(t testing.TB, more string) *site { t.Helper(); return newSiteWith(t, more) }
 
-// newSiteWith has media servers that are reached by further families too.
+// newSiteWith returns a site whose media servers have addresses of further families.
 func newSiteWith(t testing.TB, more string, families ...string) *site {
 	t.Helper()
 	return (&site{t: t, rec: record.Memory(), dir: t.TempDir()}).open(more, families...)
 }
 
-// newSiteState has a state directory that is there already.
+// newSiteState returns a site with a given state directory.
 func newSiteState(t testing.TB, state string) *site {
 	t.Helper()
-	return (&site{t: t, rec: record.Memory(), dir: t.TempDir(), kept: state}).open("")
+	return (&site{t: t, rec: record.Memory(), dir: t.TempDir(), stateDir: state}).open("")
 }
 
 func (x *site) open(more string, families ...string) *site {
@@ -85,8 +87,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.rec.Add(rules(cfg).Event())
-	if x.farm, err = mediasim.New(mediasim.Params{Ladder: cfg.Service.RungKB, Slots: 2000, LinkKB: 1e6, UplinkKB: 3e6, Racks: 1, Cells: 3,
+	x.rec.Add(auditRules(cfg).Event())
+	if x.farm, err = mediasim.New(mediasim.Params{Ladder: cfg.Service.RungKB, Slots: 2000, LinkKB: 1e6,
+		UplinkKB: 3e6, Racks: 1, Cells: 3,
 		SetupTime: time.Millisecond, ReportEvery: 50 * time.Millisecond, NotesLate: 200 * time.Millisecond, Inline: true,
 		Keep: 400 * time.Millisecond, Seed: 1,
 		Families: families, Dir: x.dir, HTTP: true, Keys: hlsKeys}, 3, x.rec); err != nil {
@@ -98,18 +101,20 @@
 	}
 	t.Cleanup(x.list.Close)
 	for _, m := range x.farm.Servers() {
-		x.list.Set(listed(m, "ready"))
+		x.list.Set(listEntry(m, "ready"))
 	}
 	x.start(more)
 	return x
 }
 
-func listed(m *mediasim.Server, health string) listsim.Server {
-	return listsim.Server{ID: m.ID, Addr: m.Addr(), Cell: m.Cell, Zone: "z", Kind: "std", Size: 1, Started: m.Started(), Health: health, More: m.Addrs()[1:], HTTP: m.HTTPAddr()}
+func listEntry(m *mediasim.Server, health string) listsim.Server {
+	return listsim.Server{ID: m.ID, Addr: m.Addr(), Cell: m.Cell, Zone: "z", Kind: "std", Size: 1,
+		Started: m.Started(), Health: health, More: m.Addrs()[1:], HTTP: m.HTTPAddr()}
 }
 
-func rules(cfg *config.Config) audit.Rules {
-	r := audit.Rules{AnswerGrace: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Skew: 80 * time.Millisecond}
+func auditRules(cfg *config.Config) audit.Rules {
+	r := audit.Rules{AnswerGrace: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond,
+		Skew: 80 * time.Millisecond}
 	for i, k := range cfg.Service.Classes {
 		r.Classes = append(r.Classes, audit.Class{Name: cfg.Classes[i], Paid: k.Paid, Floor: k.Floor, Seats: k.Seats,
 			Aim: time.Duration(k.SetupTarget), Deadline: time.Duration(k.Deadline)})
@@ -118,11 +123,11 @@
 }
 
 func (x *site) settings(list, more string) string {
-	state := x.kept
+	state := x.stateDir
 	if state == "" {
 		state = filepath.Join(x.dir, "state")
 	}
-	return fmt.Sprintf("(front (name \"f\") (list (consul %q)) (state %q) %s)", list, state, more) + service
+	return fmt.Sprintf("(front (name \"f\") (list (consul %q)) (state %q) %s)", list, state, more) + serviceSettings
 }
 
 func (x *site) start(more string) {
@@ -137,25 +142,25 @@
 	ctx, stop := context.WithCancel(context.Background())
 	x.stop, x.done = stop, make(chan error, 1)
 	go func(s *Server, done chan error) { done <- s.Run(ctx) }(x.s, x.done)
-	x.t.Cleanup(x.end)
-	x.until("the list is in", func() bool { return x.look().ready == 3 })
+	x.t.Cleanup(x.leave)
+	x.waitFor("the server list to be applied", func() bool { return x.snapshot().readyServers == 3 })
 }
 
-type view struct {
+type siteSnapshot struct {
 	Snapshot
-	ready int
+	readyServers int
 }
 
-func (x *site) look() view {
+func (x *site) snapshot() siteSnapshot {
 	snap, err := x.s.Inspect(context.Background())
 	if err != nil {
-		return view{}
+		return siteSnapshot{}
 	}
-	return view{snap, snap.Ready}
+	return siteSnapshot{snap, snap.ReadyServers}
 }
 
-// end has the front leave, once, in bounded time.
-func (x *site) end() {
+// leave stops the front, once, and checks that this takes bounded time.
+func (x *site) leave() {
 	if x.stop == nil {
 		return
 	}
@@ -171,21 +176,21 @@
 	x.stop = nil
 }
 
-func (x *site) until(what string, ok func() bool) {
+func (x *site) waitFor(what string, ok func() bool) {
 	x.t.Helper()
 	for end := time.Now().Add(8 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			x.t.Fatalf("never: %s", what)
+			x.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// judge ends the front and judges what crossed the sockets.
-func (x *site) judge() *audit.Report {
+// audit stops the front and checks the recorded messages against the rules.
+func (x *site) audit() *audit.Report {
 	x.t.Helper()
 	x.rec.Add(record.Event{What: record.Leaving, Front: "f"})
-	x.end()
-	x.until("streams end", func() bool { return x.farm.Streams() == 0 })
+	x.leave()
+	x.waitFor("all streams ended", func() bool { return x.farm.Streams() == 0 })
 	x.rec.Add(record.Event{What: record.Finished})
 	r, err := audit.Judge(x.rec.Events())
 	if err != nil {
@@ -197,11 +202,11 @@
 	return r
 }
 
-// player is a client whose asks are recorded.
+// player is a client whose requests are recorded.
 type player struct {
-	x  *site
-	nc net.Conn
-	n  int
+	site  *site
+	nc    net.Conn
+	asked int
 }
 
 type answer struct {
@@ -230,31 +235,32 @@
 		x.t.Fatal(err)
 	}
 	x.t.Cleanup(func() { nc.Close() })
-	return &player{x: x, nc: nc}
+	return &player{site: x, nc: nc}
 }
 
 var classes = map[string]int{"safe": 0, "paid": 1, "floored": 2}
 
 func (p *player) ask(class, title string) string {
-	p.n++
-	call := fmt.Sprintf("%p-%d", p, p.n)
-	p.x.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[class]})
-	text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":%q,"class":%q,"viewer":%q},"id":%q}`, title, class, call, call)
+	p.asked++
+	call := fmt.Sprintf("%p-%d", p, p.asked)
+	p.site.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[class]})
+	text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":%q,"class":%q,"viewer":%q},"id":%q}`,
+		title, class, call, call)
 	if err := wsutil.WriteClientText(p.nc, []byte(text)); err != nil {
-		p.x.t.Fatal(err)
+		p.site.t.Fatal(err)
 	}
 	return call
 }
 
 func (p *player) read() (a answer) {
-	p.x.t.Helper()
+	p.site.t.Helper()
 	p.nc.SetReadDeadline(time.Now().Add(8 * time.Second))
 	text, err := wsutil.ReadServerText(p.nc)
 	if err != nil {
-		p.x.t.Fatal(err)
+		p.site.t.Fatal(err)
 	}
 	if err := json.Unmarshal(text, &a); err != nil {
-		p.x.t.Fatalf("%s: %v", text, err)
+		p.site.t.Fatalf("%s: %v", text, err)
 	}
 	if a.ID != "" && strings.HasPrefix(a.ID, "0x") {
 		e := record.Event{What: record.Reply, Front: "f", Call: a.ID, Text: "error"}
@@ -266,57 +272,63 @@
 		case a.Error.Code == -32002:
 			e.Text, e.Session = "failed", strings.TrimPrefix(a.Error.Data.Session, "f-")
 		}
-		p.x.rec.Add(e)
+		p.site.rec.Add(e)
 	}
 	return a
 }
 
 func (p *player) open(class, title string) answer {
-	p.x.t.Helper()
+	p.site.t.Helper()
 	p.ask(class, title)
 	return p.read()
 }
 
-func TestASessionPlaysAndIsClosed(t *testing.T) {
+func TestSessionPlaysAndIsClosedByItsPlayer(t *testing.T) {
 	x := newSite(t, "")
 	p := x.player()
 	a := p.open("floored", "a")
-	if a.Result == nil || a.Result.Status != "plays" || a.Result.Rung < 1 || a.Result.Rate < 400 || !strings.HasPrefix(a.Result.URI, "rtsp://127.0.0.1:") {
+	if a.Result == nil || a.Result.Status != "plays" || a.Result.Rung < 1 || a.Result.Rate < 400 ||
+		!strings.HasPrefix(a.Result.URI, "rtsp://127.0.0.1:") {
 		t.Fatalf("%+v", a)
 	}
 	if n := x.farm.Streams(); n != 1 {
 		t.Fatal(n, "streams")
 	}
 	other := x.player()
-	wsutil.WriteClientText(other.nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"c"}`, a.Result.Session))
+	wsutil.WriteClientText(other.nc, fmt.Appendf(nil,
+		`{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"c"}`, a.Result.Session))
 	if b := other.read(); b.Error == nil || b.Error.Code != -32003 {
-		t.Fatalf("another player closed it: %+v", b)
+		t.Fatalf("another player's session.close: %+v", b)
 	}
-	wsutil.WriteClientText(p.nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"c"}`, a.Result.Session))
+	wsutil.WriteClientText(p.nc, fmt.Appendf(nil,
+		`{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"c"}`, a.Result.Session))
 	if b := p.read(); b.Result == nil || b.Result.Status != "closed" {
 		t.Fatalf("%+v", b)
 	}
-	x.until("torn down", func() bool { return x.farm.Streams() == 0 })
-	if r := x.judge(); r.Replies["plays"] != 1 {
+	x.waitFor("torn down", func() bool { return x.farm.Streams() == 0 })
+	if r := x.audit(); r.Replies["plays"] != 1 {
 		t.Fatal(r.Replies)
 	}
 }
 
-func TestBatchIsAnsweredAsOne(t *testing.T) {
+func TestBatchIsAnsweredInOneMessage(t *testing.T) {
 	x := newSite(t, "")
 	p := x.player()
 	open := func(id string) string {
-		return fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":"a","class":"safe","viewer":"v"},"id":%q}`, id)
+		return fmt.Sprintf(
+			`{"jsonrpc":"2.0","method":"session.open","params":{"title":"a","class":"safe","viewer":"v"},"id":%q}`, id)
 	}
-	wsutil.WriteClientText(p.nc, []byte("["+open("q")+`,{"jsonrpc":"2.0","method":"nothing"},{"jsonrpc":"2.0","method":"x","id":"r"},`+open("s")+"]"))
+	wsutil.WriteClientText(p.nc,
+		[]byte("["+open("q")+`,{"jsonrpc":"2.0","method":"nothing"},{"jsonrpc":"2.0","method":"x","id":"r"},`+open("s")+"]"))
 	text, err := wsutil.ReadServerText(p.nc)
 	var list []answer
-	if err != nil || json.Unmarshal(text, &list) != nil || len(list) != 3 || list[0].Result == nil || list[1].Error.Code != -32601 || list[2].Result == nil {
+	if err != nil || json.Unmarshal(text, &list) != nil || len(list) != 3 || list[0].Result == nil ||
+		list[1].Error.Code != -32601 || list[2].Result == nil {
 		t.Fatalf("%s, %v", text, err)
 	}
 }
 
-func TestBadParametersAreToldAndNothingIsBegun(t *testing.T) {
+func TestInvalidParametersStartNoSession(t *testing.T) {
 	x := newSite(t, "")
 	p := x.player()
 	for params, code := range map[string]int{
@@ -336,14 +348,14 @@
 			t.Errorf("%.60s: %+v", params, a)
 		}
 	}
-	if x.look().Taken != 0 {
-		t.Error("something was taken")
+	if x.snapshot().Taken != 0 {
+		t.Error("a request with invalid parameters was accepted")
 	}
 }
 
-func TestAStalledServerIsGivenUpOnAndTheNextOnePlays(t *testing.T) {
+func TestStalledServerFallsBackToAnother(t *testing.T) {
 	x := newSite(t, "")
-	first := x.player().open("safe", "a") // the server that answered is known to be idle: the next one goes there too
+	first := x.player().open("safe", "a") // the next session goes to the same server, which is known to be idle
 	for _, m := range x.farm.Servers() {
 		if m.Addr() == first.Result.Server {
 			m.Fault(func(f *mediasim.Faults) { f.Stalled = true })
@@ -357,12 +369,12 @@
 	for _, m := range x.farm.Servers() {
 		m.Fault(func(f *mediasim.Faults) { f.Stalled = false })
 	}
-	if r := x.judge(); r.Further == 0 || r.Replies["plays"] != 2 {
+	if r := x.audit(); r.Further == 0 || r.Replies["plays"] != 2 {
 		t.Fatal(r.Further, r.Replies)
 	}
 }
 
-func TestAPaidSetUpThatMayHaveRunFailsAndIsNeverSentAgain(t *testing.T) {
+func TestPaidSetUpThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, fault := range map[string]func(*mediasim.Faults){
 		"stalled":     func(f *mediasim.Faults) { f.Stalled = true },
 		"answer lost": func(f *mediasim.Faults) { f.Lose = 1 },
@@ -372,7 +384,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newSite(t, "")
-			x.player().open("safe", "b") // the connection to its only holder stands
+			x.player().open("safe", "b") // opens the connection to the title's only holder
 			for _, m := range x.farm.Servers() {
 				m.Fault(fault)
 			}
@@ -382,15 +394,16 @@
 			for _, m := range x.farm.Servers() {
 				m.Fault(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
 			}
-			if r := x.judge(); r.Setups != 2 {
+			if r := x.audit(); r.Setups != 2 {
 				t.Fatal(r.Setups, "set-ups")
 			}
 		})
 	}
 }
 
-// A server that accepts connections and says nothing is never sent a set-up: the paid one provably never ran.
-func TestAPaidSetUpIsRefusedWhereNoServerEverAnswered(t *testing.T) {
+// TestPaidSetUpIsRefusedIfNoServerEverResponded checks that a server which accepts connections but sends nothing gets no
+// set-up, so that the paid request is refused as certainly not run.
+func TestPaidSetUpIsRefusedIfNoServerEverResponded(t *testing.T) {
 	x := newSite(t, "")
 	for _, m := range x.farm.Servers() {
 		m.Fault(func(f *mediasim.Faults) { f.Stalled = true })
@@ -398,12 +411,12 @@
 	if a := x.player().open("paid", "a"); a.Error == nil || a.Error.Code != -32001 {
 		t.Fatalf("%+v", a.Error)
 	}
-	if r := x.judge(); r.Setups != 0 {
+	if r := x.audit(); r.Setups != 0 {
 		t.Fatal(r.Setups, "set-ups")
 	}
 }
 
-func TestPlayersThatLeaveMidRequestLeaveNoStream(t *testing.T) {
+func TestPlayerLeavingMidRequestLeavesNoStream(t *testing.T) {
 	x := newSite(t, "")
 	for i := range 30 {
 		p := x.player()
@@ -412,45 +425,49 @@
 		x.rec.Add(record.Event{What: record.Left, Front: "f", Call: call})
 		p.nc.Close()
 	}
-	x.until("all forgotten", func() bool { v := x.look(); return v.Held == 0 && v.Attempts == 0 && v.Handles == 0 && v.Kept == 0 })
-	x.until("no stream is left", func() bool { return x.farm.Streams() == 0 })
-	x.judge()
+	x.waitFor("all sessions to be removed", func() bool {
+		v := x.snapshot()
+		return v.Sessions == 0 && v.HeldAttempts == 0 && v.PendingCalls == 0 && v.PlayerSessions == 0
+	})
+	x.waitFor("all streams to end", func() bool { return x.farm.Streams() == 0 })
+	x.audit()
 }
 
-func TestNothingNewAtADrainingServer(t *testing.T) {
+func TestDrainingServerGetsNoNewSession(t *testing.T) {
 	x := newSite(t, "")
-	x.list.Set(listed(x.farm.Server(1), "draining"))
-	x.farm.Server(2).Redirect() // it has no connection yet, so nobody hears
+	x.list.Set(listEntry(x.farm.Server(1), "draining"))
+	x.farm.Server(2).Redirect() // without a connection yet, so the front does not receive it
 	if a := x.player().open("safe", "a"); a.Result == nil {
 		t.Fatalf("%+v", a)
 	}
-	x.until("told", func() bool { return x.look().Ready == 2 })
+	x.waitFor("two ready servers", func() bool { return x.snapshot().ReadyServers == 2 })
 	for range 10 {
 		if a := x.player().open("safe", "a"); a.Result == nil || a.Result.Server == x.farm.Server(1).Addr() {
 			t.Fatalf("%+v", a)
 		}
 	}
-	x.until("the only holder drains", func() bool {
-		a := x.player().open("safe", "b") // title b lies on server 1 only
+	x.waitFor("refusal because the only holder drains", func() bool {
+		a := x.player().open("safe", "b") // only server 1 holds title b
 		return a.Error != nil && a.Error.Code == -32001 && a.Error.Data.RetryAfterMs > 0
 	})
-	x.judge()
+	x.audit()
 }
 
-func TestAServerThatDiesEndsItsSessions(t *testing.T) {
+func TestServerCrashEndsItsSessions(t *testing.T) {
 	x := newSite(t, "")
 	p := x.player()
 	a := p.open("safe", "b")
 	x.farm.Server(1).Kill()
-	if b := p.read(); b.Method != "session.ended" || b.Params["reason"] != "lost" || b.Params["session"] != a.Result.Session {
+	if b := p.read(); b.Method != "session.ended" || b.Params["reason"] != "lost" ||
+		b.Params["session"] != a.Result.Session {
 		t.Fatalf("%+v", b)
 	}
 	q := x.player()
-	x.until("refused or failed, in time", func() bool { return q.open("safe", "b").Error != nil })
-	x.judge()
+	x.waitFor("an error answer", func() bool { return q.open("safe", "b").Error != nil })
+	x.audit()
 }
 
-func TestATitleThatIsOverEndsItsSession(t *testing.T) {
+func TestSessionEndsWhenItsTitleEnds(t *testing.T) {
 	x := newSite(t, "")
 	p := x.player()
 	p.open("safe", "b")
@@ -458,42 +475,45 @@
 	if b := p.read(); b.Method != "session.ended" || b.Params["reason"] != "end" {
 		t.Fatalf("%+v", b)
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestSessionsOutliveALostConnection(t *testing.T) {
+func TestSessionsSurviveLostServerConnection(t *testing.T) {
 	x := newSite(t, "")
 	p := x.player()
 	p.open("safe", "b")
-	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Half = 1 }) // the next answer breaks the connection
+	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Half = 1 }) // the next, truncated response closes the connection
 	x.player().open("safe", "b")
 	x.farm.Server(1).Fault(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
-	time.Sleep(600 * time.Millisecond) // longer than a stream lives without a connection
+	time.Sleep(600 * time.Millisecond) // longer than a server keeps a stream without a connection
 	if n := x.farm.Streams(); n != 1 {
 		t.Fatal(n, "streams")
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestARestartedFrontKnowsItsLastList(t *testing.T) {
+func TestRestartedFrontUsesSavedServerList(t *testing.T) {
 	x := newSite(t, "")
-	x.until("kept", func() bool { _, err := os.Stat(filepath.Join(x.dir, "state", "servers.sexp")); return err == nil })
-	x.end()
+	x.waitFor("the list to be saved", func() bool {
+		_, err := os.Stat(filepath.Join(x.dir, "state", "servers.sexp"))
+		return err == nil
+	})
+	x.leave()
 	x.list.Fail(true)
 	x.start("")
 	if a := x.player().open("safe", "a"); a.Result == nil {
 		t.Fatalf("%+v", a)
 	}
-	x.end()
+	x.leave()
 	path := filepath.Join(x.dir, "state", "servers.sexp")
 	text, _ := os.ReadFile(path)
 	os.WriteFile(path, text[:len(text)/2], 0o644)
 	x.list.Fail(false)
-	x.start("") // a damaged list is not used; the service's is
-	x.judge()
+	x.start("") // the damaged list is ignored and the service's list used
+	x.audit()
 }
 
-func TestAnEmptiedListIsNotBelieved(t *testing.T) {
+func TestEmptyOrOlderListIsRejected(t *testing.T) {
 	x := newSite(t, "")
 	x.list.Empty(true)
 	time.Sleep(300 * time.Millisecond)
@@ -503,13 +523,13 @@
 	x.list.Empty(false)
 	x.list.Rewind()
 	time.Sleep(200 * time.Millisecond)
-	if v := x.look(); v.Ready != 3 {
-		t.Fatal(v.Ready)
+	if v := x.snapshot(); v.ReadyServers != 3 {
+		t.Fatal(v.ReadyServers)
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestLeavingAnswersWhatIsHeldAndEndsInTime(t *testing.T) {
+func TestShutdownAnswersOpenRequestsAndEndsInTime(t *testing.T) {
 	x := newSite(t, "")
 	playing := x.player()
 	playing.open("safe", "a")
@@ -518,7 +538,7 @@
 	}
 	waits := x.player()
 	waits.ask("safe", "a")
-	x.until("taken", func() bool { return x.look().Open == 1 })
+	x.waitFor("the request to be accepted", func() bool { return x.snapshot().OpenRequests == 1 })
 	x.rec.Add(record.Event{What: record.Leaving, Front: "f"})
 	began := time.Now()
 	x.stop()
@@ -528,17 +548,17 @@
 	if a := playing.read(); a.Method != "session.ended" || a.Params["reason"] != "leaving" {
 		t.Fatalf("%+v", a)
 	}
-	x.end()
+	x.leave()
 	if d := time.Since(began); d > 5*time.Second {
 		t.Fatal(d)
 	}
 	for _, m := range x.farm.Servers() {
 		m.Fault(func(f *mediasim.Faults) { f.Lose = 0 })
 	}
-	x.judge()
+	x.audit()
 }
 
-func TestManySessionsLeaveNothingBehind(t *testing.T) {
+func TestManySessionsLeakNothing(t *testing.T) {
 	x := newSite(t, "")
 	files := func() int { list, _ := os.ReadDir("/proc/self/fd"); return len(list) }
 	p := x.player()
@@ -548,18 +568,21 @@
 		if a.Result == nil {
 			t.Fatalf("%d: %+v", i, a)
 		}
-		wsutil.WriteClientText(p.nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"c"}`, a.Result.Session))
+		wsutil.WriteClientText(p.nc, fmt.Appendf(nil,
+			`{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"c"}`, a.Result.Session))
 		p.read()
 		if i == 100 {
 			before = files()
 		}
 	}
-	if after := files(); after > before+8 { // a connection to a server not used before counts twice here
-		t.Errorf("%d descriptors, %d before", after, before)
+	// A connection to a server not used before takes two descriptors, one at each end.
+	if after := files(); after > before+8 {
+		t.Errorf("%d descriptors open, %d before", after, before)
 	}
-	v := x.look()
-	if v.Held != 0 || v.Attempts != 0 || v.Handles != 0 || v.Kept != 0 || v.Faults != 0 || v.Stats.Plays != 1000 {
+	v := x.snapshot()
+	if v.Sessions != 0 || v.HeldAttempts != 0 || v.PendingCalls != 0 || v.PlayerSessions != 0 ||
+		v.Faults != 0 || v.Stats.Plays != 1000 {
 		t.Errorf("%+v", v)
 	}
-	x.judge()
+	x.audit()
 }
--- a/internal/serve/titles.go
+++ b/internal/serve/titles.go
@@ -12,33 +12,34 @@
 	"tealledge/policy"
 )
 
-// The catalogue in service, and the background work of a front: both run on one scheduler that yields to requests.
+// This file loads and checks the catalogue, and runs a front's background work on one scheduler that yields to requests.
 
-// titles loads the catalogue at the start: from its source, or, if that can't be had or is older, as last kept.
-func (s *Server) titles() error {
+// loadCatalogue loads the catalogue at the start: from its source, or the saved copy if the source can't be read or is
+// older.
+func (s *Server) loadCatalogue() error {
 	if s.cfg.Front.CatalogueDir == "" {
 		return nil
 	}
-	s.titleDir = &catalogue.Dir{Path: s.cfg.Front.CatalogueDir}
-	v, err := s.titleDir.Load()
-	if kept := s.keptDir(); kept != nil {
-		if old, wrong := kept.Load(); wrong == nil && (err != nil || old.Number > v.Number) {
+	s.catalogueDir = &catalogue.Dir{Path: s.cfg.Front.CatalogueDir}
+	v, err := s.catalogueDir.Load()
+	if saved := s.savedCatalogueDir(); saved != nil {
+		if previous, savedErr := saved.Load(); savedErr == nil && (err != nil || previous.Number > v.Number) {
 			if err != nil {
-				s.log.Error().Err(err).Uint64("version", old.Number).Msg("catalogue not had: as last kept")
+				s.log.Error().Err(err).Uint64("version", previous.Number).Msg("catalogue not had: as last kept")
 			}
-			v, err = old, nil
+			v, err = previous, nil
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("no catalogue to serve by: %w", err)
+		return fmt.Errorf("no usable catalogue: %w", err)
 	}
 	s.cfg.Catalogue = catalogue.New(v)
 	s.log.Info().Uint64("version", v.Number).Int("titles", v.Len()).Msg("catalogue")
 	return nil
 }
 
-// keptDir is where the last catalogue is kept, nil if nowhere.
-func (s *Server) keptDir() *catalogue.Dir {
+// savedCatalogueDir returns the directory of the saved catalogue, nil if there is none.
+func (s *Server) savedCatalogueDir() *catalogue.Dir {
 	if s.cfg.Front.StateDir == "" {
 		return nil
 	}
@@ -46,47 +47,51 @@
 }
 
 const (
-	lookEvery = policy.Time(200 * time.Millisecond)
-	keepEvery = policy.Time(30 * time.Second)
+	catalogueCheckInterval = policy.Time(200 * time.Millisecond)
+	catalogueSaveInterval  = policy.Time(30 * time.Second)
 )
 
-// background starts the background work.
-func (s *Server) background(ctx context.Context) {
-	s.work = background.New(s.now, func() plan.Pressure {
-		return plan.Pressure{Backlog: int(s.waiting.Load()), Wait: s.waitedFor.Load()}
+// startBackground starts the background work.
+func (s *Server) startBackground(ctx context.Context) {
+	s.scheduler = background.New(s.now, func() plan.Pressure {
+		return plan.Pressure{Backlog: int(s.queueLength.Load()), Wait: s.lastRoundNanos.Load()}
 	})
 	if s.cfg.Catalogue != nil {
-		s.work.Add(plan.Task{Name: "catalogue", Interval: lookEvery, Deadline: 2 * policy.Second, Priority: 2}, s.lookAtTitles)
-		if s.keptDir() != nil {
-			s.work.Add(plan.Task{Name: "snapshot", Interval: keepEvery, Deadline: 5 * 60 * policy.Second}, s.keepTitles)
+		s.scheduler.Add(plan.Task{Name: "catalogue", Interval: catalogueCheckInterval,
+			Deadline: 2 * policy.Second, Priority: 2}, s.checkCatalogue)
+		if s.savedCatalogueDir() != nil {
+			s.scheduler.Add(plan.Task{Name: "snapshot", Interval: catalogueSaveInterval,
+				Deadline: 5 * 60 * policy.Second}, s.saveCatalogue)
 		}
 	}
 	s.group.Add(1)
-	go func() { defer s.group.Done(); s.work.Run(ctx) }()
+	go func() { defer s.group.Done(); s.scheduler.Run(ctx) }()
 }
 
-func (s *Server) lookAtTitles(context.Context, time.Duration) (bytes int, done bool) {
-	changed, err := s.titleDir.Look(s.cfg.Catalogue)
+// checkCatalogue applies changes of the catalogue's files.
+func (s *Server) checkCatalogue(context.Context, time.Duration) (bytes int, done bool) {
+	changed, err := s.catalogueDir.Look(s.cfg.Catalogue)
 	if err != nil {
 		s.log.Error().Err(err).Uint64("version", s.cfg.Catalogue.Now().Number).Msg("catalogue not changed")
 	}
 	if changed {
-		s.log.Info().Uint64("version", s.cfg.Catalogue.Now().Number).Int("titles", s.cfg.Catalogue.Now().Len()).Msg("catalogue")
+		s.log.Info().Uint64("version", s.cfg.Catalogue.Now().Number).
+			Int("titles", s.cfg.Catalogue.Now().Len()).Msg("catalogue")
 	}
 	return 0, true
 }
 
-// keepTitles writes the version in force, if it is not the one kept last.
-func (s *Server) keepTitles(context.Context, time.Duration) (bytes int, done bool) {
-	v := s.cfg.Catalogue.Now()
-	if v.Number == s.keptTitles {
+// saveCatalogue saves the current version, if it is not the one saved last.
+func (s *Server) saveCatalogue(context.Context, time.Duration) (bytes int, done bool) {
+	version := s.cfg.Catalogue.Now()
+	if version.Number == s.savedVersion {
 		return 0, true
 	}
-	dir := s.keptDir()
-	if err := dir.Deliver("full.cat", v.Write); err != nil {
-		s.log.Warn().Err(err).Str("in", filepath.Clean(dir.Path)).Msg("catalogue not kept")
+	dir := s.savedCatalogueDir()
+	if err := dir.Deliver("full.cat", version.Write); err != nil {
+		s.log.Warn().Err(err).Str("in", filepath.Clean(dir.Path)).Msg("saving the catalogue failed")
 		return 0, true
 	}
-	s.keptTitles = v.Number
-	return v.Len() * 64, true
+	s.savedVersion = version.Number
+	return version.Len() * 64, true
 }
--- a/internal/serve/tokens.go
+++ b/internal/serve/tokens.go
@@ -5,16 +5,16 @@
 	"math/rand/v2"
 )
 
-// newTokens draws tokens that nobody can guess from those seen: a cipher's stream under a random key. The owner's
-// goroutine alone calls it.
-func newTokens() func() uint64 {
+// newTokenSource returns a function that draws random tokens from the stream of a cipher with a random key, so that none
+// can be guessed from those already seen. Only the owner goroutine may call the function.
+func newTokenSource() func() uint64 {
 	var seed [32]byte
 	crand.Read(seed[:]) // never fails
 	source := rand.NewChaCha8(seed)
 	return func() uint64 {
 		for {
-			if t := source.Uint64(); t != 0 {
-				return t
+			if token := source.Uint64(); token != 0 {
+				return token
 			}
 		}
 	}
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -1,6 +1,6 @@
-// Package serverlist brings the server list to a front: from Consul's health API over HTTP with blocking queries,
-// or from a file; and keeps the last list on disk for the next start. What is believed of an answer is
-// decide/serverview' choice.
+// Package serverlist reads the server list for a front, from Consul's health API over HTTP with blocking queries or
+// from a file, and saves the last list on disk for the next start. decide/serverview decides which responses are
+// accepted.
 package serverlist
 
 import (
@@ -24,81 +24,81 @@
 	"tealledge/policy"
 )
 
-// Entry is a listed server with its addresses. Addr is the one that players are told: the first that can be reached
-// over the network.
+// Entry is a listed server with its addresses. Addr is the one sent to players: the first that is reachable over the
+// network.
 type Entry struct {
 	policy.Entry
 	Addr  string
 	Paths []addresses.Path
-	HTTP  string // HOST:PORT at which it delivers HLS segments; "": it does not
+	HTTP  string // HOST:PORT that serves HLS segments; "": none
 }
 
-// addresses takes the addresses over; what is no address is an error, and none at all is none.
-func (e *Entry) addresses(list []string) error {
+// setAddresses sets the addresses of the entry. An invalid address is an error; an empty list is not.
+func (e *Entry) setAddresses(list []string) error {
 	var errs []error
-	for _, a := range list {
-		p, err := addresses.Parse(a)
+	for _, text := range list {
+		path, err := addresses.Parse(text)
 		if err != nil {
 			errs = append(errs, err)
 			continue
 		}
-		if e.Addr == "" && p.Family != addresses.Unix {
-			e.Addr = p.Addr
+		if e.Addr == "" && path.Family != addresses.Unix {
+			e.Addr = path.Addr
 		}
-		e.Paths = append(e.Paths, p)
+		e.Paths = append(e.Paths, path)
 	}
-	if len(list) > addressesMost {
-		errs = append(errs, fmt.Errorf("%d addresses, %d at most", len(list), addressesMost))
+	if len(list) > maxAddresses {
+		errs = append(errs, fmt.Errorf("%d addresses; the maximum is %d", len(list), maxAddresses))
 	}
 	return errors.Join(errs...)
 }
 
-// addressesMost bounds the addresses of a server.
-const addressesMost = 8
+// maxAddresses limits the addresses of one server.
+const maxAddresses = 8
 
-// Answer is one answer of a source. Skipped names entries that could not be used.
-type Answer struct {
+// Response is one response of a source. Skipped describes the entries that could not be used.
+type Response struct {
 	Index   uint64
 	Entries []Entry
 	Skipped []string
 }
 
-// Source gives the list. Next blocks until there is news after an index, or the source's own wait is over.
+// Source supplies the list. Next blocks until the list has changed since index, or until the source's own timeout.
 type Source interface {
-	Next(ctx context.Context, index uint64) (Answer, error)
+	Next(ctx context.Context, index uint64) (Response, error)
 }
 
-// Follow asks a source until ctx ends and hands on each answer or error; index tells what to ask from. After an
-// error it waits, longer each time, up to a few seconds.
-func Follow(ctx context.Context, s Source, index func() uint64, answer func(Answer, error)) {
-	wait := 100 * time.Millisecond
+// Follow polls a source until ctx is cancelled and delivers each response or error; index supplies the index of the
+// next request. After an error it retries with an exponential backoff of up to a few seconds.
+func Follow(ctx context.Context, source Source, index func() uint64, deliver func(Response, error)) {
+	backoff := 100 * time.Millisecond
 	for ctx.Err() == nil {
-		began := time.Now()
-		a, err := s.Next(ctx, index())
+		startedAt := time.Now()
+		response, err := source.Next(ctx, index())
 		if ctx.Err() != nil {
 			return
 		}
-		answer(a, err)
+		deliver(response, err)
 		if err != nil {
-			pause(ctx, wait/2+time.Duration(rand.Int63n(int64(wait))))
-			wait = min(2*wait, 4*time.Second)
+			sleep(ctx, backoff/2+time.Duration(rand.Int63n(int64(backoff))))
+			backoff = min(2*backoff, 4*time.Second)
 			continue
 		}
-		wait = 100 * time.Millisecond
-		if time.Since(began) < 20*time.Millisecond { // a source that answers at once again and again is not hammered
-			pause(ctx, 50*time.Millisecond)
+		backoff = 100 * time.Millisecond
+		if time.Since(startedAt) < 20*time.Millisecond { // limits the rate if the source responds immediately each time
+			sleep(ctx, 50*time.Millisecond)
 		}
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// Names turns words of the list into the numbers of the settings.
+// Names maps the names in the list to the indices used by the settings.
 type Names struct{ Kinds, Zones []string }
 
 func (n Names) index(list []string, word string) (int, error) {
@@ -110,36 +110,36 @@
 			return i, nil
 		}
 	}
-	return 0, fmt.Errorf("%q is not among %v", word, list)
+	return 0, fmt.Errorf("%q is not one of %v", word, list)
 }
 
-// entry makes an entry of words.
+// entry builds an entry from its text fields.
 func (n Names) entry(get func(string) string) (e policy.Entry, err error) {
 	var errs []error
-	num := func(key string, least, most float64) float64 {
+	number := func(key string, minValue, maxValue float64) float64 {
 		text := get(key)
 		if text == "" {
-			return least
+			return minValue
 		}
 		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(v >= least && v <= most) {
-			errs = append(errs, fmt.Errorf("%s: %q is no number from %g to %g", key, text, least, most))
+		if err != nil || !(v >= minValue && v <= maxValue) {
+			errs = append(errs, fmt.Errorf("%s: %q is not a number from %g to %g", key, text, minValue, maxValue))
 		}
 		return v
 	}
 	id, err := strconv.ParseUint(get("server"), 10, 32)
 	if err != nil || id == 0 {
-		errs = append(errs, fmt.Errorf("server: %q is no number from 1 to 2^32-1", get("server")))
+		errs = append(errs, fmt.Errorf("server: %q is not a number from 1 to 2^32-1", get("server")))
 	}
 	e.Server = uint32(id)
-	e.Cell = int(num("cell", 0, 1<<20))
-	e.Size = num("size", 0, 1e9)
+	e.Cell = int(number("cell", 0, 1<<20))
+	e.Size = number("size", 0, 1e9)
 	if get("size") == "" {
 		e.Size = 1
 	}
 	if text := get("started"); text != "" {
 		if e.Started, err = strconv.ParseInt(text, 10, 64); err != nil || e.Started < 0 {
-			errs = append(errs, fmt.Errorf("started: %q is no time in nanoseconds", text))
+			errs = append(errs, fmt.Errorf("started: %q is not a time in nanoseconds", text))
 		}
 	}
 	if e.Zone, err = n.index(n.Zones, get("zone")); err != nil {
@@ -158,10 +158,10 @@
 	names   Names
 }
 
-// consulWait is how long a blocking query may wait for news.
-const consulWait = 30 * time.Second
+// consulQueryTimeout limits how long a blocking query waits for a change.
+const consulQueryTimeout = 30 * time.Second
 
-// NewConsul makes a source. front names this front to the service, in the header X-Tealledge-Front.
+// NewConsul returns a source. front is sent to the service as this front's name, in the header X-Tealledge-Front.
 func NewConsul(address, service, front string, names Names) (*Consul, error) {
 	c, err := api.NewClient(&api.Config{Address: address})
 	if err != nil {
@@ -171,65 +171,65 @@
 	return &Consul{c, service, names}, nil
 }
 
-// Next asks for what is new after an index.
-func (c *Consul) Next(ctx context.Context, index uint64) (Answer, error) {
-	opts := (&api.QueryOptions{WaitIndex: index, WaitTime: consulWait}).WithContext(ctx)
-	list, meta, err := c.client.Health().Service(c.service, "", false, opts)
+// Next waits for a change of the list since index.
+func (c *Consul) Next(ctx context.Context, index uint64) (Response, error) {
+	options := (&api.QueryOptions{WaitIndex: index, WaitTime: consulQueryTimeout}).WithContext(ctx)
+	list, meta, err := c.client.Health().Service(c.service, "", false, options)
 	if err != nil {
-		return Answer{}, fmt.Errorf("server list: %w", err)
+		return Response{}, fmt.Errorf("server list: %w", err)
 	}
-	a := Answer{Index: meta.LastIndex}
-	for _, s := range list {
-		if s.Node == nil || s.Service == nil {
-			a.Skipped = append(a.Skipped, "an entry without node or service")
+	response := Response{Index: meta.LastIndex}
+	for _, service := range list {
+		if service.Node == nil || service.Service == nil {
+			response.Skipped = append(response.Skipped, "an entry without node or service")
 			continue
 		}
 		e, err := c.names.entry(func(k string) string {
-			if v := s.Service.Meta[k]; v != "" {
+			if v := service.Service.Meta[k]; v != "" {
 				return v
 			}
-			return s.Node.Meta[k]
+			return service.Node.Meta[k]
 		})
 		if err != nil {
-			a.Skipped = append(a.Skipped, fmt.Sprintf("%s: %v", s.Node.Node, err))
+			response.Skipped = append(response.Skipped, fmt.Sprintf("%s: %v", service.Node.Node, err))
 			continue
 		}
-		e.Health = health(s.Checks)
-		out := Entry{Entry: e, HTTP: s.Service.Meta["http"]}
-		if err := out.addresses(consulAddresses(s)); err != nil {
-			a.Skipped = append(a.Skipped, fmt.Sprintf("%s: %v", s.Node.Node, err))
+		e.Health = healthOf(service.Checks)
+		listed := Entry{Entry: e, HTTP: service.Service.Meta["http"]}
+		if err := listed.setAddresses(consulAddresses(service)); err != nil {
+			response.Skipped = append(response.Skipped, fmt.Sprintf("%s: %v", service.Node.Node, err))
 			continue
 		}
-		a.Entries = append(a.Entries, out)
+		response.Entries = append(response.Entries, listed)
 	}
-	return a, nil
+	return response, nil
 }
 
-// consulAddresses gives a service's addresses: its own (else its node's), the tagged ones of other families, and a Unix
-// socket from the metadata. A port of 0 and no address are none.
-func consulAddresses(s *api.ServiceEntry) (list []string) {
+// consulAddresses returns a service's addresses: its own (or else its node's), the tagged ones of other families, and a
+// Unix socket from the metadata. Addresses without host or with port 0 are left out.
+func consulAddresses(service *api.ServiceEntry) (list []string) {
 	add := func(host string, port int) {
 		if host != "" && port != 0 {
 			list = append(list, net.JoinHostPort(host, strconv.Itoa(port)))
 		}
 	}
-	host := s.Service.Address
+	host := service.Service.Address
 	if host == "" {
-		host = s.Node.Address
+		host = service.Node.Address
 	}
-	add(host, s.Service.Port)
+	add(host, service.Service.Port)
 	for _, tag := range []string{"lan_ipv4", "lan_ipv6"} {
-		t := s.Service.TaggedAddresses[tag]
-		add(t.Address, t.Port)
+		tagged := service.Service.TaggedAddresses[tag]
+		add(tagged.Address, tagged.Port)
 	}
-	if path := s.Service.Meta["unix"]; path != "" {
+	if path := service.Service.Meta["unix"]; path != "" {
 		list = append(list, path)
 	}
 	return list
 }
 
-// health maps checks: maintenance, of node or service, is a drain; any other critical check counts as gone.
-func health(checks api.HealthChecks) policy.Health {
+// healthOf maps checks: maintenance of the node or service means draining; any other critical check means removed.
+func healthOf(checks api.HealthChecks) policy.Health {
 	switch checks.AggregatedStatus() {
 	case api.HealthMaint:
 		return policy.Draining
@@ -245,78 +245,80 @@
 	Names Names
 }
 
-// filePoll is how often a file is looked at.
-const filePoll = 300 * time.Millisecond
+// filePollInterval is the interval between reads of the file.
+const filePollInterval = 300 * time.Millisecond
 
-// Next waits until the file's content differs from that of an index.
-func (f *File) Next(ctx context.Context, index uint64) (Answer, error) {
+// Next waits until the file's content differs from that with the given index.
+func (f *File) Next(ctx context.Context, index uint64) (Response, error) {
 	for {
 		text, err := os.ReadFile(f.Path)
 		if err != nil {
-			return Answer{}, fmt.Errorf("server list: %w", err)
+			return Response{}, fmt.Errorf("server list: %w", err)
 		}
-		if sum := xxhash.Sum64(text) >> 1; sum != index {
+		if digest := xxhash.Sum64(text) >> 1; digest != index {
 			entries, err := parse(f.Path, string(text), f.Names)
-			return Answer{Index: sum, Entries: entries}, err
+			return Response{Index: digest, Entries: entries}, err
 		}
-		pause(ctx, filePoll)
+		sleep(ctx, filePollInterval)
 		if ctx.Err() != nil {
-			return Answer{}, ctx.Err()
+			return Response{}, ctx.Err()
 		}
 	}
 }
 
-// fields of a server form, besides its id.
-var fields = []string{"http", "cell", "zone", "kind", "health", "size", "started"}
+// serverFields are the fields of a server form, besides its id and address.
+var serverFields = []string{"http", "cell", "zone", "kind", "health", "size", "started"}
 
+// parse reads a list of server forms.
 func parse(path, text string, names Names) ([]Entry, error) {
 	nodes, err := sexp.Read(path, text)
 	if err != nil {
 		return nil, err
 	}
-	r := &config.Reader{}
-	var out []Entry
+	reader := &config.Reader{}
+	var entries []Entry
 	seen := map[uint32]bool{}
 	for _, n := range nodes {
 		if n.Head() != "server" || len(n.List) < 2 || n.List[1].IsList {
-			r.Fail(n, "want (server ID (address \"HOST:PORT\") ...)")
+			reader.Fail(n, "want (server ID (address \"HOST:PORT\") ...)")
 			continue
 		}
-		got := map[string]string{"server": n.List[1].Text}
-		known := map[string]func(*sexp.Node){}
-		var addrs []string
-		known["address"] = func(n *sexp.Node) {
+		values := map[string]string{"server": n.List[1].Text}
+		readers := map[string]func(*sexp.Node){}
+		var addressTexts []string
+		readers["address"] = func(n *sexp.Node) {
 			for _, a := range n.Args() {
-				addrs = append(addrs, a.Text)
+				addressTexts = append(addressTexts, a.Text)
 			}
 		}
-		for _, k := range fields {
-			known[k] = func(n *sexp.Node) { got[k] = r.Text(n) }
+		for _, k := range serverFields {
+			readers[k] = func(n *sexp.Node) { values[k] = reader.Text(n) }
 		}
-		r.Fields(&sexp.Node{Pos: n.Pos, IsList: true, List: n.List[1:]}, []string{"address"}, known)
-		e, err := names.entry(func(k string) string { return got[k] })
+		reader.Fields(&sexp.Node{Pos: n.Pos, IsList: true, List: n.List[1:]}, []string{"address"}, readers)
+		e, err := names.entry(func(k string) string { return values[k] })
 		if err != nil {
-			r.Fail(n, "server %s: %v", got["server"], err)
+			reader.Fail(n, "server %s: %v", values["server"], err)
 		}
-		h, ok := map[string]policy.Health{"": policy.Ready, "ready": policy.Ready, "draining": policy.Draining, "removed": policy.Removed}[got["health"]]
+		health, ok := map[string]policy.Health{"": policy.Ready, "ready": policy.Ready, "draining": policy.Draining,
+			"removed": policy.Removed}[values["health"]]
 		if !ok {
-			r.Fail(n, "health: %q is none of ready, draining, removed", got["health"])
+			reader.Fail(n, "health: %q is not ready, draining or removed", values["health"])
 		}
 		if seen[e.Server] {
-			r.Fail(n, "server %d stands twice", e.Server)
+			reader.Fail(n, "server %d is listed twice", e.Server)
 		}
-		seen[e.Server], e.Health = true, h
-		one := Entry{Entry: e, HTTP: got["http"]}
-		if err := one.addresses(addrs); err != nil {
-			r.Fail(n, "server %s: %v", got["server"], err)
+		seen[e.Server], e.Health = true, health
+		entry := Entry{Entry: e, HTTP: values["http"]}
+		if err := entry.setAddresses(addressTexts); err != nil {
+			reader.Fail(n, "server %s: %v", values["server"], err)
 		}
-		out = append(out, one)
+		entries = append(entries, entry)
 	}
-	return out, errors.Join(r.Errors()...)
+	return entries, errors.Join(reader.Errors()...)
 }
 
-// Cache keeps the last list in a directory. A missing or damaged cache is no list, never a wrong one: the file
-// ends with a digest of what stands before it.
+// Cache saves the last list in a directory. The file ends with a digest of its content, so that a damaged file is
+// rejected and never read as a wrong list.
 type Cache struct {
 	Dir   string
 	Names Names
@@ -324,15 +326,15 @@
 
 func (c Cache) path() string { return filepath.Join(c.Dir, "servers.sexp") }
 
-const sumMark = "; digest "
+const digestPrefix = "; digest "
 
-// Save writes the list: to a new file that then takes the old one's place, so that a crash leaves one of them.
+// Save writes the list to a new file that then replaces the old one, so that a crash leaves one of the two intact.
 func (c Cache) Save(list []Entry) error {
 	if c.Dir == "" {
 		return nil
 	}
 	if err := os.MkdirAll(c.Dir, 0o755); err != nil {
-		return fmt.Errorf("keeping the server list: %w", err)
+		return fmt.Errorf("saving the server list: %w", err)
 	}
 	var b strings.Builder
 	for _, e := range list {
@@ -350,27 +352,28 @@
 		if e.HTTP != "" {
 			fmt.Fprintf(&b, " (http %q)", e.HTTP)
 		}
-		fmt.Fprintf(&b, " (health %s) (size %g) (started %d))\n", [...]string{"ready", "draining", "removed"}[e.Health], e.Size, e.Started)
+		fmt.Fprintf(&b, " (health %s) (size %g) (started %d))\n",
+			[...]string{"ready", "draining", "removed"}[e.Health], e.Size, e.Started)
 	}
 	text := b.String()
-	text += fmt.Sprintf("%s%016x\n", sumMark, xxhash.Sum64String(text))
-	tmp := c.path() + ".new"
-	f, err := os.Create(tmp)
+	text += fmt.Sprintf("%s%016x\n", digestPrefix, xxhash.Sum64String(text))
+	tempPath := c.path() + ".new"
+	f, err := os.Create(tempPath)
 	if err != nil {
-		return fmt.Errorf("keeping the server list: %w", err)
+		return fmt.Errorf("saving the server list: %w", err)
 	}
 	_, err = f.WriteString(text)
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err == nil {
-		err = os.Rename(tmp, c.path())
+		err = os.Rename(tempPath, c.path())
 	}
 	if err != nil {
-		return fmt.Errorf("keeping the server list: %w", err)
+		return fmt.Errorf("saving the server list: %w", err)
 	}
 	return nil
 }
 
-// Load reads the list kept. No file is no list and no error.
+// Load reads the saved list. A missing file gives an empty list and no error.
 func (c Cache) Load() ([]Entry, error) {
 	if c.Dir == "" {
 		return nil, nil
@@ -380,11 +383,11 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("the server list kept: %w", err)
+		return nil, fmt.Errorf("saved server list: %w", err)
 	}
-	body, sum, ok := strings.Cut(string(text), sumMark)
-	if !ok || strings.TrimSpace(sum) != fmt.Sprintf("%016x", xxhash.Sum64String(body)) {
-		return nil, fmt.Errorf("the server list kept: %s: damaged, not used", c.path())
+	body, digest, ok := strings.Cut(string(text), digestPrefix)
+	if !ok || strings.TrimSpace(digest) != fmt.Sprintf("%016x", xxhash.Sum64String(body)) {
+		return nil, fmt.Errorf("saved server list: %s: checksum mismatch, file ignored", c.path())
 	}
 	return parse(c.path(), body, c.Names)
 }
