--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -11,141 +11,150 @@
 	"tealledge/internal/sexp"
 )
 
-// Fleet is a front's part in its fleet: who the others are, what may be out for work. Cluster "": it has none.
+// Fleet holds the fleet settings of a front: the other fronts, and the limits on machines that are out of service for
+// maintenance work. If Cluster is "", the front has no fleet.
 type Fleet struct {
 	Cluster, Listen, Advertise, Control string
 	Keys                                [][]byte
-	Join                                []string // NAME=ADDRESS
-	Via                                 map[string]string
+	Join                                []string          // NAME=ADDRESS of other fronts
+	Via                                 map[string]string // addresses by front name that replace the advertised ones
 	Voters                              []string
 	Limits                              upkeep.Limits
 	Times                               upkeep.Timeouts
 	Stale                               time.Duration
-	Skew                                time.Duration         // of the fleet's clock; not in a file: trials set it
-	at                                  map[string]*sexp.Node // where forms stand, for mistakes that show at the end
-	zones                               []string              // of Voters
+	Skew                                time.Duration         // offset of the fleet's clock; set by tests, not by a settings file
+	nodes                               map[string]*sexp.Node // forms by name, for positions of errors found after reading
+	voterZones                          []string              // zones of Voters, in the same order
 }
 
-// votersMost: a majority of more takes longer and survives no more than operators can keep apart.
-const votersMost = 5
+// maxVoters limits the voters. More of them make a majority slower, and survive no more failures than operators can keep
+// independent of each other.
+const maxVoters = 5
 
-// fleet reads (fleet ...).
-func (c *Config) fleet(r *Reader, n *sexp.Node) {
-	f := &c.Fleet
-	f.at = map[string]*sexp.Node{"fleet": n}
-	f.Via = map[string]string{}
-	f.Limits = upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1, Holders: 1, Margin: 0.2, Paid: 20, Patience: upkeep.Time(10 * time.Minute)}
-	f.Times = upkeep.Timeouts{AckTimeout: upkeep.Time(10 * time.Second), DrainTimeout: upkeep.Time(10 * time.Minute), ReturnTimeout: upkeep.Time(30 * time.Minute)}
-	f.Stale = 15 * time.Second
-	keep := func(name string, read func(*sexp.Node)) func(*sexp.Node) {
-		return func(n *sexp.Node) { f.at[name] = n; read(n) }
+// readFleet reads the form (fleet ...).
+func (c *Config) readFleet(r *Reader, n *sexp.Node) {
+	fleet := &c.Fleet
+	fleet.nodes = map[string]*sexp.Node{"fleet": n}
+	fleet.Via = map[string]string{}
+	fleet.Limits = upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1, Holders: 1, Margin: 0.2, Paid: 20,
+		Patience: upkeep.Time(10 * time.Minute)}
+	fleet.Times = upkeep.Timeouts{AckTimeout: upkeep.Time(10 * time.Second), DrainTimeout: upkeep.Time(10 * time.Minute),
+		ReturnTimeout: upkeep.Time(30 * time.Minute)}
+	fleet.Stale = 15 * time.Second
+	recordNode := func(name string, read func(*sexp.Node)) func(*sexp.Node) {
+		return func(n *sexp.Node) { fleet.nodes[name] = n; read(n) }
 	}
 	r.Fields(n, []string{"cluster", "listen", "keys", "voters"}, map[string]func(*sexp.Node){
-		"cluster":   func(n *sexp.Node) { f.Cluster = r.Name(n) },
-		"listen":    func(n *sexp.Node) { f.Listen = r.Address(n) },
-		"advertise": func(n *sexp.Node) { f.Advertise = r.Address(n) },
-		"control": keep("control", func(n *sexp.Node) {
-			f.Control = r.Address(n)
-			if host, _, err := net.SplitHostPort(f.Control); err == nil {
+		"cluster":   func(n *sexp.Node) { fleet.Cluster = r.Name(n) },
+		"listen":    func(n *sexp.Node) { fleet.Listen = r.Address(n) },
+		"advertise": func(n *sexp.Node) { fleet.Advertise = r.Address(n) },
+		"control": recordNode("control", func(n *sexp.Node) {
+			fleet.Control = r.Address(n)
+			if host, _, err := net.SplitHostPort(fleet.Control); err == nil {
 				if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-					r.Fail(n, "control: %q: commands are taken from this host alone, at 127.0.0.1 or [::1]", f.Control)
+					r.Fail(n, "control: %q: commands are accepted from this host only, at 127.0.0.1 or [::1]", fleet.Control)
 				}
 			}
 		}),
-		"keys": func(n *sexp.Node) { // the first seals, all open
+		"keys": func(n *sexp.Node) { // the first key encrypts, all keys decrypt
 			for _, k := range n.Args() {
 				b, err := hex.DecodeString(k.Text)
 				if err != nil || len(b) != 16 && len(b) != 24 && len(b) != 32 {
-					r.Fail(k, "keys: 32, 48 or 64 hex digits each")
+					r.Fail(k, "keys: each key must have 32, 48 or 64 hex digits")
 				}
-				f.Keys = append(f.Keys, b)
+				fleet.Keys = append(fleet.Keys, b)
 			}
 			if len(n.Args()) == 0 {
-				r.Fail(n, "keys: at least one is needed: whoever can reach this port could order machines out")
+				r.Fail(n,
+					"keys: at least one key is required: without it, anyone who can reach this port could take machines out of service")
 			}
 		},
-		"join": func(n *sexp.Node) { f.named(r, n, func(name, addr string) { f.Join = append(f.Join, name+"="+addr) }) },
-		"via":  func(n *sexp.Node) { f.named(r, n, func(name, addr string) { f.Via[name] = addr }) },
-		"voters": keep("voters", func(n *sexp.Node) {
-			r.named(n, "voter", &f.Voters, func(rest *sexp.Node) {
+		"join": func(n *sexp.Node) {
+			fleet.readFronts(r, n, func(name, addr string) { fleet.Join = append(fleet.Join, name+"="+addr) })
+		},
+		"via": func(n *sexp.Node) { fleet.readFronts(r, n, func(name, addr string) { fleet.Via[name] = addr }) },
+		"voters": recordNode("voters", func(n *sexp.Node) {
+			r.readNamed(n, "voter", &fleet.Voters, func(fields *sexp.Node) {
 				zone := ""
-				r.Fields(rest, nil, map[string]func(*sexp.Node){"zone": func(n *sexp.Node) {
+				r.Fields(fields, nil, map[string]func(*sexp.Node){"zone": func(n *sexp.Node) {
 					if zone = r.Text(n); !slices.Contains(c.Zones, zone) {
 						r.Fail(n, "zone %q is not among the service's zones", zone)
 					}
 				}})
-				f.zones = append(f.zones, zone)
+				fleet.voterZones = append(fleet.voterZones, zone)
 			})
 		}),
-		"upkeep": keep("upkeep", func(n *sexp.Node) { f.upkeep(r, n) }),
+		"upkeep": recordNode("upkeep", func(n *sexp.Node) { fleet.readUpkeep(r, n) }),
 	})
 }
 
-// named reads (front "NAME" "ADDRESS") forms.
-func (f *Fleet) named(r *Reader, n *sexp.Node, take func(name, addr string)) {
+// readFronts reads forms (front "NAME" "HOST:PORT") and passes each to add.
+func (f *Fleet) readFronts(r *Reader, n *sexp.Node, add func(name, addr string)) {
 	seen := map[string]bool{}
-	for _, x := range n.Args() {
-		if x.Head() != "front" || len(x.List) != 3 || x.List[1].IsList || x.List[2].IsList {
-			r.Fail(x, `want (front "NAME" "HOST:PORT")`)
+	for _, form := range n.Args() {
+		if form.Head() != "front" || len(form.List) != 3 || form.List[1].IsList || form.List[2].IsList {
+			r.Fail(form, `want (front "NAME" "HOST:PORT")`)
 			continue
 		}
-		name, addr := x.List[1].Text, x.List[2].Text
+		name, addr := form.List[1].Text, form.List[2].Text
 		if _, _, err := net.SplitHostPort(addr); err != nil || name == "" {
-			r.Fail(x.List[2], "%s: %v", n.Head(), err)
+			r.Fail(form.List[2], "%s: %v", n.Head(), err)
 		}
 		if seen[name] {
-			r.Fail(x.List[1], "two fronts of the name %q", name)
+			r.Fail(form.List[1], "two fronts are named %q", name)
 		}
 		seen[name] = true
-		take(name, addr)
+		add(name, addr)
 	}
 }
 
-func (f *Fleet) upkeep(r *Reader, n *sexp.Node) {
-	l, t := &f.Limits, &f.Times
-	whole := func(to *int, least, most int) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = r.Int(n, least, most) }
+func (f *Fleet) readUpkeep(r *Reader, n *sexp.Node) {
+	limits, timeouts := &f.Limits, &f.Times
+	integer := func(target *int, minValue, maxValue int) func(*sexp.Node) {
+		return func(n *sexp.Node) { *target = r.Int(n, minValue, maxValue) }
 	}
-	span := func(to *upkeep.Time, least, most time.Duration) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = upkeep.Time(r.Span(n, least, most)) }
+	duration := func(target *upkeep.Time, minValue, maxValue time.Duration) func(*sexp.Node) {
+		return func(n *sexp.Node) { *target = upkeep.Time(r.Span(n, minValue, maxValue)) }
 	}
 	r.Fields(n, nil, map[string]func(*sexp.Node){
-		"rack":     whole(&l.Rack, 0, 100_000),
-		"racks":    whole(&l.Racks, 0, 100_000),
-		"zone":     whole(&l.Zone, 0, 100_000),
-		"whole":    whole(&l.Whole, 0, 100_000),
-		"fronts":   whole(&l.Fronts, 0, 100_000),
-		"holders":  whole(&l.Holders, 0, 1000),
-		"paid":     whole(&l.Paid, 0, 1e6),
-		"margin":   func(n *sexp.Node) { l.Margin = r.Num(n, 0, 10) },
-		"patience": span(&l.Patience, 0, 30*24*time.Hour),
-		"hear":     span(&t.AckTimeout, time.Second, 10*time.Minute),
-		"drain":    span(&t.DrainTimeout, 0, 24*time.Hour),
-		"late":     span(&t.ReturnTimeout, time.Second, 30*24*time.Hour),
-		"back":     span(&t.WarmUpTime, 0, time.Hour),
+		"rack":     integer(&limits.Rack, 0, 100_000),
+		"racks":    integer(&limits.Racks, 0, 100_000),
+		"zone":     integer(&limits.Zone, 0, 100_000),
+		"whole":    integer(&limits.Whole, 0, 100_000),
+		"fronts":   integer(&limits.Fronts, 0, 100_000),
+		"holders":  integer(&limits.Holders, 0, 1000),
+		"paid":     integer(&limits.Paid, 0, 1e6),
+		"margin":   func(n *sexp.Node) { limits.Margin = r.Num(n, 0, 10) },
+		"patience": duration(&limits.Patience, 0, 30*24*time.Hour),
+		"hear":     duration(&timeouts.AckTimeout, time.Second, 10*time.Minute),
+		"drain":    duration(&timeouts.DrainTimeout, 0, 24*time.Hour),
+		"late":     duration(&timeouts.ReturnTimeout, time.Second, 30*24*time.Hour),
+		"back":     duration(&timeouts.WarmUpTime, 0, time.Hour),
 		"stale":    func(n *sexp.Node) { f.Stale = r.Span(n, 6*time.Second, 10*time.Minute) },
 	})
 }
 
-// fits checks what only shows when all is read.
-func (f *Fleet) fits(c *Config, r *Reader) {
+// checkConsistency checks conditions between fleet settings and others after the whole file has been read.
+func (f *Fleet) checkConsistency(c *Config, r *Reader) {
 	if f.Cluster == "" {
 		return
 	}
-	place := func(name string) *sexp.Node {
-		if n := f.at[name]; n != nil {
+	nodeOf := func(name string) *sexp.Node {
+		if n := f.nodes[name]; n != nil {
 			return n
 		}
-		return f.at["fleet"]
+		return f.nodes["fleet"]
 	}
-	at := place("voters")
-	if n := len(f.Voters); n%2 == 0 || n > votersMost {
-		r.Fail(at, "%d voters: 1, 3 or %d are wanted; an even number survives no more failures than one less", n, votersMost)
+	node := nodeOf("voters")
+	if n := len(f.Voters); n%2 == 0 || n > maxVoters {
+		r.Fail(node,
+			"%d voters: must be 1, 3 or %d; an even number survives no more failures than one voter less", n, maxVoters)
 	}
 	zones := map[string]string{}
-	for i, z := range f.zones {
+	for i, z := range f.voterZones {
 		if other, taken := zones[z]; z != "" && taken && len(c.Zones) >= len(f.Voters) {
-			r.Fail(at, "voters %q and %q are both in zone %q: one lost zone takes two votes", other, f.Voters[i], z)
+			r.Fail(node,
+				"voters %q and %q are both in zone %q: the loss of that zone would take two votes", other, f.Voters[i], z)
 		}
 		zones[z] = f.Voters[i]
 	}
@@ -156,23 +165,25 @@
 	}
 	for _, v := range f.Voters {
 		if !known[v] {
-			r.Fail(at, "voter %q is neither this front nor named in (join ...): nobody would find it", v)
+			r.Fail(node, "voter %q is neither this front nor named in (join ...): its address is unknown", v)
 		}
 	}
 	if slices.Contains(f.Voters, c.Front.Name) && c.Front.StateDir == "" {
-		r.Fail(at, "this front votes and keeps nothing: front needs (state DIR)")
+		r.Fail(node, "this front is a voter but stores no state: front needs (state DIR)")
 	}
-	at = place("upkeep")
-	l := &f.Limits
+	node = nodeOf("upkeep")
+	limits := &f.Limits
 	switch {
-	case l.Whole < 1 || l.Zone < 1 || l.Rack < 1 && l.Racks < 1:
-		r.Fail(at, "upkeep: rack %d, racks %d, zone %d, whole %d let nothing out", l.Rack, l.Racks, l.Zone, l.Whole)
-	case l.Rack > l.Zone || l.Zone > l.Whole:
-		r.Fail(at, "upkeep: rack %d, zone %d, whole %d: none may be over the next", l.Rack, l.Zone, l.Whole)
+	case limits.Whole < 1 || limits.Zone < 1 || limits.Rack < 1 && limits.Racks < 1:
+		r.Fail(node, "upkeep: rack %d, racks %d, zone %d, whole %d allow no machine to be out of service",
+			limits.Rack, limits.Racks, limits.Zone, limits.Whole)
+	case limits.Rack > limits.Zone || limits.Zone > limits.Whole:
+		r.Fail(node, "upkeep: rack %d, zone %d, whole %d: none may exceed the next", limits.Rack, limits.Zone, limits.Whole)
 	}
-	if cold := c.Service.WarmupTime; f.Times.WarmUpTime == 0 {
-		f.Times.WarmUpTime = max(cold, upkeep.Time(time.Second))
-	} else if f.Times.WarmUpTime < cold {
-		r.Fail(at, "upkeep: back %v is under the time that a cold server takes, %v", time.Duration(f.Times.WarmUpTime), time.Duration(cold))
+	if warmup := c.Service.WarmupTime; f.Times.WarmUpTime == 0 {
+		f.Times.WarmUpTime = max(warmup, upkeep.Time(time.Second))
+	} else if f.Times.WarmUpTime < warmup {
+		r.Fail(node, "upkeep: back %v is less than the warm-up time of a cold server, %v",
+			time.Duration(f.Times.WarmUpTime), time.Duration(warmup))
 	}
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -10,38 +10,39 @@
 	"tealledge/internal/sexp"
 )
 
-// Reader takes values out of expressions and gathers every mistake with its place.
+// Reader extracts values from expressions and collects the mistakes found, each with its position.
 type Reader struct{ errs []error }
 
-// most mistakes that are told.
-const mostErrors = 100
+// maxErrors limits the number of mistakes that are reported.
+const maxErrors = 100
 
-// Errors gives the mistakes found.
+// Errors returns the mistakes found.
 func (r *Reader) Errors() []error { return r.errs }
 
-// Fail notes a mistake at a place.
+// Fail records a mistake at the position of a node.
 func (r *Reader) Fail(n *sexp.Node, format string, args ...any) {
-	if len(r.errs) < mostErrors {
+	if len(r.errs) < maxErrors {
 		r.errs = append(r.errs, &sexp.Error{Pos: n.Pos, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
-// Fields reads a list of forms (NAME ...), each at most once, and calls what reads it.
-func (r *Reader) Fields(n *sexp.Node, required []string, known map[string]func(*sexp.Node)) {
+// Fields reads a list of forms (NAME ...) and calls the reader of each name. Each name may appear once; the required
+// names must appear.
+func (r *Reader) Fields(n *sexp.Node, required []string, readers map[string]func(*sexp.Node)) {
 	seen := map[string]bool{}
-	for _, f := range n.Args() {
-		name := f.Head()
-		read := known[name]
+	for _, form := range n.Args() {
+		name := form.Head()
+		read := readers[name]
 		switch {
 		case name == "":
-			r.Fail(f, "want a form (NAME ...) in %s", n.Head())
+			r.Fail(form, "want a form (NAME ...) in %s", n.Head())
 		case read == nil:
-			r.Fail(f, "%s knows no form %q", n.Head(), name)
+			r.Fail(form, "%s: unknown form %q", n.Head(), name)
 		case seen[name]:
-			r.Fail(f, "%q stands twice in %s", name, n.Head())
+			r.Fail(form, "%q appears twice in %s", name, n.Head())
 		default:
 			seen[name] = true
-			read(f)
+			read(form)
 		}
 	}
 	for _, name := range required {
@@ -51,8 +52,8 @@
 	}
 }
 
-// arg gives the one argument of a form.
-func (r *Reader) arg(n *sexp.Node) (string, bool) {
+// argument returns the only argument of a form.
+func (r *Reader) argument(n *sexp.Node) (string, bool) {
 	if len(n.List) != 2 || n.List[1].IsList {
 		r.Fail(n, "%s takes one value", n.Head())
 		return "", false
@@ -60,94 +61,94 @@
 	return n.List[1].Text, true
 }
 
-// Text reads a form's one value, which must not be empty.
+// Text reads the only value of a form, which must not be empty.
 func (r *Reader) Text(n *sexp.Node) string {
-	s, ok := r.arg(n)
-	if ok && s == "" {
+	text, ok := r.argument(n)
+	if ok && text == "" {
 		r.Fail(n.List[1], "%s must not be empty", n.Head())
 	}
-	return s
+	return text
 }
 
-// Name reads a name of letters, digits, '-', '_' and '.', 64 characters at most.
+// Name reads a name of at most 64 letters, digits, '-', '_' and '.'.
 func (r *Reader) Name(n *sexp.Node) string {
-	s, ok := r.arg(n)
+	name, ok := r.argument(n)
 	if !ok {
 		return ""
 	}
-	if s == "" || len(s) > 64 || slices.ContainsFunc([]rune(s), func(c rune) bool {
+	if name == "" || len(name) > 64 || slices.ContainsFunc([]rune(name), func(c rune) bool {
 		return !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_' || c == '.')
 	}) {
-		r.Fail(n.List[1], "%s: %q is no name: 1 to 64 letters, digits, '-', '_', '.'", n.Head(), s)
+		r.Fail(n.List[1], "%s: %q is not a name: 1 to 64 letters, digits, '-', '_', '.'", n.Head(), name)
 	}
-	return s
+	return name
 }
 
-// Address reads host:port.
+// Address reads an address of the form HOST:PORT.
 func (r *Reader) Address(n *sexp.Node) string {
-	s, ok := r.arg(n)
+	address, ok := r.argument(n)
 	if ok {
-		if _, _, err := net.SplitHostPort(s); err != nil {
+		if _, _, err := net.SplitHostPort(address); err != nil {
 			r.Fail(n.List[1], "%s: %v", n.Head(), err)
 		}
 	}
-	return s
+	return address
 }
 
-// Choice reads one of some words.
-func (r *Reader) Choice(n *sexp.Node, words ...string) string {
-	s, ok := r.arg(n)
-	if ok && !slices.Contains(words, s) {
-		r.Fail(n.List[1], "%s: %q is none of %v", n.Head(), s, words)
+// Choice reads a word that must be one of choices.
+func (r *Reader) Choice(n *sexp.Node, choices ...string) string {
+	word, ok := r.argument(n)
+	if ok && !slices.Contains(choices, word) {
+		r.Fail(n.List[1], "%s: %q is not one of %v", n.Head(), word, choices)
 	}
-	return s
+	return word
 }
 
-// Flag reads yes or no.
+// Flag reads yes or no and returns true for yes.
 func (r *Reader) Flag(n *sexp.Node) bool { return r.Choice(n, "yes", "no") == "yes" }
 
-// Int reads a whole number within bounds.
-func (r *Reader) Int(n *sexp.Node, least, most int) int {
-	s, ok := r.arg(n)
+// Int reads a whole number from minValue to maxValue.
+func (r *Reader) Int(n *sexp.Node, minValue, maxValue int) int {
+	text, ok := r.argument(n)
 	if !ok {
-		return least
+		return minValue
 	}
-	v, err := strconv.Atoi(s)
-	if err != nil || v < least || v > most {
-		r.Fail(n.List[1], "%s: %q is no whole number from %d to %d", n.Head(), s, least, most)
-		return least
+	value, err := strconv.Atoi(text)
+	if err != nil || value < minValue || value > maxValue {
+		r.Fail(n.List[1], "%s: %q is not a whole number from %d to %d", n.Head(), text, minValue, maxValue)
+		return minValue
 	}
-	return v
+	return value
 }
 
-// Num reads a number within bounds.
-func (r *Reader) Num(n *sexp.Node, least, most float64) float64 {
-	s, ok := r.arg(n)
+// Float reads a number from minValue to maxValue.
+func (r *Reader) Num(n *sexp.Node, minValue, maxValue float64) float64 {
+	text, ok := r.argument(n)
 	if !ok {
-		return least
+		return minValue
 	}
-	return r.num(n.List[1], s, least, most)
+	return r.parseFloat(n.List[1], text, minValue, maxValue)
 }
 
-func (r *Reader) num(at *sexp.Node, s string, least, most float64) float64 {
-	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || !(v >= least && v <= most) {
-		r.Fail(at, "%q is no number from %g to %g", s, least, most)
-		return least
+func (r *Reader) parseFloat(node *sexp.Node, text string, minValue, maxValue float64) float64 {
+	value, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(value >= minValue && value <= maxValue) {
+		r.Fail(node, "%q is not a number from %g to %g", text, minValue, maxValue)
+		return minValue
 	}
-	return v
+	return value
 }
 
-// Span reads a time such as 250ms, 1.5s or 2m.
-func (r *Reader) Span(n *sexp.Node, least, most time.Duration) time.Duration {
-	s, ok := r.arg(n)
+// Duration reads a duration such as 250ms, 1.5s or 2m, from minValue to maxValue.
+func (r *Reader) Span(n *sexp.Node, minValue, maxValue time.Duration) time.Duration {
+	text, ok := r.argument(n)
 	if !ok {
-		return least
+		return minValue
 	}
-	v, err := time.ParseDuration(s)
-	if err != nil || v < least || v > most {
-		r.Fail(n.List[1], "%s: %q is no time from %v to %v (such as 250ms or 1.5s)", n.Head(), s, least, most)
-		return least
+	value, err := time.ParseDuration(text)
+	if err != nil || value < minValue || value > maxValue {
+		r.Fail(n.List[1], "%s: %q is not a duration from %v to %v (such as 250ms or 1.5s)", n.Head(), text, minValue, maxValue)
+		return minValue
 	}
-	return v
+	return value
 }
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -7,172 +7,176 @@
 	"tealledge/policy"
 )
 
-// service reads what the decision module is told of the deployment.
-func (c *Config) service(r *Reader, n *sexp.Node) {
-	s := &c.Service
-	s.Racks, s.Cells, s.ExtraViewerCost, s.MaxAttempts, s.StallCost, s.RetryAfter = 1, 1, 1, 3, 5, true
-	num := func(to *float64, least, most float64) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = r.Num(n, least, most) }
+// readService reads the form (service ...): the settings of the decision module.
+func (c *Config) readService(r *Reader, n *sexp.Node) {
+	settings := &c.Service
+	settings.Racks, settings.Cells, settings.ExtraViewerCost, settings.MaxAttempts,
+		settings.StallCost, settings.RetryAfter = 1, 1, 1, 3, 5, true
+	number := func(target *float64, minValue, maxValue float64) func(*sexp.Node) {
+		return func(n *sexp.Node) { *target = r.Num(n, minValue, maxValue) }
 	}
-	span := func(to *policy.Time, most time.Duration) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = policy.Time(r.Span(n, 0, most)) }
+	duration := func(target *policy.Time, maxValue time.Duration) func(*sexp.Node) {
+		return func(n *sexp.Node) { *target = policy.Time(r.Span(n, 0, maxValue)) }
 	}
-	flag := func(to *bool) func(*sexp.Node) { return func(n *sexp.Node) { *to = r.Flag(n) } }
+	boolean := func(target *bool) func(*sexp.Node) { return func(n *sexp.Node) { *target = r.Flag(n) } }
 	r.Fields(n, []string{"ladder", "classes", "cells", "weight-kb", "rack-kb"}, map[string]func(*sexp.Node){
-		"ladder":  func(n *sexp.Node) { c.ladder(r, n) },
-		"classes": func(n *sexp.Node) { c.classes(r, n) },
-		"tenants": func(n *sexp.Node) { c.tenants(r, n) },
-		"kinds":   func(n *sexp.Node) { c.kinds(r, n) },
-		"zones":   func(n *sexp.Node) { c.Zones = words(r, n) },
+		"ladder":  func(n *sexp.Node) { c.readLadder(r, n) },
+		"classes": func(n *sexp.Node) { c.readClasses(r, n) },
+		"tenants": func(n *sexp.Node) { c.readTenants(r, n) },
+		"kinds":   func(n *sexp.Node) { c.readKinds(r, n) },
+		"zones":   func(n *sexp.Node) { c.Zones = readWords(r, n) },
 		"zone": func(n *sexp.Node) {
 			name := r.Text(n)
 			for i, z := range c.Zones {
 				if z == name {
-					s.Zone = i
+					settings.Zone = i
 					return
 				}
 			}
-			r.Fail(n, "zone %q is not among the zones named before it", name)
+			r.Fail(n, "zone %q is not among the zones defined before it", name)
 		},
 		"reports": func(n *sexp.Node) {
-			for _, w := range words(r, n) {
-				f, ok := map[string]policy.Field{"link": policy.FieldLink, "util": policy.FieldUtil, "uplink": policy.FieldUplink}[w]
+			for _, word := range readWords(r, n) {
+				field, ok := map[string]policy.Field{
+					"link": policy.FieldLink, "util": policy.FieldUtil, "uplink": policy.FieldUplink}[word]
 				if !ok {
-					r.Fail(n, "reports: %q is none of link, util, uplink", w)
+					r.Fail(n, "reports: %q is not one of link, util, uplink", word)
 				}
-				s.Fields = append(s.Fields, f)
+				settings.Fields = append(settings.Fields, field)
 			}
 		},
-		"cells":            func(n *sexp.Node) { s.Cells = r.Int(n, 1, 100_000) },
-		"racks":            func(n *sexp.Node) { s.Racks = r.Int(n, 1, 100_000) },
-		"fleet-kb":         num(&s.FleetKB, 0, 1e15),
-		"rack-kb":          num(&s.RackKB, 1, 1e15),
-		"weight-kb":        num(&s.WeightKB, 1, 1e15),
-		"join":             num(&s.ExtraViewerCost, 0, 1),
-		"full-from":        num(&s.FullThreshold, 0, 100),
-		"stall-cost":       num(&s.StallCost, 0, 1000),
-		"change-cost":      num(&s.ChangeCost, 0, 1000),
-		"over-share":       num(&s.OverShareWorth, 0, 1),
-		"price-move":       num(&s.PriceMove, 0, 1),
-		"price-probe":      num(&s.PriceProbe, 0, 1),
-		"price-cross":      num(&s.PriceCrossZone, 0, 10),
-		"late-fail":        num(&s.PriceLateFail, 0, 1),
-		"notes-late":       span(&s.NoteDelay, time.Minute),
-		"tell-every":       span(&s.NoteInterval, time.Hour),
-		"reports-inline":   flag(&s.InlineReports),
-		"may-probe":        flag(&s.MayProbe),
-		"max-attempts":     func(n *sexp.Node) { s.MaxAttempts = r.Int(n, 1, 100) },
-		"connect-wait":     span(&s.ConnectTimeout, 10*time.Second),
-		"retry-after-most": span(&s.MaxRetryAfter, 10*time.Minute),
-		"drain-grace":      span(&s.DrainGrace, time.Minute),
+		"cells":            func(n *sexp.Node) { settings.Cells = r.Int(n, 1, 100_000) },
+		"racks":            func(n *sexp.Node) { settings.Racks = r.Int(n, 1, 100_000) },
+		"fleet-kb":         number(&settings.FleetKB, 0, 1e15),
+		"rack-kb":          number(&settings.RackKB, 1, 1e15),
+		"weight-kb":        number(&settings.WeightKB, 1, 1e15),
+		"join":             number(&settings.ExtraViewerCost, 0, 1),
+		"full-from":        number(&settings.FullThreshold, 0, 100),
+		"stall-cost":       number(&settings.StallCost, 0, 1000),
+		"change-cost":      number(&settings.ChangeCost, 0, 1000),
+		"over-share":       number(&settings.OverShareWorth, 0, 1),
+		"price-move":       number(&settings.PriceMove, 0, 1),
+		"price-probe":      number(&settings.PriceProbe, 0, 1),
+		"price-cross":      number(&settings.PriceCrossZone, 0, 10),
+		"late-fail":        number(&settings.PriceLateFail, 0, 1),
+		"notes-late":       duration(&settings.NoteDelay, time.Minute),
+		"tell-every":       duration(&settings.NoteInterval, time.Hour),
+		"reports-inline":   boolean(&settings.InlineReports),
+		"may-probe":        boolean(&settings.MayProbe),
+		"max-attempts":     func(n *sexp.Node) { settings.MaxAttempts = r.Int(n, 1, 100) },
+		"connect-wait":     duration(&settings.ConnectTimeout, 10*time.Second),
+		"retry-after-most": duration(&settings.MaxRetryAfter, 10*time.Minute),
+		"drain-grace":      duration(&settings.DrainGrace, time.Minute),
 		"cold": func(n *sexp.Node) {
 			r.Fields(n, []string{"span", "from", "times", "over"}, map[string]func(*sexp.Node){
-				"span":  span(&s.WarmupTime, time.Hour),
-				"from":  num(&s.ColdCapacity, 0, 1),
-				"times": num(&s.OverloadFactor, 0, 100),
-				"over":  span(&s.OverloadWindow, time.Hour),
+				"span":  duration(&settings.WarmupTime, time.Hour),
+				"from":  number(&settings.ColdCapacity, 0, 1),
+				"times": number(&settings.OverloadFactor, 0, 100),
+				"over":  duration(&settings.OverloadWindow, time.Hour),
 			})
 		},
 		"budget": func(n *sexp.Node) {
-			s.RetriesLimited = true
+			settings.RetriesLimited = true
 			r.Fields(n, []string{"spare", "ratio", "span"}, map[string]func(*sexp.Node){
-				"spare": num(&s.SpareRetries, 0, 1e9),
-				"ratio": num(&s.RetryRatio, 0, 100),
-				"span":  span(&s.RetryWindow, time.Hour),
+				"spare": number(&settings.SpareRetries, 0, 1e9),
+				"ratio": number(&settings.RetryRatio, 0, 100),
+				"span":  duration(&settings.RetryWindow, time.Hour),
 			})
 		},
 	})
-	s.RetryAfter = s.MaxRetryAfter > 0
-	if s.ConnectTimeout == 0 {
-		s.ConnectTimeout = 250 * policy.Millisecond
+	settings.RetryAfter = settings.MaxRetryAfter > 0
+	if settings.ConnectTimeout == 0 {
+		settings.ConnectTimeout = 250 * policy.Millisecond
 	}
 }
 
-func words(r *Reader, n *sexp.Node) (out []string) {
+// readWords reads a form whose values are all words.
+func readWords(r *Reader, n *sexp.Node) (list []string) {
 	for _, a := range n.Args() {
 		if a.IsList || a.Text == "" {
-			r.Fail(a, "%s takes words", n.Head())
+			r.Fail(a, "%s: values must be words", n.Head())
 			continue
 		}
-		out = append(out, a.Text)
+		list = append(list, a.Text)
 	}
-	return out
+	return list
 }
 
-// ladder reads (rung KB-A-SECOND WORTH) forms, lowest first.
-func (c *Config) ladder(r *Reader, n *sexp.Node) {
-	s := &c.Service
-	for _, f := range n.Args() {
-		if f.Head() != "rung" || len(f.List) != 3 {
-			r.Fail(f, "want (rung KB-A-SECOND WORTH)")
+// readLadder reads forms (rung KB-A-SECOND WORTH), lowest rung first.
+func (c *Config) readLadder(r *Reader, n *sexp.Node) {
+	settings := &c.Service
+	for _, form := range n.Args() {
+		if form.Head() != "rung" || len(form.List) != 3 {
+			r.Fail(form, "want (rung KB-A-SECOND WORTH)")
 			continue
 		}
-		kb, worth := r.num(f.List[1], f.List[1].Text, 1, 1e9), r.num(f.List[2], f.List[2].Text, 0, 1)
-		if k := len(s.RungKB); k > 0 && (kb <= s.RungKB[k-1] || worth < s.RungWorth[k-1]) {
-			r.Fail(f, "rungs must rise")
+		kb, worth := r.parseFloat(form.List[1], form.List[1].Text, 1, 1e9), r.parseFloat(form.List[2], form.List[2].Text, 0, 1)
+		if count := len(settings.RungKB); count > 0 && (kb <= settings.RungKB[count-1] || worth < settings.RungWorth[count-1]) {
+			r.Fail(form, "rungs must be in rising order")
 		}
-		s.RungKB, s.RungWorth = append(s.RungKB, kb), append(s.RungWorth, worth)
+		settings.RungKB, settings.RungWorth = append(settings.RungKB, kb), append(settings.RungWorth, worth)
 	}
-	if len(s.RungKB) == 0 || len(s.RungKB) > 64 {
-		r.Fail(n, "a ladder has 1 to 64 rungs")
+	if len(settings.RungKB) == 0 || len(settings.RungKB) > 64 {
+		r.Fail(n, "a ladder must have 1 to 64 rungs")
 	}
 }
 
-// classes reads (class "NAME" ...) forms.
-func (c *Config) classes(r *Reader, n *sexp.Node) {
-	r.named(n, "class", &c.Classes, func(rest *sexp.Node) {
-		k := policy.Class{Worth: 1, Scale: 1, Top: -1}
-		r.Fields(rest, []string{"aim", "deadline"}, map[string]func(*sexp.Node){
-			"aim":      func(n *sexp.Node) { k.SetupTarget = policy.Time(r.Span(n, time.Millisecond, time.Minute)) },
-			"deadline": func(n *sexp.Node) { k.Deadline = policy.Time(r.Span(n, time.Millisecond, 10*time.Minute)) },
-			"effect":   func(n *sexp.Node) { k.Paid = r.Choice(n, "safe", "paid") == "paid" },
-			"worth":    func(n *sexp.Node) { k.Worth = r.Num(n, 0, 1e6) },
-			"scale":    func(n *sexp.Node) { k.Scale = r.Num(n, 0.001, 1000) },
-			"floor":    func(n *sexp.Node) { k.Floor = r.Int(n, 0, 63) },
-			"top":      func(n *sexp.Node) { k.Top = r.Int(n, 0, 63) },
-			"seats":    func(n *sexp.Node) { k.Seats = r.Int(n, 0, 1e9) },
-			"live":     func(n *sexp.Node) { k.Live = r.Flag(n) },
+// readClasses reads forms (class "NAME" ...).
+func (c *Config) readClasses(r *Reader, n *sexp.Node) {
+	r.readNamed(n, "class", &c.Classes, func(fields *sexp.Node) {
+		class := policy.Class{Worth: 1, Scale: 1, Top: -1}
+		r.Fields(fields, []string{"aim", "deadline"}, map[string]func(*sexp.Node){
+			"aim":      func(n *sexp.Node) { class.SetupTarget = policy.Time(r.Span(n, time.Millisecond, time.Minute)) },
+			"deadline": func(n *sexp.Node) { class.Deadline = policy.Time(r.Span(n, time.Millisecond, 10*time.Minute)) },
+			"effect":   func(n *sexp.Node) { class.Paid = r.Choice(n, "safe", "paid") == "paid" },
+			"worth":    func(n *sexp.Node) { class.Worth = r.Num(n, 0, 1e6) },
+			"scale":    func(n *sexp.Node) { class.Scale = r.Num(n, 0.001, 1000) },
+			"floor":    func(n *sexp.Node) { class.Floor = r.Int(n, 0, 63) },
+			"top":      func(n *sexp.Node) { class.Top = r.Int(n, 0, 63) },
+			"seats":    func(n *sexp.Node) { class.Seats = r.Int(n, 0, 1e9) },
+			"live":     func(n *sexp.Node) { class.Live = r.Flag(n) },
 		})
-		c.Service.Classes = append(c.Service.Classes, k)
+		c.Service.Classes = append(c.Service.Classes, class)
 	})
 	if len(c.Classes) == 0 {
-		r.Fail(n, "at least one (class ...) is needed")
+		r.Fail(n, "at least one (class ...) is required")
 	}
 }
 
-func (c *Config) tenants(r *Reader, n *sexp.Node) {
-	r.named(n, "tenant", &c.Tenants, func(rest *sexp.Node) {
-		var t policy.Tenant
-		r.Fields(rest, nil, map[string]func(*sexp.Node){
-			"per-second": func(n *sexp.Node) { t.PerSecond = r.Num(n, 0, 1e9) },
+func (c *Config) readTenants(r *Reader, n *sexp.Node) {
+	r.readNamed(n, "tenant", &c.Tenants, func(fields *sexp.Node) {
+		var tenant policy.Tenant
+		r.Fields(fields, nil, map[string]func(*sexp.Node){
+			"per-second": func(n *sexp.Node) { tenant.PerSecond = r.Num(n, 0, 1e9) },
 		})
-		c.Service.Tenants = append(c.Service.Tenants, t)
+		c.Service.Tenants = append(c.Service.Tenants, tenant)
 	})
 }
 
-func (c *Config) kinds(r *Reader, n *sexp.Node) {
-	r.named(n, "kind", &c.Kinds, func(rest *sexp.Node) {
+func (c *Config) readKinds(r *Reader, n *sexp.Node) {
+	r.readNamed(n, "kind", &c.Kinds, func(fields *sexp.Node) {
 		slots := 1.0
-		r.Fields(rest, []string{"slots"}, map[string]func(*sexp.Node){
+		r.Fields(fields, []string{"slots"}, map[string]func(*sexp.Node){
 			"slots": func(n *sexp.Node) { slots = r.Num(n, 1, 1e9) },
 		})
 		c.Service.KindSlots = append(c.Service.KindSlots, slots)
 	})
 }
 
-// named reads forms (WORD "NAME" ...) with names of their own.
-func (r *Reader) named(n *sexp.Node, word string, names *[]string, read func(rest *sexp.Node)) {
-	for _, f := range n.Args() {
-		if f.Head() != word || len(f.List) < 2 || f.List[1].IsList || f.List[1].Text == "" {
-			r.Fail(f, "want (%s \"NAME\" ...)", word)
+// readNamed reads forms (WORD "NAME" ...) with distinct names, appends the names to names, and passes the rest of each
+// form to read.
+func (r *Reader) readNamed(n *sexp.Node, word string, names *[]string, read func(fields *sexp.Node)) {
+	for _, form := range n.Args() {
+		if form.Head() != word || len(form.List) < 2 || form.List[1].IsList || form.List[1].Text == "" {
+			r.Fail(form, "want (%s \"NAME\" ...)", word)
 			continue
 		}
-		for _, have := range *names {
-			if have == f.List[1].Text {
-				r.Fail(f.List[1], "%s %q stands twice", word, have)
+		for _, existing := range *names {
+			if existing == form.List[1].Text {
+				r.Fail(form.List[1], "%s %q is defined twice", word, existing)
 			}
 		}
-		*names = append(*names, f.List[1].Text)
-		read(&sexp.Node{Pos: f.Pos, IsList: true, List: f.List[1:]})
+		*names = append(*names, form.List[1].Text)
+		read(&sexp.Node{Pos: form.Pos, IsList: true, List: form.List[1:]})
 	}
 }
