--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,6 +1,6 @@
-// Package sexp reads S-expressions with the place of each part, for settings and day scripts.
+// Package sexp parses S-expressions and records the position of each node. Settings files and day scripts use it.
 //
-// The form: lists in parentheses, atoms, strings in double quotes with the escapes \" \\ \n \t, comments from
+// The syntax has lists in parentheses, atoms, strings in double quotes with the escapes \" \\ \n \t, and comments from
 // ';' to the end of the line.
 package sexp
 
@@ -10,14 +10,14 @@
 	"unicode/utf8"
 )
 
-// Bounds of what is read.
+// Limits of the input.
 const (
 	MaxBytes = 4 << 20
 	MaxDepth = 32
 	MaxNodes = 400_000
 )
 
-// Pos is a place in a file; lines and columns count from 1, columns in characters.
+// Pos is a position in a file. Lines and columns count from 1; a column is a character, not a byte.
 type Pos struct {
 	File      string
 	Line, Col int
@@ -25,7 +25,7 @@
 
 func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
 
-// Error is a mistake at a place.
+// Error is a mistake in the input and its position.
 type Error struct {
 	Pos  Pos
 	Text string
@@ -33,7 +33,7 @@
 
 func (e *Error) Error() string { return e.Pos.String() + ": " + e.Text }
 
-// Node is a list (IsList) or an atom; Quoted atoms were written as strings.
+// Node is a list (IsList) or an atom. Quoted atoms were written as strings.
 type Node struct {
 	Pos    Pos
 	IsList bool
@@ -42,7 +42,7 @@
 	List   []*Node
 }
 
-// Head gives the first atom of a list, "" where there is none.
+// Head returns the text of the first item of a list, or "" if there is none or it is not an atom.
 func (n *Node) Head() string {
 	if n.IsList && len(n.List) > 0 && !n.List[0].IsList {
 		return n.List[0].Text
@@ -50,7 +50,7 @@
 	return ""
 }
 
-// Args gives what follows the first item of a list.
+// Args returns the items of a list after the first.
 func (n *Node) Args() []*Node {
 	if len(n.List) == 0 {
 		return nil
@@ -59,13 +59,13 @@
 }
 
 type reader struct {
-	text  string
-	at    int
-	pos   Pos
-	nodes int
+	text   string
+	offset int
+	pos    Pos
+	nodes  int
 }
 
-// Read gives the expressions of a text. The error is an *Error with its place.
+// Read parses the expressions of a text; file is used in positions only. The error is an *Error.
 func Read(file, text string) ([]*Node, error) {
 	r := &reader{text: text, pos: Pos{file, 1, 1}}
 	if len(text) > MaxBytes {
@@ -74,23 +74,24 @@
 	if !utf8.ValidString(text) {
 		return nil, &Error{r.pos, "not UTF-8"}
 	}
-	var out []*Node
+	var list []*Node
 	for {
-		r.skip()
-		if r.at == len(r.text) {
-			return out, nil
+		r.skipSpace()
+		if r.offset == len(r.text) {
+			return list, nil
 		}
-		n, err := r.node(0)
+		n, err := r.readNode(0)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, n)
+		list = append(list, n)
 	}
 }
 
-func (r *reader) step() (c rune) {
-	c, size := utf8.DecodeRuneInString(r.text[r.at:])
-	r.at += size
+// next consumes one character and advances the position.
+func (r *reader) next() (c rune) {
+	c, size := utf8.DecodeRuneInString(r.text[r.offset:])
+	r.offset += size
 	if c == '\n' {
 		r.pos.Line, r.pos.Col = r.pos.Line+1, 1
 	} else {
@@ -99,83 +100,86 @@
 	return c
 }
 
-func (r *reader) skip() {
-	for r.at < len(r.text) {
-		switch c := r.text[r.at]; {
+// skipSpace skips white space and comments.
+func (r *reader) skipSpace() {
+	for r.offset < len(r.text) {
+		switch c := r.text[r.offset]; {
 		case c == ';':
-			for r.at < len(r.text) && r.text[r.at] != '\n' {
-				r.step()
+			for r.offset < len(r.text) && r.text[r.offset] != '\n' {
+				r.next()
 			}
 		case strings.IndexByte(" \t\r\n", c) >= 0:
-			r.step()
+			r.next()
 		default:
 			return
 		}
 	}
 }
 
-func (r *reader) node(depth int) (*Node, error) {
+// readNode reads the expression at the current offset, which must not be the end of the text.
+func (r *reader) readNode(depth int) (*Node, error) {
 	n := &Node{Pos: r.pos}
 	if r.nodes++; r.nodes > MaxNodes {
-		return nil, &Error{r.pos, fmt.Sprintf("over %d expressions", MaxNodes)}
+		return nil, &Error{r.pos, fmt.Sprintf("more than %d expressions", MaxNodes)}
 	}
-	switch r.text[r.at] {
+	switch r.text[r.offset] {
 	case '(':
 		if depth == MaxDepth {
-			return nil, &Error{r.pos, fmt.Sprintf("nested over %d deep", MaxDepth)}
+			return nil, &Error{r.pos, fmt.Sprintf("nested more than %d levels deep", MaxDepth)}
 		}
 		n.IsList = true
-		r.step()
+		r.next()
 		for {
-			r.skip()
-			if r.at == len(r.text) {
+			r.skipSpace()
+			if r.offset == len(r.text) {
 				return nil, &Error{n.Pos, "'(' is not closed"}
 			}
-			if r.text[r.at] == ')' {
-				r.step()
+			if r.text[r.offset] == ')' {
+				r.next()
 				return n, nil
 			}
-			item, err := r.node(depth + 1)
+			item, err := r.readNode(depth + 1)
 			if err != nil {
 				return nil, err
 			}
 			n.List = append(n.List, item)
 		}
 	case ')':
-		return nil, &Error{r.pos, "')' closes nothing"}
+		return nil, &Error{r.pos, "')' without an open '('"}
 	case '"':
-		return n, r.quoted(n)
+		return n, r.readString(n)
 	}
-	from := r.at
-	for r.at < len(r.text) && strings.IndexByte(" \t\r\n();\"", r.text[r.at]) < 0 {
-		r.step()
+	start := r.offset
+	for r.offset < len(r.text) && strings.IndexByte(" \t\r\n();\"", r.text[r.offset]) < 0 {
+		r.next()
 	}
-	n.Text = r.text[from:r.at]
+	n.Text = r.text[start:r.offset]
 	return n, nil
 }
 
-func (r *reader) quoted(n *Node) error {
+// readString reads a quoted string into n.
+func (r *reader) readString(n *Node) error {
 	n.Quoted = true
-	var b strings.Builder
-	r.step()
-	for r.at < len(r.text) {
-		at := r.pos
-		switch c := r.step(); c {
+	var value strings.Builder
+	r.next()
+	for r.offset < len(r.text) {
+		start := r.pos
+		switch c := r.next(); c {
 		case '"':
-			n.Text = b.String()
+			n.Text = value.String()
 			return nil
 		case '\\':
-			if r.at == len(r.text) {
+			if r.offset == len(r.text) {
 				return &Error{n.Pos, "string is not closed"}
 			}
-			c = r.step()
+			c = r.next()
 			i := strings.IndexRune(`"\nt`, c)
 			if i < 0 {
-				return &Error{at, fmt.Sprintf("unknown escape \\%c", c)}
+				return &Error{start, fmt.Sprintf("unknown escape \\%c", c)}
 			}
-			b.WriteByte("\"\\\n\t"[i])
+			value.WriteByte("\"\\\n\t"[i])
 		default:
-			b.WriteRune(c)
+			value.WriteRune(c)
 		}
 	}
 	return &Error{n.Pos, "string is not closed"}
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPlacesAndValues(t *testing.T) {
+func TestReadsValuesWithPositions(t *testing.T) {
 	nodes, err := Read("f", "; c\n(a \"b \\\"é\\n\" (c))\n  d")
 	if err != nil || len(nodes) != 2 {
 		t.Fatal(nodes, err)
@@ -16,14 +16,14 @@
 	}
 }
 
-func TestMistakesNameTheirPlace(t *testing.T) {
+func TestErrorsHavePositions(t *testing.T) {
 	for in, want := range map[string]string{
 		"(a\n  (b)":                         "f:1:1: '(' is not closed",
-		"a\n )":                             "f:2:2: ')' closes nothing",
+		"a\n )":                             "f:2:2: ')' without an open '('",
 		"(x \"abc":                          "f:1:4: string is not closed",
 		"\"a\\q\"":                          "f:1:3: unknown escape \\q",
 		"\xff":                              "f:1:1: not UTF-8",
-		strings.Repeat("(", MaxDepth+1):     "f:1:33: nested over 32 deep",
+		strings.Repeat("(", MaxDepth+1):     "f:1:33: nested more than 32 levels deep",
 		strings.Repeat(" ", MaxBytes) + "a": "f:1:1: 4194305 bytes, 4194304 at most",
 	} {
 		if _, err := Read("f", in); err == nil || err.Error() != want {
@@ -36,7 +36,7 @@
 	f.Add("(a \"b\" ; c\n (d))")
 	f.Fuzz(func(t *testing.T, in string) {
 		if _, err := Read("f", in); err != nil && !strings.HasPrefix(err.Error(), "f:") {
-			t.Fatal("no place:", err)
+			t.Fatal("error without a position:", err)
 		}
 	})
 }
