--- a/internal/jsonrpc/jsonrpc.go
+++ b/internal/jsonrpc/jsonrpc.go
@@ -1,4 +1,4 @@
-// Package jsonrpc reads and writes the messages of JSON-RPC 2.0, over text frames. It does no I/O.
+// Package jsonrpc decodes and encodes JSON-RPC 2.0 messages, one per text frame. It does no I/O.
 package jsonrpc
 
 import (
@@ -17,20 +17,21 @@
 	InternalError  = -32603
 )
 
-// MaxBatch bounds the requests of one batch (section 6).
+// MaxBatch limits the requests of one batch (section 6).
 const MaxBatch = 100
 
+// maxDepth limits the nesting of arrays and objects.
 const maxDepth = 32
 
-// Request is one call. ID is the raw JSON of its id; nil marks a notification, which is never answered.
+// Request is one request. ID is the raw JSON of its id; nil marks a notification, which gets no response.
 type Request struct {
 	Method string
 	Params json.RawMessage
 	ID     json.RawMessage
-	Bad    *Error // it is no valid request; the answer to give
+	Bad    *Error // set if the request is invalid; the error to respond with
 }
 
-// Error is an error object.
+// Error is the error object of a response (section 5.1).
 type Error struct {
 	Code    int    `json:"code"`
 	Message string `json:"message"`
@@ -39,15 +40,16 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%s (%d)", e.Message, e.Code) }
 
-// Parse reads a message: one request, or a batch. An error answers the message as a whole, with id null.
-func Parse(text []byte) (list []Request, batch bool, bad *Error) {
+// Parse decodes a message, which is one request or a batch. If failure is not nil, it is the response to the whole
+// message, with id null.
+func Parse(text []byte) (requests []Request, batch bool, failure *Error) {
 	text = bytes.TrimLeft(text, " \t\r\n")
-	if err := depth(text); err != nil {
+	if err := checkDepth(text); err != nil {
 		return nil, false, &Error{Code: ParseError, Message: "parse error: " + err.Error()}
 	}
 	if len(text) == 0 || text[0] != '[' {
-		r, broken := parseOne(text)
-		if broken {
+		r, notJSON := parseRequest(text)
+		if notJSON {
 			return nil, false, &Error{Code: ParseError, Message: "parse error"}
 		}
 		return []Request{r}, false, nil
@@ -63,15 +65,15 @@
 		return nil, false, &Error{Code: InvalidRequest, Message: fmt.Sprintf("a batch holds %d requests at most", MaxBatch)}
 	}
 	for _, p := range parts {
-		r, _ := parseOne(p) // the batch was read whole: none is broken
-		list = append(list, r)
+		r, _ := parseRequest(p) // the whole batch was decoded, so each part is valid JSON
+		requests = append(requests, r)
 	}
-	return list, true, nil
+	return requests, true, nil
 }
 
-// depth refuses deep nesting before the decoder walks into it.
-func depth(text []byte) error {
-	level, quoted := 0, false
+// checkDepth rejects deep nesting before the decoder recurses into it.
+func checkDepth(text []byte) error {
+	depth, quoted := 0, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
 		case quoted && c == '\\':
@@ -80,210 +82,214 @@
 			quoted = !quoted
 		case quoted:
 		case c == '[' || c == '{':
-			if level++; level > maxDepth {
+			if depth++; depth > maxDepth {
 				return errors.New("nested too deep")
 			}
 		case c == ']' || c == '}':
-			level--
+			depth--
 		}
 	}
 	return nil
 }
 
-// parseOne reads one request; broken tells that it is no JSON at all.
-func parseOne(text []byte) (r Request, broken bool) {
-	bad := func(id json.RawMessage, why string) (Request, bool) {
+// parseRequest decodes one request. notJSON reports that the text is not valid JSON.
+func parseRequest(text []byte) (request Request, notJSON bool) {
+	invalid := func(id json.RawMessage, reason string) (Request, bool) {
 		if id == nil {
 			id = json.RawMessage("null")
 		}
-		return Request{ID: id, Bad: &Error{Code: InvalidRequest, Message: why}}, false
+		return Request{ID: id, Bad: &Error{Code: InvalidRequest, Message: reason}}, false
 	}
-	var m struct {
+	var message struct {
 		Version json.RawMessage `json:"jsonrpc"`
 		Method  json.RawMessage `json:"method"`
 		Params  json.RawMessage `json:"params"`
 		ID      json.RawMessage `json:"id"`
 	}
-	if err := json.Unmarshal(text, &m); err != nil {
+	if err := json.Unmarshal(text, &message); err != nil {
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) || len(text) == 0 {
-			return r, true
+			return request, true
 		}
-		return bad(nil, "invalid request")
+		return invalid(nil, "invalid request")
 	}
-	if len(m.ID) > 0 {
-		if c := m.ID[0]; c != '"' && c != '-' && (c < '0' || c > '9') && string(m.ID) != "null" {
-			return bad(nil, "id must be a string, a number or null")
+	if len(message.ID) > 0 {
+		if c := message.ID[0]; c != '"' && c != '-' && (c < '0' || c > '9') && string(message.ID) != "null" {
+			return invalid(nil, "id must be a string, a number or null")
 		}
-		if len(m.ID) > 256 {
-			return bad(nil, "id over 256 bytes")
+		if len(message.ID) > 256 {
+			return invalid(nil, "id over 256 bytes")
 		}
-	} else if bytes.Contains(text, []byte(`"id"`)) && m.ID == nil && hasNullID(text) {
-		m.ID = json.RawMessage("null")
+	} else if bytes.Contains(text, []byte(`"id"`)) && message.ID == nil && hasNullID(text) {
+		message.ID = json.RawMessage("null")
 	}
-	if string(m.Version) != `"2.0"` {
-		return bad(m.ID, `jsonrpc must be "2.0"`)
+	if string(message.Version) != `"2.0"` {
+		return invalid(message.ID, `jsonrpc must be "2.0"`)
 	}
-	if len(m.Method) < 2 || m.Method[0] != '"' || json.Unmarshal(m.Method, &r.Method) != nil {
-		return bad(m.ID, "method must be a string")
+	if len(message.Method) < 2 || message.Method[0] != '"' || json.Unmarshal(message.Method, &request.Method) != nil {
+		return invalid(message.ID, "method must be a string")
 	}
-	if len(m.Params) > 0 && m.Params[0] != '{' && m.Params[0] != '[' {
-		return bad(m.ID, "params must be an object or an array")
+	if len(message.Params) > 0 && message.Params[0] != '{' && message.Params[0] != '[' {
+		return invalid(message.ID, "params must be an object or an array")
 	}
-	r.Params, r.ID = m.Params, m.ID
-	return r, false
+	request.Params, request.ID = message.Params, message.ID
+	return request, false
 }
 
-// hasNullID tells an id of null from none: the decoder reads both as nil.
+// hasNullID reports whether a request has an id. The decoder returns nil for both an absent id and an id of null.
 func hasNullID(text []byte) bool {
-	var m map[string]json.RawMessage
-	if json.Unmarshal(text, &m) != nil {
+	var message map[string]json.RawMessage
+	if json.Unmarshal(text, &message) != nil {
 		return false
 	}
-	_, ok := m["id"]
+	_, ok := message["id"]
 	return ok
 }
 
-// Result writes the answer to a request.
+// Result encodes the response to a successful request.
 func Result(id json.RawMessage, result any) []byte {
-	b, err := json.Marshal(result)
+	body, err := json.Marshal(result)
 	if err != nil {
 		return Failure(id, &Error{Code: InternalError, Message: "internal error"})
 	}
-	out := make([]byte, 0, len(b)+len(id)+40)
+	out := make([]byte, 0, len(body)+len(id)+40)
 	out = append(out, `{"jsonrpc":"2.0","result":`...)
-	out = append(out, b...)
+	out = append(out, body...)
 	out = append(out, `,"id":`...)
 	return append(append(out, id...), '}')
 }
 
-// Failure writes an error as the answer; a nil id is written as null.
+// Failure encodes an error response; a nil id is encoded as null.
 func Failure(id json.RawMessage, e *Error) []byte {
 	if len(id) == 0 {
 		id = json.RawMessage("null")
 	}
-	b, err := json.Marshal(e)
+	body, err := json.Marshal(e)
 	if err != nil {
-		b = []byte(`{"code":-32603,"message":"internal error"}`)
+		body = []byte(`{"code":-32603,"message":"internal error"}`)
 	}
-	out := append([]byte(`{"jsonrpc":"2.0","error":`), b...)
+	out := append([]byte(`{"jsonrpc":"2.0","error":`), body...)
 	out = append(out, `,"id":`...)
 	return append(append(out, id...), '}')
 }
 
-// Notify writes a notification.
+// Notify encodes a notification.
 func Notify(method string, params any) []byte {
-	b, err := json.Marshal(params)
+	body, err := json.Marshal(params)
 	if err != nil {
-		b = []byte("{}")
+		body = []byte("{}")
 	}
-	return fmt.Appendf(nil, `{"jsonrpc":"2.0","method":%q,"params":%s}`, method, b)
+	return fmt.Appendf(nil, `{"jsonrpc":"2.0","method":%q,"params":%s}`, method, body)
 }
 
-// Join writes answers as one batch.
-func Join(list [][]byte) []byte {
-	return append(append([]byte{'['}, bytes.Join(list, []byte{','})...), ']')
+// Join combines responses into one batch.
+func Join(responses [][]byte) []byte {
+	return append(append([]byte{'['}, bytes.Join(responses, []byte{','})...), ']')
 }
 
-// Peek finds, without decoding, what a front must know to turn a plain request away: its method, the raw id, and two
-// string parameters. It is for messages as clients write them; ok is false for anything else (a batch, escapes in
-// what is looked for, another form), which is then parsed in full. It never reads more into a message than Parse does.
-func Peek(text []byte, first, second string) (method, id, a, b []byte, ok bool) {
+// Peek extracts, without decoding, the parts of a simple request that a front needs to refuse it: its method, its raw
+// id, and two string parameters. It handles the form that clients usually send. For anything else (a batch, escapes in
+// a string, another form) ok is false, and the caller must use Parse. Peek accepts no message that Parse rejects,
+// and extracts the same values.
+func Peek(text []byte, firstParam, secondParam string) (method, id, firstValue, secondValue []byte, ok bool) {
 	s := scanner{text: text}
-	if !s.eat('{') {
+	if !s.accept('{') {
 		return
 	}
 	version := false
 	for {
-		key, good := s.str()
-		if !good || !s.eat(':') {
+		key, valid := s.readString()
+		if !valid || !s.accept(':') {
 			return nil, nil, nil, nil, false
 		}
 		switch string(key) {
 		case "jsonrpc":
-			v, good := s.str()
-			if version = good && string(v) == "2.0"; !version {
+			v, valid := s.readString()
+			if version = valid && string(v) == "2.0"; !version {
 				return nil, nil, nil, nil, false
 			}
 		case "method":
-			if method, good = s.str(); !good {
+			if method, valid = s.readString(); !valid {
 				return nil, nil, nil, nil, false
 			}
 		case "id":
-			if id, good = s.scalar(); !good || len(id) > 256 {
+			if id, valid = s.readScalar(); !valid || len(id) > 256 {
 				return nil, nil, nil, nil, false
 			}
 		case "params":
-			if !s.eat('{') {
+			if !s.accept('{') {
 				return nil, nil, nil, nil, false
 			}
-			for !s.eat('}') {
-				key, good := s.str()
-				if !good || !s.eat(':') {
+			for !s.accept('}') {
+				key, valid := s.readString()
+				if !valid || !s.accept(':') {
 					return nil, nil, nil, nil, false
 				}
-				raw, good := s.scalar()
-				if !good {
+				raw, valid := s.readScalar()
+				if !valid {
 					return nil, nil, nil, nil, false
 				}
-				if string(key) == first {
-					a = bytes.Trim(raw, `"`)
-				} else if string(key) == second {
-					b = bytes.Trim(raw, `"`)
+				if string(key) == firstParam {
+					firstValue = bytes.Trim(raw, `"`)
+				} else if string(key) == secondParam {
+					secondValue = bytes.Trim(raw, `"`)
 				}
-				if !s.eat(',') && !s.see('}') {
+				if !s.accept(',') && !s.nextIs('}') {
 					return nil, nil, nil, nil, false
 				}
 			}
 		default:
 			return nil, nil, nil, nil, false
 		}
-		if s.eat(',') {
+		if s.accept(',') {
 			continue
 		}
-		ok = s.eat('}') && s.end() && version && len(id) > 0 && len(method) > 0
-		return method, id, a, b, ok
+		ok = s.accept('}') && s.atEnd() && version && len(id) > 0 && len(method) > 0
+		return method, id, firstValue, secondValue, ok
 	}
 }
 
-// scanner walks over plain JSON.
+// scanner scans simple JSON text without decoding it.
 type scanner struct {
-	text []byte
-	at   int
+	text   []byte
+	offset int
 }
 
-func (s *scanner) space() {
-	for s.at < len(s.text) && (s.text[s.at] == ' ' || s.text[s.at] == '\n' || s.text[s.at] == '\t' || s.text[s.at] == '\r') {
-		s.at++
+func (s *scanner) skipSpace() {
+	for s.offset < len(s.text) && (s.text[s.offset] == ' ' || s.text[s.offset] == '\n' ||
+		s.text[s.offset] == '\t' || s.text[s.offset] == '\r') {
+		s.offset++
 	}
 }
 
-func (s *scanner) see(c byte) bool {
-	s.space()
-	return s.at < len(s.text) && s.text[s.at] == c
+// nextIs reports whether the next character after white space is c.
+func (s *scanner) nextIs(c byte) bool {
+	s.skipSpace()
+	return s.offset < len(s.text) && s.text[s.offset] == c
 }
 
-func (s *scanner) eat(c byte) bool {
-	if s.see(c) {
-		s.at++
+// accept consumes the next character if it is c.
+func (s *scanner) accept(c byte) bool {
+	if s.nextIs(c) {
+		s.offset++
 		return true
 	}
 	return false
 }
 
-func (s *scanner) end() bool { s.space(); return s.at == len(s.text) }
+func (s *scanner) atEnd() bool { s.skipSpace(); return s.offset == len(s.text) }
 
-// str reads a string without escapes.
-func (s *scanner) str() ([]byte, bool) {
-	if !s.eat('"') {
+// readString reads a string without escapes and returns its contents.
+func (s *scanner) readString() ([]byte, bool) {
+	if !s.accept('"') {
 		return nil, false
 	}
-	from := s.at
-	for ; s.at < len(s.text); s.at++ {
-		switch c := s.text[s.at]; {
+	start := s.offset
+	for ; s.offset < len(s.text); s.offset++ {
+		switch c := s.text[s.offset]; {
 		case c == '"':
-			s.at++
-			return s.text[from : s.at-1], true
+			s.offset++
+			return s.text[start : s.offset-1], true
 		case c == '\\' || c < ' ':
 			return nil, false
 		}
@@ -291,17 +297,17 @@
 	return nil, false
 }
 
-// scalar reads a string, number or word, as written.
-func (s *scanner) scalar() ([]byte, bool) {
-	s.space()
-	from := s.at
-	if s.see('"') {
-		_, ok := s.str()
-		return s.text[from:s.at], ok
+// readScalar reads a string, a number or a literal and returns it as written, quotes included.
+func (s *scanner) readScalar() ([]byte, bool) {
+	s.skipSpace()
+	start := s.offset
+	if s.nextIs('"') {
+		_, ok := s.readString()
+		return s.text[start:s.offset], ok
 	}
-	for s.at < len(s.text) && s.text[s.at] != ',' && s.text[s.at] != '}' && s.text[s.at] > ' ' {
-		s.at++
+	for s.offset < len(s.text) && s.text[s.offset] != ',' && s.text[s.offset] != '}' && s.text[s.offset] > ' ' {
+		s.offset++
 	}
-	word := s.text[from:s.at]
+	word := s.text[start:s.offset]
 	return word, len(word) > 0 && json.Valid(word) && word[0] != '[' && word[0] != '{'
 }
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -6,32 +6,32 @@
 	"testing"
 )
 
-// TestRequests follows JSON-RPC 2.0 sections 4 to 6.
-func TestRequests(t *testing.T) {
+// The cases follow JSON-RPC 2.0 sections 4 to 6.
+func TestParsesAndRejectsRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		in     string
 		method string
-		id     string // "-": a notification
-		code   int    // of the one request, or of the message
+		id     string // "-": notification
+		code   int    // error code of the request or of the whole message
 	}{
-		"call":                    {`{"jsonrpc":"2.0","method":"a","params":{"x":1},"id":7}`, "a", "7", 0},
-		"string id":               {`{"jsonrpc":"2.0","method":"a","id":"q"}`, "a", `"q"`, 0},
-		"null id is an id":        {`{"jsonrpc":"2.0","method":"a","id":null}`, "a", "null", 0},
-		"notification":            {`{"jsonrpc":"2.0","method":"a"}`, "a", "-", 0},
-		"no version":              {`{"method":"a","id":1}`, "", "1", InvalidRequest},
-		"version 1":               {`{"jsonrpc":"1.0","method":"a","id":1}`, "", "1", InvalidRequest},
-		"method a number":         {`{"jsonrpc":"2.0","method":1,"id":1}`, "", "1", InvalidRequest},
-		"no method":               {`{"jsonrpc":"2.0","id":1}`, "", "1", InvalidRequest},
-		"params a string":         {`{"jsonrpc":"2.0","method":"a","params":"x","id":1}`, "", "1", InvalidRequest},
-		"id an object":            {`{"jsonrpc":"2.0","method":"a","id":{}}`, "", "null", InvalidRequest},
-		"not an object":           {`17`, "", "null", InvalidRequest},
-		"not json":                {`{"jsonrpc":`, "", "", ParseError},
-		"empty":                   {``, "", "", ParseError},
-		"empty batch":             {`[]`, "", "", InvalidRequest},
-		"batch not json":          {`[{},`, "", "", ParseError},
-		"deep":                    {strings.Repeat("[", 1000), "", "", ParseError},
-		"brackets in a string":    {`{"jsonrpc":"2.0","method":"` + strings.Repeat("[", 40) + `","id":1}`, strings.Repeat("[", 40), "1", 0},
-		"oversized id is not fed": {`{"jsonrpc":"2.0","method":"a","id":"` + strings.Repeat("x", 300) + `"}`, "", "null", InvalidRequest},
+		"call":                 {`{"jsonrpc":"2.0","method":"a","params":{"x":1},"id":7}`, "a", "7", 0},
+		"string id":            {`{"jsonrpc":"2.0","method":"a","id":"q"}`, "a", `"q"`, 0},
+		"null id is an id":     {`{"jsonrpc":"2.0","method":"a","id":null}`, "a", "null", 0},
+		"notification":         {`{"jsonrpc":"2.0","method":"a"}`, "a", "-", 0},
+		"no version":           {`{"method":"a","id":1}`, "", "1", InvalidRequest},
+		"version 1":            {`{"jsonrpc":"1.0","method":"a","id":1}`, "", "1", InvalidRequest},
+		"method a number":      {`{"jsonrpc":"2.0","method":1,"id":1}`, "", "1", InvalidRequest},
+		"no method":            {`{"jsonrpc":"2.0","id":1}`, "", "1", InvalidRequest},
+		"params a string":      {`{"jsonrpc":"2.0","method":"a","params":"x","id":1}`, "", "1", InvalidRequest},
+		"id an object":         {`{"jsonrpc":"2.0","method":"a","id":{}}`, "", "null", InvalidRequest},
+		"not an object":        {`17`, "", "null", InvalidRequest},
+		"not json":             {`{"jsonrpc":`, "", "", ParseError},
+		"empty":                {``, "", "", ParseError},
+		"empty batch":          {`[]`, "", "", InvalidRequest},
+		"batch not json":       {`[{},`, "", "", ParseError},
+		"deep":                 {strings.Repeat("[", 1000), "", "", ParseError},
+		"brackets in a string": {`{"jsonrpc":"2.0","method":"` + strings.Repeat("[", 40) + `","id":1}`, strings.Repeat("[", 40), "1", 0},
+		"oversized id":         {`{"jsonrpc":"2.0","method":"a","id":"` + strings.Repeat("x", 300) + `"}`, "", "null", InvalidRequest},
 	} {
 		list, _, bad := Parse([]byte(c.in))
 		if bad != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestBatches(t *testing.T) {
+func TestParsesAndJoinsBatches(t *testing.T) {
 	list, batch, bad := Parse([]byte(`[{"jsonrpc":"2.0","method":"a","id":1},1]`))
 	if bad != nil || !batch || len(list) != 2 || list[1].Bad == nil {
 		t.Fatal(list, batch, bad)
@@ -74,13 +74,13 @@
 				t.Fatalf("id %q", r.ID)
 			}
 			if !json.Valid(Failure(r.ID, &Error{Code: 1})) {
-				t.Fatal("answer is no JSON")
+				t.Fatal("the response is not valid JSON")
 			}
 		}
 	})
 }
 
-func TestPeekSeesWhatParseSees(t *testing.T) {
+func TestPeekAcceptsOnlySimpleRequests(t *testing.T) {
 	m, id, a, b, ok := Peek([]byte(`{"jsonrpc":"2.0", "method":"session.open","params":{"class":"x","top":3,"tenant":"y"},"id":"q 1"}`), "class", "tenant")
 	if !ok || string(m) != "session.open" || string(id) != `"q 1"` || string(a) != "x" || string(b) != "y" {
 		t.Fatal(string(m), string(id), string(a), string(b), ok)
@@ -89,7 +89,7 @@
 		`{"jsonrpc":"2.0","method":"a","id":[1]}`, `{"jsonrpc":"2.0","method":"a","id":1}x`, `{"jsonrpc":"2.0","method":"a","params":{"class":{}},"id":1}`,
 		`{"jsonrpc":"2.0","method":"a","id":1`, `{"jsonrpc":"2.0","method":"a","id":1,}`, `{"jsonrpc":"2.0","method":"a","id":nonsense}`} {
 		if _, _, _, _, ok := Peek([]byte(in), "class", "tenant"); ok {
-			t.Errorf("%s taken", in)
+			t.Errorf("%s was accepted", in)
 		}
 	}
 }
