--- a/internal/wsock/wsock.go
+++ b/internal/wsock/wsock.go
@@ -1,6 +1,6 @@
-// Package wsock is the server's side of RFC 6455 without I/O: bytes in, messages and bytes to write out. The frame
-// and handshake rules are those of gobwas/ws; this package adds what a server must hold over a connection's life:
-// reassembly, bounds, UTF-8, and the close handshake.
+// Package wsock implements the server side of WebSocket (RFC 6455) without I/O: it takes the bytes read and returns
+// messages and bytes to write. gobwas/ws checks frame headers and the opening handshake. This package adds the state of
+// a connection: reassembly of fragments, size limits, UTF-8 checks, and the close handshake.
 package wsock
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/gobwas/ws"
 )
 
-// MaxHandshake bounds the bytes of the opening handshake.
+// MaxHandshakeBytes limits the size of the opening handshake.
 const MaxHandshake = 8 << 10
 
 // Close codes (RFC 6455 section 7.4.1).
@@ -29,122 +29,126 @@
 	CloseTooBig      = 1009
 )
 
-// Kind of a thing that came in.
+// Kind is the kind of an Event.
 type Kind uint8
 
-// What may come in.
+// Kinds of events.
 const (
-	Text  Kind = iota // a whole text message
-	Ping              // answered already, in Out
-	Pong              // the peer lives
-	Close             // the peer closes; answered already
+	Text  Kind = iota // a complete text message
+	Ping              // the pong is already in Out
+	Pong              // the peer responded to a ping
+	Close             // the peer sent a close frame; the reply is already in Out
 )
 
-// In is something that came in.
-type In struct {
+// Event is a message or a control frame received from the peer.
+type Event struct {
 	Kind Kind
 	Data []byte
 }
 
 // Conn is the state of one connection.
 type Conn struct {
-	most    int // bytes of a message
-	path    string
-	buf     []byte
-	open    bool
-	closed  bool // no further frame is taken
-	text    []byte
-	partial bool // a fragmented message is under way
-	Out     []byte
+	maxMessageBytes int // limit of the bytes of a message
+	path            string
+	buf             []byte
+	handshakeDone   bool
+	closed          bool // no further input is accepted
+	message         []byte
+	fragmented      bool // a fragmented message is incomplete
+	Out             []byte
 }
 
-// New makes the state of a fresh connection that takes the handshake at a path and messages up to most bytes.
-func New(path string, most int) *Conn { return &Conn{path: path, most: most} }
+// New returns the state of a new connection. It accepts the handshake at path only, and messages of at most
+// maxMessageBytes.
+func New(path string, maxMessageBytes int) *Conn {
+	return &Conn{path: path, maxMessageBytes: maxMessageBytes}
+}
 
-// Open tells whether the handshake is done; Closed, whether the connection is to be closed once Out is written.
-func (c *Conn) Open() bool { return c.open }
+// HandshakeDone reports whether the opening handshake has succeeded.
+func (c *Conn) HandshakeDone() bool { return c.handshakeDone }
 
-// Closed tells whether the connection is to be closed once Out is written.
+// Closed reports whether the connection must be closed once Out is written.
 func (c *Conn) Closed() bool { return c.closed }
 
-// Feed takes bytes as read and gives what came in whole. Out gathers what is to be written.
-func (c *Conn) Feed(b []byte) (list []In) {
+// Feed takes the bytes read from the connection and returns the complete events in them. It appends the bytes to write
+// to Out.
+func (c *Conn) Feed(b []byte) (events []Event) {
 	if c.closed {
 		return nil
 	}
 	c.buf = append(c.buf, b...)
-	if !c.open && !c.handshake() {
+	if !c.handshakeDone && !c.readHandshake() {
 		return nil
 	}
 	for !c.closed {
-		in, more := c.frame()
+		event, more := c.readFrame()
 		if !more {
 			break
 		}
-		if in != nil {
-			list = append(list, *in)
+		if event != nil {
+			events = append(events, *event)
 		}
 	}
 	if len(c.buf) == 0 {
-		c.buf = nil // an idle connection holds no buffer
+		c.buf = nil // an idle connection needs no buffer
 	}
-	return list
+	return events
 }
 
-// memory is a handshake read from and written to memory.
-type memory struct {
+// memoryConn lets the upgrader read the handshake from memory and write its response to memory.
+type memoryConn struct {
 	io.Reader
 	out bytes.Buffer
 }
 
-func (m *memory) Write(b []byte) (int, error) { return m.out.Write(b) }
+func (m *memoryConn) Write(b []byte) (int, error) { return m.out.Write(b) }
 
-// handshake does the opening handshake (section 4.2) when all of it is there.
-func (c *Conn) handshake() bool {
+// readHandshake processes the opening handshake (section 4.2) once it is complete, and reports whether it succeeded.
+func (c *Conn) readHandshake() bool {
 	end := bytes.Index(c.buf, []byte("\r\n\r\n"))
 	if end < 0 {
 		if len(c.buf) > MaxHandshake {
-			c.plain("431 Request Header Fields Too Large", "request too large")
+			c.rejectHandshake("431 Request Header Fields Too Large", "request too large")
 		}
 		return false
 	}
 	head := c.buf[:end+4]
 	if len(head) > MaxHandshake {
-		c.plain("431 Request Header Fields Too Large", "request too large")
+		c.rejectHandshake("431 Request Header Fields Too Large", "request too large")
 		return false
 	}
-	if !versionFits(head) {
-		// Section 4.2.2 (4): the versions that are spoken here.
-		c.plain("426 Upgrade Required\r\nSec-WebSocket-Version: 13", "this server speaks version 13")
+	if !versionSupported(head) {
+		// Section 4.2.2 (4): the response lists the supported versions.
+		c.rejectHandshake("426 Upgrade Required\r\nSec-WebSocket-Version: 13", "this server speaks version 13")
 		return false
 	}
 	notFound := false
-	up := ws.Upgrader{OnRequest: func(uri []byte) error {
+	upgrader := ws.Upgrader{OnRequest: func(uri []byte) error {
 		if path, _, _ := strings.Cut(string(uri), "?"); path != c.path {
 			notFound = true
 			return ws.RejectConnectionError(ws.RejectionStatus(404), ws.RejectionReason("no such resource"))
 		}
 		return nil
 	}}
-	m := &memory{Reader: bytes.NewReader(head)}
-	_, err := up.Upgrade(m)
-	c.Out = append(c.Out, m.out.Bytes()...)
+	memory := &memoryConn{Reader: bytes.NewReader(head)}
+	_, err := upgrader.Upgrade(memory)
+	c.Out = append(c.Out, memory.out.Bytes()...)
 	if err != nil {
-		if notFound && m.out.Len() == 0 {
-			c.plain("404 Not Found", "no such resource")
-		} else if m.out.Len() == 0 {
-			c.plain("400 Bad Request", err.Error())
+		if notFound && memory.out.Len() == 0 {
+			c.rejectHandshake("404 Not Found", "no such resource")
+		} else if memory.out.Len() == 0 {
+			c.rejectHandshake("400 Bad Request", err.Error())
 		}
 		c.closed, c.buf = true, nil
 		return false
 	}
-	c.open, c.buf = true, c.buf[end+4:]
+	c.handshakeDone, c.buf = true, c.buf[end+4:]
 	return true
 }
 
-// versionFits tells whether the handshake asks for version 13. A request with no version header is left to the
-// upgrader.
-func versionFits(head []byte) bool {
+// versionSupported reports whether the handshake requests version 13. It returns true for a request without a version
+// header, which the upgrader rejects.
+func versionSupported(head []byte) bool {
 	for _, line := range strings.Split(string(head), "\r\n")[1:] {
 		name, value, _ := strings.Cut(line, ":")
 		if strings.EqualFold(strings.TrimSpace(name), "Sec-WebSocket-Version") {
@@ -154,101 +158,103 @@
 	return true
 }
 
-func (c *Conn) plain(status, body string) {
+// rejectHandshake writes an HTTP error response and closes the connection.
+func (c *Conn) rejectHandshake(status, body string) {
 	c.Out = fmt.Appendf(c.Out, "HTTP/1.1 %s\r\nConnection: close\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s\n",
 		status, len(body)+1, body)
 	c.closed, c.buf = true, nil
 }
 
-// frame takes one frame, if all of it is there.
-func (c *Conn) frame() (in *In, more bool) {
-	h, size, err := header(c.buf)
-	if err == errShort {
+// readFrame processes one frame if it is complete; more is false if it is not or if the connection was closed.
+func (c *Conn) readFrame() (event *Event, more bool) {
+	header, headerSize, err := readHeader(c.buf)
+	if err == errIncomplete {
 		return nil, false
 	}
 	if err == nil {
-		err = c.check(h)
+		err = c.checkHeader(header)
 	}
 	if err != nil {
-		c.fail(CloseProtocol, err.Error())
+		c.closeWith(CloseProtocol, err.Error())
 		return nil, false
 	}
-	if h.Length > int64(c.most) || int64(len(c.text))+h.Length > int64(c.most) && !h.OpCode.IsControl() {
-		c.fail(CloseTooBig, fmt.Sprintf("messages hold %d bytes at most", c.most))
+	if header.Length > int64(c.maxMessageBytes) ||
+		int64(len(c.message))+header.Length > int64(c.maxMessageBytes) && !header.OpCode.IsControl() {
+		c.closeWith(CloseTooBig, fmt.Sprintf("messages hold %d bytes at most", c.maxMessageBytes))
 		return nil, false
 	}
-	total := size + int(h.Length)
+	total := headerSize + int(header.Length)
 	if len(c.buf) < total {
 		return nil, false
 	}
-	data := bytes.Clone(c.buf[size:total])
-	ws.Cipher(data, h.Mask, 0)
+	data := bytes.Clone(c.buf[headerSize:total])
+	ws.Cipher(data, header.Mask, 0)
 	c.buf = c.buf[total:]
-	if h.OpCode.IsControl() {
-		return c.control(h.OpCode, data), true
+	if header.OpCode.IsControl() {
+		return c.handleControl(header.OpCode, data), true
 	}
-	if h.OpCode == ws.OpBinary {
-		c.fail(CloseUnsupported, "text frames only")
+	if header.OpCode == ws.OpBinary {
+		c.closeWith(CloseUnsupported, "text frames only")
 		return nil, false
 	}
-	c.text = append(c.text, data...)
-	c.partial = !h.Fin
-	if c.partial {
+	c.message = append(c.message, data...)
+	c.fragmented = !header.Fin
+	if c.fragmented {
 		return nil, true
 	}
-	text := c.text
-	c.text = nil
-	if !utf8.Valid(text) { // section 8.1
-		c.fail(CloseInvalidData, "not UTF-8")
+	message := c.message
+	c.message = nil
+	if !utf8.Valid(message) { // section 8.1
+		c.closeWith(CloseInvalidData, "not UTF-8")
 		return nil, false
 	}
-	return &In{Text, text}, true
+	return &Event{Text, message}, true
 }
 
-func (c *Conn) check(h ws.Header) error {
+func (c *Conn) checkHeader(header ws.Header) error {
 	state := ws.StateServerSide
-	if c.partial {
+	if c.fragmented {
 		state = state.Set(ws.StateFragmented)
 	}
-	return ws.CheckHeader(h, state)
+	return ws.CheckHeader(header, state)
 }
 
-func (c *Conn) control(op ws.OpCode, data []byte) *In {
+func (c *Conn) handleControl(op ws.OpCode, data []byte) *Event {
 	switch op {
 	case ws.OpPing:
 		c.Out = Frame(c.Out, ws.OpPong, data)
-		return &In{Kind: Ping}
+		return &Event{Kind: Ping}
 	case ws.OpPong:
-		return &In{Kind: Pong}
+		return &Event{Kind: Pong}
 	}
 	code, reason := CloseNormal, ""
 	switch {
 	case len(data) == 1:
 		code, reason = CloseProtocol, "close frame of one byte"
 	case len(data) >= 2:
-		got := ws.StatusCode(binary.BigEndian.Uint16(data))
-		if ws.CheckCloseFrameData(got, string(data[2:])) != nil {
+		received := ws.StatusCode(binary.BigEndian.Uint16(data))
+		if ws.CheckCloseFrameData(received, string(data[2:])) != nil {
 			code, reason = CloseProtocol, "bad close frame"
 		} else {
-			code = int(got)
+			code = int(received)
 		}
 	}
-	c.fail(code, reason)
-	return &In{Kind: Close}
+	c.closeWith(code, reason)
+	return &Event{Kind: Close}
 }
 
-// fail sends a close frame and takes nothing more.
-func (c *Conn) fail(code int, reason string) {
+// closeWith sends a close frame and accepts no further input.
+func (c *Conn) closeWith(code int, reason string) {
 	c.Out = AppendClose(c.Out, code, reason)
-	c.closed, c.buf, c.text = true, nil, nil
+	c.closed, c.buf, c.message = true, nil, nil
 }
 
-var errShort = errors.New("more bytes are needed")
+var errIncomplete = errors.New("more bytes are needed")
 
-// header reads a frame header (section 5.2) and gives its size.
-func header(b []byte) (h ws.Header, size int, err error) {
+// readHeader reads a frame header (section 5.2) and returns its size.
+func readHeader(b []byte) (header ws.Header, size int, err error) {
 	if len(b) < 2 {
-		return h, 0, errShort
+		return header, 0, errIncomplete
 	}
 	size = 2
 	switch b[1] & 0x7f {
@@ -261,16 +267,16 @@
 		size += 4
 	}
 	if len(b) < size {
-		return h, 0, errShort
+		return header, 0, errIncomplete
 	}
-	h, err = ws.ReadHeader(bytes.NewReader(b[:size]))
-	if err == nil && (b[1]&0x7f == 126 && h.Length < 126 || b[1]&0x7f == 127 && h.Length < 1<<16) {
+	header, err = ws.ReadHeader(bytes.NewReader(b[:size]))
+	if err == nil && (b[1]&0x7f == 126 && header.Length < 126 || b[1]&0x7f == 127 && header.Length < 1<<16) {
 		err = errors.New("length not in its shortest form") // section 5.2
 	}
-	return h, size, err
+	return header, size, err
 }
 
-// Frame appends a whole unmasked frame, as servers send them.
+// AppendFrame appends a complete unmasked frame, the form in which servers send them.
 func Frame(dst []byte, op ws.OpCode, data []byte) []byte {
 	dst = append(dst, 0x80|byte(op))
 	switch n := len(data); {
@@ -285,7 +291,7 @@
 	return append(dst, data...)
 }
 
-// AppendClose appends a close frame.
+// AppendClose appends a close frame. It truncates the reason to the 123 bytes that fit.
 func AppendClose(dst []byte, code int, reason string) []byte {
 	data := binary.BigEndian.AppendUint16(nil, uint16(code))
 	if len(reason) > 123 {
