--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -1,7 +1,7 @@
-// Package rtsp reads and writes the messages of RTSP 2.0 (RFC 7826), as far as a session front and a media
-// server need them: requests and responses with headers and a body. It does no I/O.
+// Package rtsp decodes and encodes the part of RTSP 2.0 (RFC 7826) that a session front and a media server need:
+// requests and responses with headers and a body. It does no I/O.
 //
-// Interleaved binary data (section 14) is not taken: media never crosses these connections.
+// Interleaved binary data (section 14) is rejected: these connections carry no media.
 package rtsp
 
 import (
@@ -12,14 +12,14 @@
 	"strings"
 )
 
-// Bounds of a message. What passes them ends the connection: a peer that sends more is broken or hostile.
+// Limits of a message. The connection must be closed if one is exceeded: a peer that sends more is faulty or hostile.
 const (
-	MaxHead    = 8 << 10  // bytes of start line and headers
-	MaxHeaders = 64       // header lines
-	MaxBody    = 64 << 10 // bytes of a body
+	MaxHeadBytes = 8 << 10  // bytes of start line and headers
+	MaxHeaders   = 64       // header lines
+	MaxBodyBytes = 64 << 10 // bytes of a body
 )
 
-// Methods that are used here (RFC 7826 section 13).
+// Methods (RFC 7826 section 13).
 const (
 	Options      = "OPTIONS"
 	Setup        = "SETUP"
@@ -31,7 +31,7 @@
 	Redirect     = "REDIRECT"
 )
 
-// Status codes that are used here (RFC 7826 section 17).
+// Status codes (RFC 7826 section 17).
 const (
 	StatusOK                 = 200
 	StatusBadRequest         = 400
@@ -44,13 +44,14 @@
 	StatusVersion            = 505
 )
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 453: "Not Enough Bandwidth",
+// reasonPhrases holds the default reason phrase of each status code.
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 453: "Not Enough Bandwidth",
 	454: "Session Not Found", 455: "Method Not Valid in This State", 500: "Internal Server Error",
 	501: "Not Implemented", 503: "Service Unavailable", 505: "RTSP Version Not Supported"}
 
 const version = "RTSP/2.0"
 
-// Header is one header line. Names compare without regard to case.
+// Header is one header line. Names are case-insensitive.
 type Header struct{ Name, Value string }
 
 // Message is a request (Method set) or a response (Status set).
@@ -58,12 +59,12 @@
 	Method, URI string
 	Status      int
 	Reason      string
-	CSeq        uint32 // section 18.20; every message carries one
+	CSeq        uint32 // section 18.20; required in each message
 	Headers     []Header
 	Body        []byte
 }
 
-// Get gives the first header of a name, "" if there is none.
+// Get returns the value of the first header with the given name, or "".
 func (m *Message) Get(name string) string {
 	for i := range m.Headers {
 		if strings.EqualFold(m.Headers[i].Name, name) {
@@ -73,35 +74,35 @@
 	return ""
 }
 
-// Set adds a header.
+// AddHeader adds a header and returns the message.
 func (m *Message) Set(name, value string) *Message {
 	m.Headers = append(m.Headers, Header{name, value})
 	return m
 }
 
-// Session gives the session id of the Session header, without its parameters (section 18.49).
+// Session returns the session ID of the Session header, without its parameters (section 18.49).
 func (m *Message) Session() string {
 	id, _, _ := strings.Cut(m.Get("Session"), ";")
 	return strings.TrimSpace(id)
 }
 
-// Append writes the message to dst in wire form. Line breaks in values, which would let one message pass for
-// two, are written as spaces.
+// Append appends the encoded message to dst. It replaces line breaks in values by spaces, as they would allow a value
+// to inject another message.
 func (m *Message) Append(dst []byte) []byte {
 	if m.Method != "" {
 		dst = append(dst, m.Method...)
 		dst = append(dst, ' ')
-		dst = appendClean(dst, m.URI)
+		dst = appendSingleLine(dst, m.URI)
 		dst = append(dst, " RTSP/2.0\r\nCSeq: "...)
 	} else {
 		reason := m.Reason
 		if reason == "" {
-			reason = reasons[m.Status]
+			reason = reasonPhrases[m.Status]
 		}
 		dst = append(dst, "RTSP/2.0 "...)
 		dst = strconv.AppendInt(dst, int64(m.Status), 10)
 		dst = append(dst, ' ')
-		dst = appendClean(dst, reason)
+		dst = appendSingleLine(dst, reason)
 		dst = append(dst, "\r\nCSeq: "...)
 	}
 	dst = strconv.AppendUint(dst, uint64(m.CSeq), 10)
@@ -109,7 +110,7 @@
 	for _, h := range m.Headers {
 		dst = append(dst, h.Name...)
 		dst = append(dst, ": "...)
-		dst = appendClean(dst, h.Value)
+		dst = appendSingleLine(dst, h.Value)
 		dst = append(dst, "\r\n"...)
 	}
 	if len(m.Body) > 0 {
@@ -121,34 +122,35 @@
 	return append(dst, m.Body...)
 }
 
-func appendClean(dst []byte, s string) []byte {
+// appendSingleLine appends s with line breaks replaced by spaces.
+func appendSingleLine(dst []byte, s string) []byte {
 	if strings.IndexByte(s, '\r') < 0 && strings.IndexByte(s, '\n') < 0 {
 		return append(dst, s...)
 	}
 	return append(dst, strings.NewReplacer("\r", " ", "\n", " ").Replace(s)...)
 }
 
-// ErrTooLarge tells that a bound was passed; ErrMalformed, that the bytes are no RTSP 2.0 message.
+// ErrTooLarge reports that a limit was exceeded, ErrMalformed that the input is not an RTSP 2.0 message.
 var (
 	ErrTooLarge  = errors.New("rtsp: message too large")
 	ErrMalformed = errors.New("rtsp: malformed message")
 )
 
-// Decoder takes bytes as they come and gives whole messages. After an error it gives that error only: where the
-// next message would begin is unknown.
+// Decoder decodes messages from a stream of bytes. After an error it returns only that error, because the start of the
+// next message is unknown.
 type Decoder struct {
 	buf     []byte
-	scanned int // bytes of buf known to hold no end of headers
+	scanned int // bytes of buf in which no end of headers starts
 	err     error
 }
 
-// Feed adds bytes as read from the connection.
+// Feed adds bytes read from the connection.
 func (d *Decoder) Feed(b []byte) { d.buf = append(d.buf, b...) }
 
-// Buffered tells how many bytes wait for the rest of their message.
+// Buffered returns the number of bytes of incomplete messages.
 func (d *Decoder) Buffered() int { return len(d.buf) }
 
-// Next gives the next whole message, nil if more bytes are needed.
+// Next returns the next complete message, or nil if more bytes are needed.
 func (d *Decoder) Next() (*Message, error) {
 	if d.err != nil {
 		return nil, d.err
@@ -161,7 +163,7 @@
 }
 
 func (d *Decoder) next() (*Message, error) {
-	for len(d.buf) >= 2 && d.buf[0] == '\r' && d.buf[1] == '\n' { // section 5.2: empty lines ahead are skipped
+	for len(d.buf) >= 2 && d.buf[0] == '\r' && d.buf[1] == '\n' { // section 5.2: skip leading empty lines
 		d.buf, d.scanned = d.buf[2:], 0
 	}
 	if len(d.buf) > 0 && d.buf[0] == '$' {
@@ -169,15 +171,15 @@
 	}
 	end := bytes.Index(d.buf[d.scanned:], []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(d.buf) > MaxHead {
-			return nil, fmt.Errorf("%w: headers over %d bytes", ErrTooLarge, MaxHead)
+		if len(d.buf) > MaxHeadBytes {
+			return nil, fmt.Errorf("%w: headers over %d bytes", ErrTooLarge, MaxHeadBytes)
 		}
 		d.scanned = max(len(d.buf)-3, 0)
 		return nil, nil
 	}
 	end += d.scanned
-	if end > MaxHead {
-		return nil, fmt.Errorf("%w: headers over %d bytes", ErrTooLarge, MaxHead)
+	if end > MaxHeadBytes {
+		return nil, fmt.Errorf("%w: headers over %d bytes", ErrTooLarge, MaxHeadBytes)
 	}
 	m, length, err := parseHead(string(d.buf[:end]))
 	if err != nil {
@@ -194,22 +196,22 @@
 	d.buf = d.buf[total:]
 	d.scanned = 0
 	if len(d.buf) == 0 {
-		d.buf = nil // an idle connection holds no buffer
+		d.buf = nil // an idle connection needs no buffer
 	}
 	return m, nil
 }
 
-// parseHead reads start line and headers and gives the body's length.
+// parseHead parses the start line and the headers and returns the length of the body.
 func parseHead(head string) (*Message, int, error) {
 	line, rest, _ := strings.Cut(head, "\r\n")
-	m, err := parseStart(line)
+	m, err := parseStartLine(line)
 	if err != nil {
 		return nil, 0, err
 	}
-	length, seen := 0, false
+	length, hasCSeq := 0, false
 	for n := 0; rest != ""; n++ {
 		if n == MaxHeaders {
-			return nil, 0, fmt.Errorf("%w: over %d headers", ErrTooLarge, MaxHeaders)
+			return nil, 0, fmt.Errorf("%w: more than %d headers", ErrTooLarge, MaxHeaders)
 		}
 		line, rest, _ = strings.Cut(rest, "\r\n")
 		name, value, ok := strings.Cut(line, ":")
@@ -220,30 +222,31 @@
 		switch {
 		case strings.EqualFold(name, "CSeq"):
 			v, err := strconv.ParseUint(value, 10, 32)
-			if err != nil || seen {
+			if err != nil || hasCSeq {
 				return nil, 0, fmt.Errorf("%w: CSeq %.40q", ErrMalformed, value)
 			}
-			m.CSeq, seen = uint32(v), true
+			m.CSeq, hasCSeq = uint32(v), true
 		case strings.EqualFold(name, "Content-Length"):
 			v, err := strconv.ParseUint(value, 10, 31)
 			if err != nil {
 				return nil, 0, fmt.Errorf("%w: Content-Length %.40q", ErrMalformed, value)
 			}
-			if v > MaxBody {
-				return nil, 0, fmt.Errorf("%w: body of %d bytes, %d at most", ErrTooLarge, v, MaxBody)
+			if v > MaxBodyBytes {
+				return nil, 0, fmt.Errorf("%w: body of %d bytes, %d at most", ErrTooLarge, v, MaxBodyBytes)
 			}
 			length = int(v)
 		default:
 			m.Headers = append(m.Headers, Header{name, value})
 		}
 	}
-	if !seen {
+	if !hasCSeq {
 		return nil, 0, fmt.Errorf("%w: no CSeq", ErrMalformed)
 	}
 	return m, length, nil
 }
 
-func parseStart(line string) (*Message, error) {
+// parseStartLine parses a status line or a request line.
+func parseStartLine(line string) (*Message, error) {
 	if rest, ok := strings.CutPrefix(line, version+" "); ok {
 		code, reason, _ := strings.Cut(rest, " ")
 		status, err := strconv.Atoi(code)
@@ -259,6 +262,7 @@
 	return &Message{Method: parts[0], URI: parts[1]}, nil
 }
 
+// isToken reports whether s is a token: a method or a header name.
 func isToken(s string) bool {
 	if s == "" {
 		return false
@@ -271,21 +275,21 @@
 	return true
 }
 
-// Params reads a body of type text/parameters (RFC 7826 appendix F): lines "name: value".
-// Lines that are not of that form are skipped; at most 32 are read.
+// ParseParams parses a body of type text/parameters (RFC 7826 appendix F), which has lines "name: value". It skips lines
+// of another form and reads at most 32 lines.
 func Params(body []byte) map[string]string {
-	out := map[string]string{}
+	params := map[string]string{}
 	for n, rest := 0, string(body); rest != "" && n < 32; n++ {
 		var line string
 		line, rest, _ = strings.Cut(rest, "\n")
 		if name, value, ok := strings.Cut(strings.TrimRight(line, "\r"), ":"); ok {
-			out[strings.TrimSpace(name)] = strings.TrimSpace(value)
+			params[strings.TrimSpace(name)] = strings.TrimSpace(value)
 		}
 	}
-	return out
+	return params
 }
 
-// Number gives a parameter as a number; ok is false if it is absent, not a number, negative or over 1e9.
+// NumberParam returns a parameter as a number. ok is false if it is absent, not a number, negative or over 1e9.
 func Number(params map[string]string, name string) (v float64, ok bool) {
 	text, found := params[name]
 	if !found {
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -7,10 +7,11 @@
 	"testing"
 )
 
-const exchange = "SETUP rtsp://m1/guide-7/r2 RTSP/2.0\r\nCSeq: 7\r\nPipelined-Requests: 41\r\nTransport: RTP/AVP\r\n\r\n" +
+const messageStream = "SETUP rtsp://m1/guide-7/r2 RTSP/2.0\r\nCSeq: 7\r\nPipelined-Requests: 41\r\nTransport: RTP/AVP\r\n\r\n" +
 	"\r\nRTSP/2.0 200 OK\r\nCSeq: 7\r\nSession: ab12;timeout=4\r\nContent-Length: 12\r\n\r\nlink: 0.25\r\n" +
 	"RTSP/2.0 453 Not Enough Bandwidth\r\ncseq: 8\r\n\r\n"
 
+// all returns the complete messages of a decoder.
 func all(t *testing.T, d *Decoder) (out []*Message) {
 	t.Helper()
 	for {
@@ -25,32 +26,32 @@
 	}
 }
 
-func TestSameMessagesHoweverTheBytesAreCut(t *testing.T) {
+func TestInputSplitAtAnyByte(t *testing.T) {
 	whole := &Decoder{}
-	whole.Feed([]byte(exchange))
+	whole.Feed([]byte(messageStream))
 	want := all(t, whole)
 	if len(want) != 3 || want[1].Session() != "ab12" || string(want[1].Body) != "link: 0.25\r\n" || want[2].CSeq != 8 {
 		t.Fatalf("%+v", want)
 	}
-	for step := 1; step < len(exchange); step++ {
+	for step := 1; step < len(messageStream); step++ {
 		d := &Decoder{}
 		var got []*Message
-		for rest := exchange; rest != ""; {
+		for rest := messageStream; rest != ""; {
 			n := min(step, len(rest))
 			d.Feed([]byte(rest[:n]))
 			rest = rest[n:]
 			got = append(got, all(t, d)...)
 		}
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("cut at %d: %+v", step, got)
+			t.Fatalf("pieces of %d bytes: %+v", step, got)
 		}
 		if d.Buffered() != 0 {
-			t.Fatalf("cut at %d: %d bytes left", step, d.Buffered())
+			t.Fatalf("pieces of %d bytes: %d bytes are left", step, d.Buffered())
 		}
 	}
 }
 
-func TestWhatIsWrittenReadsBackAlike(t *testing.T) {
+func TestDecodesEncodedMessages(t *testing.T) {
 	for _, m := range []*Message{
 		{Method: Play, URI: "rtsp://m1/x", CSeq: 9, Headers: []Header{{"Session", "q"}}, Body: []byte("a: b\r\n")},
 		{Status: 503, Reason: "Service Unavailable", CSeq: 1},
@@ -64,14 +65,14 @@
 	}
 }
 
-func TestLineBreaksInValuesDoNotMakeASecondMessage(t *testing.T) {
+func TestLineBreaksInValuesInjectNoMessage(t *testing.T) {
 	m := (&Message{Method: Setup, URI: "rtsp://a/b\r\nEvil: 1", CSeq: 1}).Set("X", "y\r\n\r\nTEARDOWN * RTSP/2.0")
 	if text := string(m.Append(nil)); strings.Count(text, "\r\n") != 4 {
 		t.Fatalf("%q", text)
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestRejectsInvalidInput(t *testing.T) {
 	for name, c := range map[string]struct {
 		in   string
 		want error
@@ -86,7 +87,7 @@
 		"interleaved":         {"$\x00\x00\x04abcd", ErrMalformed},
 		"negative length":     {"PLAY rtsp://a RTSP/2.0\r\nCSeq: 1\r\nContent-Length: -1\r\n\r\n", ErrMalformed},
 		"body too long":       {"PLAY rtsp://a RTSP/2.0\r\nCSeq: 1\r\nContent-Length: 65537\r\n\r\n", ErrTooLarge},
-		"endless headers":     {"PLAY rtsp://a RTSP/2.0\r\nX: " + strings.Repeat("y", MaxHead), ErrTooLarge},
+		"endless headers":     {"PLAY rtsp://a RTSP/2.0\r\nX: " + strings.Repeat("y", MaxHeadBytes), ErrTooLarge},
 		"many headers":        {"PLAY rtsp://a RTSP/2.0\r\n" + strings.Repeat("X: y\r\n", MaxHeaders+1) + "CSeq: 1\r\n\r\n", ErrTooLarge},
 	} {
 		d := &Decoder{}
@@ -94,27 +95,27 @@
 		if _, err := d.Next(); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
-		d.Feed([]byte(exchange))
+		d.Feed([]byte(messageStream))
 		if m, err := d.Next(); m != nil || err == nil {
-			t.Errorf("%s: goes on after an error", name)
+			t.Errorf("%s: a message was decoded after an error", name)
 		}
 	}
 }
 
-func TestParams(t *testing.T) {
+func TestParsesParams(t *testing.T) {
 	p := Params([]byte("link: 0.5\r\nuplink:1.25\nnoise\r\nbad: x\r\nless: -1\r\n"))
 	if v, ok := Number(p, "uplink"); !ok || v != 1.25 {
 		t.Error(v, ok)
 	}
 	for _, name := range []string{"bad", "less", "none"} {
 		if _, ok := Number(p, name); ok {
-			t.Error(name, "taken")
+			t.Error(name, "was accepted")
 		}
 	}
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add([]byte(exchange), 3)
+	f.Add([]byte(messageStream), 3)
 	f.Add([]byte("$\x00"), 1)
 	f.Fuzz(func(t *testing.T, in []byte, step int) {
 		step = max(1, step)
@@ -131,11 +132,11 @@
 				again := &Decoder{}
 				again.Feed(m.Append(nil))
 				if b, err := again.Next(); err != nil || b == nil || b.CSeq != m.CSeq || b.Method != m.Method || b.Status != m.Status {
-					t.Fatalf("%+v written reads as %+v, %v", m, b, err)
+					t.Fatalf("%+v was encoded and decoded as %+v, %v", m, b, err)
 				}
 			}
-			if d.Buffered() > MaxHead+MaxBody+step+4 {
-				t.Fatal("holds more than its bounds")
+			if d.Buffered() > MaxHeadBytes+MaxBodyBytes+step+4 {
+				t.Fatal("the buffer exceeds its limit")
 			}
 		}
 	})
