--- a/cmd/tealledge/capacity.go
+++ b/cmd/tealledge/capacity.go
@@ -20,36 +20,40 @@
 	Plot    string        `help:"Write goodput over offered load (PNG) to this file." type:"path"`
 }
 
-// limit is the p99 up to which a rate counts as carried.
-const limit = 100 // ms
+// maxP99Ms is the highest p99 latency, in milliseconds, at which a front carries a rate.
+const maxP99Ms = 100
 
-// Run finds the highest rate whose p99 stays under the limit with all requests playing, then offers multiples of it.
+// Run finds the highest rate at which the p99 latency is at most maxP99Ms and at least 99% of the requests play. It then
+// offers multiples of that rate.
 func (c *capacityCmd) Run(ctx context.Context) error {
 	if c.Only > 0 {
-		r, err := c.step(ctx, c.Only, true)
+		result, err := c.runStep(ctx, c.Only, true)
 		if err == nil {
-			fmt.Print(r.Table())
+			fmt.Print(result.Table())
 		}
 		return err
 	}
-	carried, err := c.find(ctx)
+	capacity, err := c.findCapacity(ctx)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("carried with p99 under %d ms: %.0f requests a second (front on %d core(s), loopback)\n\n", limit, carried, c.Cores)
+	fmt.Printf("carried with p99 under %d ms: %.0f requests a second (front on %d core(s), loopback)\n\n",
+		maxP99Ms, capacity, c.Cores)
 	var lines []load.Line
-	for _, gate := range []bool{true, false} {
-		name := map[bool]string{true: "with overload decisions", false: "without"}[gate]
+	for _, overloadControl := range []bool{true, false} {
+		name := map[bool]string{true: "with overload decisions", false: "without"}[overloadControl]
 		fmt.Println(name)
 		line := load.Line{Name: name}
-		for _, times := range []float64{0.5, 1, 1.5, 2, 3, 4} {
-			r, err := c.step(ctx, carried*times, gate)
+		for _, factor := range []float64{0.5, 1, 1.5, 2, 3, 4} {
+			result, err := c.runStep(ctx, capacity*factor, overloadControl)
 			if err != nil {
 				return err
 			}
 			fmt.Printf("  offered %.1fx: goodput %.2f of what is carried; plays %d refused %d failed %d broken %d, after 1 s %d; p50 %.1f p99 %.1f max %.1f ms\n",
-				times, r.Goodput/carried, r.Kinds["plays"], r.Kinds["refused"], r.Kinds["failed"], r.Kinds["broken"], r.Late, r.Latency.P50, r.Latency.P99, r.Latency.Max)
-			line.X, line.Y = append(line.X, times), append(line.Y, r.Goodput/carried)
+				factor, result.Goodput/capacity, result.Kinds["plays"], result.Kinds["refused"],
+				result.Kinds["failed"], result.Kinds["broken"], result.Late, result.Latency.P50,
+				result.Latency.P99, result.Latency.Max)
+			line.X, line.Y = append(line.X, factor), append(line.Y, result.Goodput/capacity)
 		}
 		lines = append(lines, line)
 	}
@@ -59,27 +63,29 @@
 	return load.Plot(c.Plot, "goodput over offered load (loopback, simulated players)", "offered, times what is carried", "goodput, times what is carried", lines)
 }
 
-func (c *capacityCmd) find(ctx context.Context) (carried float64, err error) {
+// findCapacity raises the rate by steps of 20% and returns the last one that the front carried.
+func (c *capacityCmd) findCapacity(ctx context.Context) (capacity float64, err error) {
 	for rate := c.From; ; rate *= 1.2 {
-		r, err := c.step(ctx, rate, true)
+		result, err := c.runStep(ctx, rate, true)
 		if err != nil {
 			return 0, err
 		}
-		answered := r.Kinds["plays"]
-		fmt.Printf("  %.0f a second: plays %d of %d, p50 %.2f p99 %.2f max %.1f ms\n", rate, answered, r.Sent, r.Latency.P50, r.Latency.P99, r.Latency.Max)
-		if r.Latency.P99 > limit || float64(answered) < 0.99*float64(r.Sent) {
-			if carried == 0 {
+		playing := result.Kinds["plays"]
+		fmt.Printf("  %.0f a second: plays %d of %d, p50 %.2f p99 %.2f max %.1f ms\n", rate, playing, result.Sent,
+			result.Latency.P50, result.Latency.P99, result.Latency.Max)
+		if result.Latency.P99 > maxP99Ms || float64(playing) < 0.99*float64(result.Sent) {
+			if capacity == 0 {
 				return 0, fmt.Errorf("not even %.0f a second are carried", rate)
 			}
-			return carried, nil
+			return capacity, nil
 		}
-		carried = rate
+		capacity = rate
 	}
 }
 
-// step runs one rate against a fresh front.
-func (c *capacityCmd) step(ctx context.Context, rate float64, gate bool) (*load.Result, error) {
-	s, err := wide()
+// runStep offers one rate to a new front.
+func (c *capacityCmd) runStep(ctx context.Context, rate float64, overloadControl bool) (*load.Result, error) {
+	script, err := unlimitedScript()
 	if err != nil {
 		return nil, err
 	}
@@ -89,21 +95,24 @@
 	}
 	defer os.RemoveAll(dir)
 	limits := "(limits (handshakes 100000) (open 1000000) (queue 1000000))"
-	if !gate {
+	if !overloadControl {
 		limits = "(limits (handshakes 100000) (open 1000000) (queue 1000000) (gate no))"
 	}
 	command := frontCommand()
 	if c.CPU != "" {
 		command = []string{command[0], "serve", "--cpuprofile", c.CPU, "-c"}
 	}
-	w, err := day.Open(ctx, s, day.Options{Command: command, Dir: dir, Out: os.Stderr, NoRecord: true, Limits: limits,
-		Env: []string{fmt.Sprintf("GOMAXPROCS=%d", c.Cores)}})
+	world, err := day.Open(ctx, script, day.Options{Command: command, Dir: dir, Out: os.Stderr, NoRecord: true,
+		Limits: limits,
+		Env:    []string{fmt.Sprintf("GOMAXPROCS=%d", c.Cores)}})
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
-	defer w.Leave()
-	return load.Run(ctx, load.Plan{Front: w.Front, Clients: c.Clients, Length: c.Length, Rate: rate, Shape: load.Poisson,
-		Hold: [2]time.Duration{200 * time.Millisecond, 500 * time.Millisecond}, Titles: s.TitleNames(), Classes: s.Service.Classes,
-		Mix: []float64{0.35, 0.65}, Wait: time.Second, Seed: 1}, nil)
+	defer world.Close()
+	defer world.Leave()
+	return load.Run(ctx, load.Plan{Front: world.Front, Clients: c.Clients, Length: c.Length, Rate: rate,
+		Shape: load.Poisson,
+		Hold:  [2]time.Duration{200 * time.Millisecond, 500 * time.Millisecond}, Titles: script.TitleNames(),
+		Classes: script.Service.Classes,
+		Mix:     []float64{0.35, 0.65}, Wait: time.Second, Seed: 1}, nil)
 }
--- a/cmd/tealledge/configs_test.go
+++ b/cmd/tealledge/configs_test.go
@@ -18,8 +18,8 @@
 	"tealledge/internal/standin/ports"
 )
 
-// program builds the program once for the tests that start it.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram builds the program once for all tests that start it, and returns its path.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "tealledge")
 	if err != nil {
 		return "", err
@@ -33,24 +33,24 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if bin, err := program(); err == nil {
+	if bin, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(bin))
 	}
 	os.Exit(code)
 }
 
-// process is the program as the platform starts it, on a configuration that a test writes.
+// process is the program, started in the way of the platform on a configuration that a test writes.
 type process struct {
-	t        testing.TB
-	addr     string
-	path     string
-	log      lockedBuffer
-	cmd      *exec.Cmd
-	ended    chan error
-	patience time.Duration // of serves
+	t              testing.TB
+	addr           string
+	path           string
+	log            lockedBuffer
+	cmd            *exec.Cmd
+	ended          chan error
+	sessionTimeout time.Duration // of waitForSession
 }
 
-// freeAddr gives an address at which nobody listens but who asks for it.
+// freeAddr reserves a free listen address for a test and returns it.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	kept, err := ports.Keep(1)
@@ -61,29 +61,34 @@
 	return kept.Addrs[0]
 }
 
-type tree = map[string]any
+// object is a JSON object.
+type object = map[string]any
 
-// site gives the settings of a small site; each call gives its own.
-func siteSettings(classes ...tree) tree {
+// siteSettings returns new settings of a small site.
+func siteSettings(classes ...object) object {
 	if classes == nil {
-		classes = []tree{{"name": "only", "effect": "safe", "importance": 1, "slo-ns": 1e9, "deadline-ns": 2e9}}
+		classes = []object{{"name": "only", "effect": "safe", "importance": 1, "slo-ns": 1e9, "deadline-ns": 2e9}}
 	}
-	return tree{"request-classes": classes, "family-info": tree{"level-kb": []float64{100, 200}, "level-worth": []float64{0.5, 1}, "positions": 1, "weight-kb": 3000}}
+	return object{"request-classes": classes, "family-info": object{"level-kb": []float64{100, 200},
+		"level-worth": []float64{0.5, 1}, "positions": 1, "weight-kb": 3000}}
 }
 
-// start runs the program on settings, a list and a journal; wrap is a command that it is started by, if any.
-func start(t testing.TB, settings tree, known []wire.Event, journal string, sockets int, wrap ...string) *process {
+// startFront starts the program on settings, a server list and a journal address. If wrap is given, it is a command that
+// runs the program.
+func startFront(t testing.TB, settings object, known []wire.Event, journal string, sockets int, wrap ...string) *process {
 	t.Helper()
-	bin, err := program()
+	bin, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{t: t, addr: freeAddr(t), path: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1), patience: 8 * time.Second}
+	p := &process{t: t, addr: freeAddr(t), path: filepath.Join(t.TempDir(), "config.json"),
+		ended: make(chan error, 1), sessionTimeout: 8 * time.Second}
 	if known == nil {
 		known = []wire.Event{}
 	}
-	text, err := json.Marshal(tree{"name": "n0", "listen": p.addr, "seed": "01", "limits": tree{"cores": 1, "memory_mb": 64, "sockets": sockets},
-		"journal": journal, "known": tree{"pos": len(known), "entries": known}, "settings": settings})
+	text, err := json.Marshal(object{"name": "n0", "listen": p.addr, "seed": "01",
+		"limits":  object{"cores": 1, "memory_mb": 64, "sockets": sockets},
+		"journal": journal, "known": object{"pos": len(known), "entries": known}, "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,18 +99,19 @@
 	return p
 }
 
-// startOn runs the program on a file that lies there.
-func startOn(t testing.TB, path, addr string) *process {
+// startFromFile starts the program on an existing configuration file.
+func startFromFile(t testing.TB, path, addr string) *process {
 	t.Helper()
-	bin, err := program()
+	bin, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &process{t: t, addr: addr, path: path, ended: make(chan error, 1), patience: 8 * time.Second}
+	p := &process{t: t, addr: addr, path: path, ended: make(chan error, 1), sessionTimeout: 8 * time.Second}
 	p.run([]string{bin, "platform"})
 	return p
 }
 
+// run starts the process with the environment of the platform.
 func (p *process) run(args []string) {
 	p.t.Helper()
 	p.cmd = exec.Command(args[0], args[1:]...)
@@ -118,8 +124,8 @@
 	p.t.Cleanup(func() { p.cmd.Process.Kill() })
 }
 
-// tested tells whether the front passes a test.
-func (p *process) tested() bool {
+// answersProbe reports whether the front answers a probe.
+func (p *process) answersProbe() bool {
 	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		return false
@@ -132,224 +138,235 @@
 	return strings.Contains(string(b[:n]), `"probed"`)
 }
 
-// ready waits until it passes a test, and gives how long that took from its start.
-func (p *process) ready() time.Duration {
+// waitReady waits until the front answers a probe, and returns how long that took.
+func (p *process) waitReady() time.Duration {
 	p.t.Helper()
-	began := time.Now()
-	for !p.tested() {
+	startedAt := time.Now()
+	for !p.answersProbe() {
 		select {
 		case err := <-p.ended:
-			p.t.Fatalf("it ended: %v: %s", err, p.log.String())
+			p.t.Fatalf("the process exited: %v: %s", err, p.log.String())
 		case <-time.After(10 * time.Millisecond):
 		}
-		if time.Since(began) > 10*time.Second {
+		if time.Since(startedAt) > 10*time.Second {
 			p.t.Fatalf("not ready in 10 s: %s", p.log.String())
 		}
 	}
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// serves asks for a session of a class until one plays; a connection that is closed is opened again, as a client does that was
-// turned away.
-func (p *process) serves(w *platformsim.World, class string, sid uint64) {
+// waitForSession requests sessions of a class until one plays. If the connection is closed, it connects again, as a refused
+// client does.
+func (p *process) waitForSession(world *platformsim.World, class string, sid uint64) {
 	p.t.Helper()
 	closed, refused := 0, 0
-	for end := time.Now().Add(p.patience); time.Now().Before(end); {
-		v, err := platformsim.Dial(w, p.addr)
+	for end := time.Now().Add(p.sessionTimeout); time.Now().Before(end); {
+		viewer, err := platformsim.Dial(world, p.addr)
 		if err != nil {
 			p.t.Fatal(err)
 		}
-		defer v.Close()
-	asks:
+		defer viewer.Close()
+	requests:
 		for ; time.Now().Before(end); sid++ {
-			v.Write(strings.Replace(platformsim.Form(sid, class, 1500*time.Millisecond, ""), "copies:3", "copies:1", 1))
+			viewer.Write(strings.Replace(platformsim.Form(sid, class, 1500*time.Millisecond, ""),
+				"copies:3", "copies:1", 1))
 			select {
-			case l := <-v.Lines:
-				if l.Msg == wire.LineReady {
-					v.GiveUp(sid)
+			case line := <-viewer.Lines:
+				if line.Msg == wire.LineReady {
+					viewer.GiveUp(sid)
 					return
 				}
 				refused++
-			case <-v.Ended:
+			case <-viewer.Ended:
 				closed++
 				time.Sleep(20 * time.Millisecond)
-				break asks
+				break requests
 			case <-time.After(3 * time.Second):
-				p.t.Fatalf("%s: no answer: %s", class, p.log.String())
+				p.t.Fatalf("%s: no reply: %s", class, p.log.String())
 			}
 		}
 	}
-	p.t.Fatalf("%s: nothing plays, %d closed, %d refused: %s", class, closed, refused, p.log.String())
+	p.t.Fatalf("%s: no session plays; %d connections closed, %d requests refused: %s", class, closed, refused,
+		p.log.String())
 }
 
-// listOf gives an event with servers that answer and others at whose addresses nobody is.
-func listOf(servers []*platformsim.Server, others int) []wire.Event {
-	e := wire.Event{Pos: 1, Hosts: &wire.Hosts{Whole: true, Hosts: []wire.Host{}}}
+// serverListEvents returns a list of the given servers and of others at whose addresses no process listens.
+func serverListEvents(servers []*platformsim.Server, others int) []wire.Event {
+	event := wire.Event{Pos: 1, Hosts: &wire.Hosts{Whole: true, Hosts: []wire.Host{}}}
 	for _, s := range servers {
-		e.Hosts.Hosts = append(e.Hosts.Hosts, wire.Host{Name: s.Name(), Address: s.Addr(), Health: wire.HostReady, Share: 10})
+		event.Hosts.Hosts = append(event.Hosts.Hosts, wire.Host{Name: s.Name(), Address: s.Addr(),
+			Health: wire.HostReady, Share: 10})
 	}
 	for i := range others {
-		e.Hosts.Hosts = append(e.Hosts.Hosts, wire.Host{Name: fmt.Sprintf("other-%d", i), Address: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Cell: 1 + i%9, Health: wire.HostReady, Share: 10})
+		event.Hosts.Hosts = append(event.Hosts.Hosts, wire.Host{Name: fmt.Sprintf("other-%d", i),
+			Address: fmt.Sprintf("127.0.0.1:%d", 1+i%1000), Cell: 1 + i%9, Health: wire.HostReady, Share: 10})
 	}
-	return []wire.Event{e}
+	return []wire.Event{event}
 }
 
-func TestItServesOnWhateverSettingsAreLeftOut(t *testing.T) {
-	forty := []tree{}
+// A front must serve if all optional settings are omitted, with many classes and with many servers.
+func TestServesWithOptionalSettingsOmitted(t *testing.T) {
+	fortyClasses := []object{}
 	for i := range 40 {
-		forty = append(forty, tree{"name": fmt.Sprintf("class number %d", i), "effect": []string{"safe", "unsafe"}[i%2], "importance": i, "slo-ns": 1e9, "deadline-ns": 3e9})
+		fortyClasses = append(fortyClasses, object{"name": fmt.Sprintf("class number %d", i),
+			"effect": []string{"safe", "unsafe"}[i%2], "importance": i, "slo-ns": 1e9, "deadline-ns": 3e9})
 	}
-	many := siteSettings()
-	many["family-info"].(tree)["positions"] = 10
+	manyPositions := siteSettings()
+	manyPositions["family-info"].(object)["positions"] = 10
 	for name, c := range map[string]struct {
-		settings tree
+		settings object
 		class    string
 		others   int
 	}{
-		"one class, all that may be is left out": {siteSettings(tree{"name": "only"}), "only", 0},
-		"forty classes":                          {siteSettings(forty...), "class number 39", 0},
-		"1,100 servers":                          {many, "only", 1099},
+		"one class, optional settings omitted": {siteSettings(object{"name": "only"}), "only", 0},
+		"forty classes":                        {siteSettings(fortyClasses...), "class number 39", 0},
+		"1,100 servers":                        {manyPositions, "only", 1099},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := platformsim.NewWorld()
-			s, err := platformsim.NewServer(w, 1)
+			world := platformsim.NewWorld()
+			server, err := platformsim.NewServer(world, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer s.Die()
-			p := start(t, c.settings, listOf([]*platformsim.Server{s}, c.others), "", 256)
-			t.Log("ready after", p.ready())
-			p.serves(w, c.class, 100)
+			defer server.Die()
+			front := startFront(t, c.settings, serverListEvents([]*platformsim.Server{server}, c.others), "", 256)
+			t.Log("ready after", front.waitReady())
+			front.waitForSession(world, c.class, 100)
 		})
 	}
 }
 
-// Without a server it is ready and refuses; it serves as soon as one is listed.
-func TestItServesOnceTheFirstServerIsListed(t *testing.T) {
-	w := platformsim.NewWorld()
-	j, err := platformsim.NewJournal(w, nil)
+// Without servers a front is ready and refuses requests. It must serve as soon as a server is listed.
+func TestServesOnceFirstServerIsListed(t *testing.T) {
+	world := platformsim.NewWorld()
+	journal, err := platformsim.NewJournal(world, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer j.Close()
-	p := start(t, siteSettings(), nil, j.Addr(), 256)
-	p.ready()
-	v, err := platformsim.Dial(w, p.addr)
+	defer journal.Close()
+	front := startFront(t, siteSettings(), nil, journal.Addr(), 256)
+	front.waitReady()
+	viewer, err := platformsim.Dial(world, front.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer v.Close()
-	v.Write(strings.Replace(platformsim.Form(7, "only", time.Second, ""), "copies:3", "copies:1", 1))
-	if l := <-v.Lines; l.Msg != wire.LineClose || l.Code != wire.CauseRefused {
-		t.Errorf("no servers: %+v", l)
+	defer viewer.Close()
+	viewer.Write(strings.Replace(platformsim.Form(7, "only", time.Second, ""), "copies:3", "copies:1", 1))
+	if line := <-viewer.Lines; line.Msg != wire.LineClose || line.Code != wire.CauseRefused {
+		t.Errorf("want a refusal without servers, got %+v", line)
 	}
-	s, err := platformsim.NewServer(w, 0)
+	server, err := platformsim.NewServer(world, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Die()
-	j.Tell(true, wire.HostReady, s)
-	p.serves(w, "only", 100)
+	defer server.Die()
+	journal.Tell(true, wire.HostReady, server)
+	front.waitForSession(world, "only", 100)
 }
 
-func TestItEndsAtOnceAndNamesTheKey(t *testing.T) {
-	family := func(key string, v any) tree {
+// Invalid settings must end the process at once with one line that names the key.
+func TestExitsOnInvalidSettingAndNamesKey(t *testing.T) {
+	family := func(key string, v any) object {
 		s := siteSettings()
-		if s["family-info"].(tree)[key] = v; v == nil {
-			delete(s["family-info"].(tree), key)
+		if s["family-info"].(object)[key] = v; v == nil {
+			delete(s["family-info"].(object), key)
 		}
 		return s
 	}
-	for key, settings := range map[string]tree{
+	for key, settings := range map[string]object{
 		"request-classes":         {"family-info": siteSettings()["family-info"]},
-		"request-classes.0.name":  siteSettings(tree{"effect": "safe"}),
-		"request-classes.1.name":  siteSettings(tree{"name": "a"}, tree{"name": "a"}),
+		"request-classes.0.name":  siteSettings(object{"effect": "safe"}),
+		"request-classes.1.name":  siteSettings(object{"name": "a"}, object{"name": "a"}),
 		"family-info.level-kb":    family("level-kb", nil),
 		"family-info.level-worth": family("level-worth", []float64{1}),
 		"family-info.positions":   family("positions", nil),
 		"family-info.weight-kb":   family("weight-kb", "much"),
 		"family-info.lowest-rung": family("lowest-rung", []int{2}),
 	} {
-		p := start(t, settings, nil, "", 256)
+		front := startFront(t, settings, nil, "", 256)
 		select {
-		case err := <-p.ended:
-			if text := p.log.String(); err == nil || strings.Count(text, "\n") != 1 || !strings.Contains(text, key+":") {
+		case err := <-front.ended:
+			if text := front.log.String(); err == nil || strings.Count(text, "\n") != 1 ||
+				!strings.Contains(text, key+":") {
 				t.Errorf("%s: %v: %q", key, err, text)
 			}
 		case <-time.After(10 * time.Second):
-			t.Errorf("%s: it goes on: %s", key, p.log.String())
+			t.Errorf("%s: the process still runs: %s", key, front.log.String())
 		}
 	}
 }
 
-// Idle clients and floods fill the descriptors while discovery is down: list, servers and usual clients keep theirs, and once the
-// idle ones go all is as before. The system's own limit binds, as on the platform.
-func TestIdleClientsFillTheDescriptorsWhileDiscoveryIsDown(t *testing.T) {
-	w := platformsim.NewWorld()
-	first, err := platformsim.NewServer(w, 0)
+// Idle clients fill the descriptors while discovery is down. The list, the servers and regular clients must keep theirs, and
+// after the idle clients have disconnected the front must serve as before. The descriptor limit is the system's (ulimit), as
+// on the platform.
+func TestServesWhileIdleClientsFillDescriptors(t *testing.T) {
+	world := platformsim.NewWorld()
+	first, err := platformsim.NewServer(world, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Die()
-	j, err := platformsim.NewJournal(w, nil)
+	journal, err := platformsim.NewJournal(world, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.Tell(true, wire.HostReady, first)
-	const most = 128
-	p := start(t, siteSettings(), listOf([]*platformsim.Server{first}, 0), j.Addr(), most, "sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, most))
-	p.ready()
-	p.patience = 3 * time.Second // for each of the following
-	p.serves(w, "only", 100)
-	moved, err := platformsim.NewJournal(w, j)
+	journal.Tell(true, wire.HostReady, first)
+	const maxDescriptors = 128
+	front := startFront(t, siteSettings(), serverListEvents([]*platformsim.Server{first}, 0), journal.Addr(),
+		maxDescriptors, "sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, maxDescriptors))
+	front.waitReady()
+	front.sessionTimeout = 3 * time.Second // for each further call of waitForSession
+	front.waitForSession(world, "only", 100)
+	newJournal, err := platformsim.NewJournal(world, journal)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer moved.Close()
-	j.Close() // the front's next connects are refused
+	defer newJournal.Close()
+	journal.Close() // further connects of the front are refused
 	var idle []net.Conn
 	flood := func() {
 		for range 400 {
-			if c, err := net.DialTimeout("tcp", p.addr, time.Second); err == nil {
+			if c, err := net.DialTimeout("tcp", front.addr, time.Second); err == nil {
 				idle = append(idle, c)
 			}
 		}
 	}
 	flood()
-	if n := p.descriptors(); n > most-8 {
-		t.Errorf("%d descriptors of %d", n, most)
+	if n := front.openDescriptors(); n > maxDescriptors-8 {
+		t.Errorf("%d descriptors open, limit %d", n, maxDescriptors)
 	}
-	p.serves(w, "only", 200) // new connections and set-ups
-	second, err := platformsim.NewServer(w, 0x10)
+	front.waitForSession(world, "only", 200) // needs new connections and set-ups
+	second, err := platformsim.NewServer(world, 0x10)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Die()
-	moved.Tell(false, wire.HostReady, second)
+	newJournal.Tell(false, wire.HostReady, second)
 	flood()
-	first.Die() // only the newly listed one is left
-	text, err := os.ReadFile(p.path)
+	first.Die() // only the newly listed server is left
+	text, err := os.ReadFile(front.path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(p.path, []byte(strings.Replace(string(text), j.Addr(), moved.Addr(), 1)), 0o600); err != nil {
+	if err := os.WriteFile(front.path, []byte(strings.Replace(string(text), journal.Addr(), newJournal.Addr(), 1)),
+		0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.serves(w, "only", 300)
+	front.cmd.Process.Signal(syscall.SIGHUP)
+	front.waitForSession(world, "only", 300)
 	for _, c := range idle {
 		c.Close()
 	}
-	for end := time.Now().Add(8 * time.Second); p.descriptors() > 40; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(8 * time.Second); front.openDescriptors() > 40; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d descriptors after all have gone", p.descriptors())
+			t.Fatalf("%d descriptors open after all idle clients disconnected", front.openDescriptors())
 		}
 	}
-	p.serves(w, "only", 400)
+	front.waitForSession(world, "only", 400)
 }
 
-// descriptors counts what the process holds.
-func (p *process) descriptors() int {
+// openDescriptors returns the number of open descriptors of the process.
+func (p *process) openDescriptors() int {
 	p.t.Helper()
 	list, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
--- a/cmd/tealledge/days.go
+++ b/cmd/tealledge/days.go
@@ -12,9 +12,10 @@
 	"tealledge/internal/record"
 )
 
-// errRules tells that a rule was broken; what and where was printed.
-var errRules = errors.New("a rule was broken")
+// errRuleViolated reports a violation of a rule. The details have been printed already.
+var errRuleViolated = errors.New("a rule was broken")
 
+// dayCmd plays a scripted day against stand-ins.
 type dayCmd struct {
 	File      string  `arg:"" optional:"" type:"existingfile" help:"Script of the day; the built-in bad day if left out."`
 	Record    string  `help:"Keep settings, logs and records in this directory." type:"path"`
@@ -27,23 +28,23 @@
 }
 
 func (c *dayCmd) Run(ctx context.Context) error {
-	s, err := day.Bad()
+	script, err := day.Bad()
 	if c.File != "" {
-		s, err = day.Load(c.File)
+		script, err = day.Load(c.File)
 	}
 	if err != nil {
 		return err
 	}
 	if c.HLS >= 0 {
-		s.HLS = c.HLS
+		script.HLS = c.HLS
 	}
 	if c.Calm {
-		s.Troubles = nil
+		script.Troubles = nil
 	}
 	if c.Seed != 0 {
-		s.Seed = c.Seed
+		script.Seed = c.Seed
 	}
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
@@ -56,46 +57,49 @@
 		} else if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
-		report, err := day.Run(ctx, s, day.Options{Command: []string{self, "serve", "-c"}, Dir: dir, Baseline: c.Baseline, NoRecover: c.NoRecover, Out: os.Stderr})
+		report, err := day.Run(ctx, script, day.Options{Command: []string{executable, "serve", "-c"}, Dir: dir,
+			Baseline: c.Baseline, NoRecover: c.NoRecover, Out: os.Stderr})
 		if err != nil {
 			return err
 		}
 		if c.Times > 1 {
-			fmt.Printf("day %d, seed %d: ", i+1, s.Seed)
+			fmt.Printf("day %d, seed %d: ", i+1, script.Seed)
 		}
-		if err := judged(report, c.Times > 1); err != nil {
+		if err := printReport(report, c.Times > 1); err != nil {
 			fmt.Printf("records: %s\n", dir)
 			return err
 		}
 		if c.Record == "" {
 			os.RemoveAll(dir)
 		}
-		s.Seed++
+		script.Seed++
 	}
 	return nil
 }
 
-// judged prints a report and tells whether a rule was broken.
-func judged(r *audit.Report, brief bool) error {
-	if brief && len(r.Violations) == 0 {
-		fmt.Printf("every rule kept, %d asks, %d plays, p99 %v, worth %.3f\n", r.Asks, r.Replies["plays"], audit.Quantile(r.Open, 0.99), r.Worth)
+// printReport prints a report and returns errRuleViolated if it has violations.
+func printReport(report *audit.Report, brief bool) error {
+	if brief && len(report.Violations) == 0 {
+		fmt.Printf("every rule kept, %d asks, %d plays, p99 %v, worth %.3f\n", report.Asks, report.Replies["plays"],
+			audit.Quantile(report.Open, 0.99), report.Worth)
 		return nil
 	}
-	fmt.Print(r.Table())
-	if len(r.Violations) == 0 {
+	fmt.Print(report.Table())
+	if len(report.Violations) == 0 {
 		fmt.Println("every rule kept")
 		return nil
 	}
 	seen := map[string]bool{}
-	for _, v := range r.Violations { // the first message that breaks each rule
-		if !seen[v.Rule] {
-			seen[v.Rule] = true
-			fmt.Println(v)
+	for _, violation := range report.Violations { // the first violation of each rule
+		if !seen[violation.Rule] {
+			seen[violation.Rule] = true
+			fmt.Println(violation)
 		}
 	}
-	return errRules
+	return errRuleViolated
 }
 
+// auditCmd judges the records of a day.
 type auditCmd struct {
 	Dir  string `arg:"" type:"existingdir" help:"Directory with the records (*.jsonl)."`
 	JSON bool   `help:"Print the report as JSON."`
@@ -118,9 +122,9 @@
 		}
 		fmt.Println(string(b))
 		if len(report.Violations) > 0 {
-			return errRules
+			return errRuleViolated
 		}
 		return nil
 	}
-	return judged(report, false)
+	return printReport(report, false)
 }
--- a/cmd/tealledge/demo.go
+++ b/cmd/tealledge/demo.go
@@ -34,20 +34,23 @@
 }
 
 func (c *standinMediaCmd) Run(ctx context.Context) error {
-	s, err := day.Bad()
+	script, err := day.Bad()
 	if err != nil {
 		return err
 	}
-	set := s.Service.Service
-	farm, err := mediasim.New(mediasim.Params{Ladder: set.RungKB, Slots: s.Slots, LinkKB: s.LinkKB, UplinkKB: s.UplinkKB, Racks: set.Racks,
-		Cells: set.Cells, SetupTime: s.SetupTime, ReportEvery: s.ReportEvery, NotesLate: time.Duration(set.NoteDelay),
-		TellEvery: time.Duration(set.NoteInterval), Inline: true, Keep: s.Keep}, c.Servers, nil)
+	settings := script.Service.Service
+	farm, err := mediasim.New(mediasim.Params{Ladder: settings.RungKB, Slots: script.Slots, LinkKB: script.LinkKB,
+		UplinkKB: script.UplinkKB, Racks: settings.Racks,
+		Cells: settings.Cells, SetupTime: script.SetupTime, ReportEvery: script.ReportEvery,
+		NotesLate: time.Duration(settings.NoteDelay),
+		TellEvery: time.Duration(settings.NoteInterval), Inline: true, Keep: script.Keep}, c.Servers, nil)
 	if err != nil {
 		return err
 	}
 	defer farm.Close()
-	for _, m := range farm.Servers() {
-		fmt.Printf("(server %d (address %q) (cell %d) (zone \"centro\") (kind \"std\"))\n", m.ID, m.Addr(), m.Cell)
+	for _, server := range farm.Servers() {
+		fmt.Printf("(server %d (address %q) (cell %d) (zone \"centro\") (kind \"std\"))\n", server.ID, server.Addr(),
+			server.Cell)
 	}
 	fmt.Println("ready")
 	<-ctx.Done()
@@ -59,30 +62,31 @@
 }
 
 func (c *standinListCmd) Run(ctx context.Context) error {
-	l, err := listsim.New(c.Listen, nil)
+	list, err := listsim.New(c.Listen, nil)
 	if err != nil {
 		return err
 	}
-	defer l.Close()
-	fmt.Printf("ready http://%s\n", l.Addr())
-	go read(l, os.Stdin) // it may wait for lines for ever
+	defer list.Close()
+	fmt.Printf("ready http://%s\n", list.Addr())
+	go readServers(list, os.Stdin) // may block on standard input for the rest of the process
 	<-ctx.Done()
 	return nil
 }
 
-// read lists the servers that are read, a (server ...) line each.
-func read(l *listsim.List, in io.Reader) {
+// readServers adds the servers read from in to the list. Each is a line (server ...).
+func readServers(list *listsim.List, in io.Reader) {
 	lines := bufio.NewScanner(in)
 	for lines.Scan() {
-		var s listsim.Server
-		if _, err := fmt.Sscanf(lines.Text(), `(server %d (address %q) (cell %d)`, &s.ID, &s.Addr, &s.Cell); err != nil {
+		var server listsim.Server
+		if _, err := fmt.Sscanf(lines.Text(), `(server %d (address %q) (cell %d)`, &server.ID, &server.Addr,
+			&server.Cell); err != nil {
 			if strings.HasPrefix(lines.Text(), "(") {
 				fmt.Fprintf(os.Stderr, "not a server: %.80q: %v\n", lines.Text(), err)
 			}
 			continue
 		}
-		s.Zone, s.Kind, s.Size, s.Health = "centro", "std", 1, "ready"
-		l.Set(s)
+		server.Zone, server.Kind, server.Size, server.Health = "centro", "std", 1, "ready"
+		list.Set(server)
 	}
 }
 
@@ -91,21 +95,22 @@
 	Servers int    `help:"Media stand-ins." default:"12"`
 }
 
-// child is a process of the demo.
+// child is a child process, such as a stand-in of the demo.
 type child struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *bufio.Scanner
 }
 
-func spawn(args ...string) (*child, error) {
-	self, err := os.Executable()
+// startChild starts this program with other arguments.
+func startChild(args ...string) (*child, error) {
+	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	c := &child{cmd: exec.Command(self, args...)}
+	c := &child{cmd: exec.Command(executable, args...)}
 	c.cmd.Stderr = os.Stderr
-	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM} // none outlives the demo
+	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGTERM} // ends the child if this process dies
 	if c.in, err = c.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
@@ -117,20 +122,22 @@
 	return c, c.cmd.Start()
 }
 
-// until reads lines up to one with a prefix and gives the rest of that.
-func (c *child) until(prefix string, each func(string)) (string, error) {
+// readUntil reads lines up to one with the given prefix and returns the rest of that line. It passes the earlier lines to
+// handle.
+func (c *child) readUntil(prefix string, handle func(string)) (string, error) {
 	for c.out.Scan() {
 		if rest, ok := strings.CutPrefix(c.out.Text(), prefix); ok {
 			return strings.TrimSpace(rest), nil
 		}
-		if each != nil {
-			each(c.out.Text())
+		if handle != nil {
+			handle(c.out.Text())
 		}
 	}
 	return "", fmt.Errorf("a child ended before it was ready: %v", c.cmd.Args[1:])
 }
 
-func (c *child) end() {
+// stop ends the child with SIGTERM, and kills it if it still runs after 15 s.
+func (c *child) stop() {
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	done := make(chan struct{})
 	go func() { c.cmd.Wait(); close(done) }()
@@ -143,21 +150,21 @@
 }
 
 func (c *demoCmd) Run(ctx context.Context) error {
-	list, err := spawn("standin", "list")
+	list, err := startChild("standin", "list")
 	if err != nil {
 		return err
 	}
-	defer list.end()
-	at, err := list.until("ready http://", nil)
+	defer list.stop()
+	listAddr, err := list.readUntil("ready http://", nil)
 	if err != nil {
 		return err
 	}
-	media, err := spawn("standin", "media", "--servers", fmt.Sprint(c.Servers))
+	media, err := startChild("standin", "media", "--servers", fmt.Sprint(c.Servers))
 	if err != nil {
 		return err
 	}
-	defer media.end()
-	if _, err := media.until("ready", func(line string) { fmt.Fprintln(list.in, line) }); err != nil {
+	defer media.stop()
+	if _, err := media.readUntil("ready", func(line string) { fmt.Fprintln(list.in, line) }); err != nil {
 		return err
 	}
 	dir, err := os.MkdirTemp("", "tealledge-demo-")
@@ -165,21 +172,22 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	s, err := day.Bad()
+	script, err := day.Bad()
 	if err != nil {
 		return err
 	}
-	s.Fronts = 1
+	script.Fronts = 1
 	path := filepath.Join(dir, "settings.sexp")
-	if err := os.WriteFile(path, []byte(s.Settings(day.Place{Name: "demo", Listen: c.Listen, List: at, State: filepath.Join(dir, "state")}, "")), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(script.Settings(day.Place{Name: "demo", Listen: c.Listen, List: listAddr,
+		State: filepath.Join(dir, "state")}, "")), 0o644); err != nil {
 		return err
 	}
-	front, err := spawn("serve", "--pretty", "-c", path)
+	front, err := startChild("serve", "--pretty", "-c", path)
 	if err != nil {
 		return err
 	}
-	defer front.end()
-	url, err := front.until("ready ", func(line string) { fmt.Println(line) })
+	defer front.stop()
+	url, err := front.readUntil("ready ", func(line string) { fmt.Println(line) })
 	if err != nil {
 		return err
 	}
@@ -199,11 +207,11 @@
 
 func (c *playCmd) Run(ctx context.Context) error {
 	addr, _, _ := strings.Cut(strings.TrimPrefix(c.URL, "ws://"), "/")
-	nc, err := playersim.Dial(ctx, addr)
+	conn, err := playersim.Dial(ctx, addr)
 	if err != nil {
 		return err
 	}
-	defer nc.Close()
+	defer conn.Close()
 	params := map[string]any{"title": c.Title, "class": c.Class, "viewer": c.Viewer}
 	if c.Tenant != "" {
 		params["tenant"] = c.Tenant
@@ -212,16 +220,16 @@
 	if err != nil {
 		return err
 	}
-	if err := wsutil.WriteClientText(nc, text); err != nil {
+	if err := wsutil.WriteClientText(conn, text); err != nil {
 		return err
 	}
-	nc.SetReadDeadline(time.Now().Add(c.For))
-	stop := context.AfterFunc(ctx, func() { nc.Close() })
+	conn.SetReadDeadline(time.Now().Add(c.For))
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	for {
-		text, err := wsutil.ReadServerText(nc)
-		var ne net.Error
-		if errors.As(err, &ne) && ne.Timeout() || ctx.Err() != nil {
+		text, err := wsutil.ReadServerText(conn)
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() || ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
--- a/cmd/tealledge/explore.go
+++ b/cmd/tealledge/explore.go
@@ -48,7 +48,7 @@
 	At       time.Duration `help:"Time into the record."`
 }
 
-// Run explores the attempts of a small world and exits 1 if a property is violated.
+// Run explores the attempts of a small world. The exit code is 1 if a property is violated.
 func (c *exploreCmd) Run(ctx context.Context) error {
 	cfg := c.config()
 	if c.World == "small" {
@@ -62,34 +62,35 @@
 			return err
 		}
 	}
-	fresh, err := c.start(cfg)
+	newWorld, err := c.worldFactory(cfg)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	workers := c.Workers
-	var r explore.Report
+	var report explore.Report
 	if c.Random {
-		r = explore.Walk(ctx, fresh, c.Depth, max(workers, 1), c.Time, c.Seed)
+		report = explore.Walk(ctx, newWorld, c.Depth, max(workers, 1), c.Time, c.Seed)
 	} else {
-		r = explore.Run(fresh, explore.Limits{Context: ctx, Depth: c.Depth, Time: c.Time, States: c.States, Breadth: c.Breadth, Replay: c.Replay,
+		report = explore.Run(newWorld, explore.Limits{Context: ctx, Depth: c.Depth, Time: c.Time, States: c.States,
+			Breadth: c.Breadth, Replay: c.Replay,
 			Workers: workers, Keep: c.Keep, World: fmt.Sprintf("%+v", cfg),
-			Progress: func(r explore.Report) { fmt.Fprintln(os.Stderr, r) }})
+			Progress: func(report explore.Report) { fmt.Fprintln(os.Stderr, report) }})
 	}
-	fmt.Println(r)
-	if r.Kept != nil {
-		fmt.Fprintln(os.Stderr, r.Kept)
+	fmt.Println(report)
+	if report.Kept != nil {
+		fmt.Fprintln(os.Stderr, report.Kept)
 	}
-	if r.Broken == "" {
+	if report.Broken == "" {
 		return nil
 	}
 	if c.Script != "" {
-		if err := os.WriteFile(c.Script, []byte(attempts.Script(cfg, r)), 0o644); err != nil {
+		if err := os.WriteFile(c.Script, []byte(attempts.Script(cfg, report)), 0o644); err != nil {
 			return err
 		}
 	}
-	return errRules
+	return errRuleViolated
 }
 
 func (c *exploreCmd) config() attempts.Config {
@@ -98,8 +99,8 @@
 		Notes: c.Notes, Waits: c.Waits, Probes: c.Probes, Cold: c.Cold, Budget: c.Budget}
 }
 
-// start gives what makes worlds: from nothing, or from what a record shows.
-func (c *exploreCmd) start(cfg attempts.Config) (func() explore.System, error) {
+// worldFactory returns a function that creates worlds: empty ones, or worlds in the state that a record shows.
+func (c *exploreCmd) worldFactory(cfg attempts.Config) (func() explore.System, error) {
 	if c.From == "" {
 		return attempts.NewAfter(cfg, nil), nil
 	}
--- a/cmd/tealledge/fleet.go
+++ b/cmd/tealledge/fleet.go
@@ -20,54 +20,56 @@
 	"tealledge/internal/fleet/node"
 )
 
-// Commands for a fleet, given at any of its fronts: by default at the one on this host.
+// Commands for a fleet. Each front of the fleet accepts them; the default is the front on this host.
 
-// at is where a front takes commands.
+// at holds the control address of a front and the output format.
 type at struct {
 	At   string `default:"127.0.0.1:7947" env:"TEALLEDGE_CONTROL" help:"Where the front takes commands: control in its settings."`
 	JSON bool   `name:"json" help:"As JSON."`
 }
 
-// answerMost bounds what is read of an answer.
-const answerMost = 64 << 20
+// maxResponseBytes limits the size of a response.
+const maxResponseBytes = 64 << 20
 
-func (a *at) call(ctx context.Context, method, path string, body, to any) error {
-	var b []byte
+// request sends an HTTP request to the front and decodes the JSON response into target.
+func (a *at) request(ctx context.Context, method, path string, body, target any) error {
+	var encoded []byte
 	if body != nil {
 		var err error
-		if b, err = json.Marshal(body); err != nil {
+		if encoded, err = json.Marshal(body); err != nil {
 			return err
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, 30*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+a.At+path, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+a.At+path, bytes.NewReader(encoded))
 	if err != nil {
 		return err
 	}
-	r, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return fmt.Errorf("no front answers at %s: %w", a.At, err)
 	}
-	defer r.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(r.Body, answerMost))
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
-	if r.StatusCode != http.StatusOK {
-		var e struct{ Error string }
-		if json.Unmarshal(text, &e) != nil || e.Error == "" {
-			e.Error = r.Status
+	if response.StatusCode != http.StatusOK {
+		var failure struct{ Error string }
+		if json.Unmarshal(text, &failure) != nil || failure.Error == "" {
+			failure.Error = response.Status
 		}
-		return errors.New(e.Error)
+		return errors.New(failure.Error)
 	}
-	return json.Unmarshal(text, to)
+	return json.Unmarshal(text, target)
 }
 
-func show(v any) error {
-	e := json.NewEncoder(os.Stdout)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+// printJSON prints a value as indented JSON.
+func printJSON(v any) error {
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
 
 type upkeepCmd struct {
@@ -88,7 +90,7 @@
 }
 
 func (c *upkeepAskCmd) Run(ctx context.Context) error {
-	a := node.Ask{Names: c.Machines, For: c.For, Note: c.Note, Key: c.Key}
+	request := node.Ask{Names: c.Machines, For: c.For, Note: c.Note, Key: c.Key}
 	if c.By != "" {
 		t, err := time.Parse(time.RFC3339, c.By)
 		if err != nil {
@@ -98,24 +100,24 @@
 			}
 			t = time.Now().Add(d)
 		}
-		a.By = t.UnixNano()
+		request.By = t.UnixNano()
 	}
-	if a.Key == "" {
-		a.Key = uuid.NewString()
+	if request.Key == "" {
+		request.Key = uuid.NewString()
 	}
-	return c.order(ctx, "/upkeep/ask", a, a.Key)
+	return c.sendCommand(ctx, "/upkeep/ask", request, request.Key)
 }
 
-// order gives a command and says what became of it.
-func (a *at) order(ctx context.Context, path string, body any, key string) error {
-	var x ledger.Answer
-	if err := a.call(ctx, "POST", path, body, &x); err != nil {
+// sendCommand sends a command and prints the number of its work.
+func (a *at) sendCommand(ctx context.Context, path string, body any, key string) error {
+	var answer ledger.Answer
+	if err := a.request(ctx, "POST", path, body, &answer); err != nil {
 		return err
 	}
-	if x.Err != "" {
-		return fmt.Errorf("%s (key %s)", x.Err, key)
+	if answer.Err != "" {
+		return fmt.Errorf("%s (key %s)", answer.Err, key)
 	}
-	fmt.Printf("work %d\n", x.ID)
+	fmt.Printf("work %d\n", answer.ID)
 	return nil
 }
 
@@ -125,42 +127,45 @@
 }
 
 func (c *upkeepListCmd) Run(ctx context.Context) error {
-	var l node.Listing
-	if err := c.call(ctx, "GET", "/upkeep", nil, &l); err != nil {
+	var listing node.Listing
+	if err := c.request(ctx, "GET", "/upkeep", nil, &listing); err != nil {
 		return err
 	}
 	if c.JSON {
-		return show(l)
+		return printJSON(listing)
 	}
-	head(&l)
+	warnIfStale(&listing)
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WORK\tPHASE\tSINCE\tMACHINES\tFOR\tWHY")
-	for _, x := range l.Works {
-		if x.Phase.Ended() && !c.Ended {
+	for _, work := range listing.Works {
+		if work.Phase.Ended() && !c.Ended {
 			continue
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%v\t%s\n", x.ID, x.Phase, clock(x.Since), strings.Join(x.Ask.Names, " "), time.Duration(x.Ask.For), why(&x))
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%v\t%s\n", work.ID, work.Phase, formatClock(work.Since),
+			strings.Join(work.Ask.Names, " "), time.Duration(work.Ask.For), reasonOf(&work))
 	}
 	return w.Flush()
 }
 
-// head says whose word a listing is, if it may be an old one.
-func head(l *node.Listing) {
-	if !l.Fresh {
-		fmt.Printf("%s has heard nothing new from the fleet: this may be old\n", l.Front)
+// warnIfStale prints a warning if a listing may be out of date.
+func warnIfStale(listing *node.Listing) {
+	if !listing.Fresh {
+		fmt.Printf("%s has heard nothing new from the fleet: this may be old\n", listing.Front)
 	}
 }
 
-func clock(ns int64) string { return time.Unix(0, ns).Format("15:04:05") }
+// formatClock formats a point of time in nanoseconds as a time of day.
+func formatClock(ns int64) string { return time.Unix(0, ns).Format("15:04:05") }
 
-func why(x *node.Shown) string {
-	if x.Phase == ledger.Asked && x.Waits != nil {
-		return x.Waits.Limit + ": " + x.Waits.Why
+// reasonOf returns why a work is in its phase.
+func reasonOf(work *node.Shown) string {
+	if work.Phase == ledger.Asked && work.Waits != nil {
+		return work.Waits.Limit + ": " + work.Waits.Why
 	}
-	if x.Phase == ledger.Asked && x.Why == "" {
+	if work.Phase == ledger.Asked && work.Why == "" {
 		return "the leader did not say"
 	}
-	return x.Why
+	return work.Why
 }
 
 type upkeepShowCmd struct {
@@ -169,29 +174,30 @@
 }
 
 func (c *upkeepShowCmd) Run(ctx context.Context) error {
-	var l node.Listing
-	if err := c.call(ctx, "GET", fmt.Sprintf("/upkeep/%d", c.ID), nil, &l); err != nil {
+	var listing node.Listing
+	if err := c.request(ctx, "GET", fmt.Sprintf("/upkeep/%d", c.ID), nil, &listing); err != nil {
 		return err
 	}
 	if c.JSON {
-		return show(l)
-	}
-	head(&l)
-	for _, x := range l.Works {
-		fmt.Printf("work %d, %s since %s\n  machines  %s\n  asked     %s at %s for %v\n", x.ID, x.Phase, clock(x.Since), strings.Join(x.Ask.Names, " "), x.From,
-			clock(x.Asked), time.Duration(x.Ask.For))
-		if x.Ask.By > 0 {
-			fmt.Printf("  by        %s\n", time.Unix(0, x.Ask.By).Format(time.RFC3339))
+		return printJSON(listing)
+	}
+	warnIfStale(&listing)
+	for _, work := range listing.Works {
+		fmt.Printf("work %d, %s since %s\n  machines  %s\n  asked     %s at %s for %v\n", work.ID, work.Phase,
+			formatClock(work.Since), strings.Join(work.Ask.Names, " "), work.From,
+			formatClock(work.Asked), time.Duration(work.Ask.For))
+		if work.Ask.By > 0 {
+			fmt.Printf("  by        %s\n", time.Unix(0, work.Ask.By).Format(time.RFC3339))
 		}
-		if x.Until > 0 {
-			fmt.Printf("  until     %s, at the latest\n", clock(x.Until))
+		if work.Until > 0 {
+			fmt.Printf("  until     %s, at the latest\n", formatClock(work.Until))
 		}
-		if x.Ask.Note != "" {
-			fmt.Printf("  note      %s\n", x.Ask.Note)
+		if work.Ask.Note != "" {
+			fmt.Printf("  note      %s\n", work.Ask.Note)
 		}
-		fmt.Printf("  why       %s\n", why(&x))
-		if x.Waits != nil && len(x.Waits.Behind) > 0 {
-			fmt.Printf("  behind    %v\n", x.Waits.Behind)
+		fmt.Printf("  why       %s\n", reasonOf(&work))
+		if work.Waits != nil && len(work.Waits.Behind) > 0 {
+			fmt.Printf("  behind    %v\n", work.Waits.Behind)
 		}
 	}
 	return nil
@@ -204,7 +210,7 @@
 
 func (c *upkeepCancelCmd) Run(ctx context.Context) error {
 	key := uuid.NewString()
-	return c.order(ctx, "/upkeep/cancel", node.Order{ID: c.ID, Key: key}, key)
+	return c.sendCommand(ctx, "/upkeep/cancel", node.Order{ID: c.ID, Key: key}, key)
 }
 
 type upkeepDoneCmd struct {
@@ -214,40 +220,42 @@
 
 func (c *upkeepDoneCmd) Run(ctx context.Context) error {
 	key := uuid.NewString()
-	return c.order(ctx, "/upkeep/done", node.Order{ID: c.ID, Key: key}, key)
+	return c.sendCommand(ctx, "/upkeep/done", node.Order{ID: c.ID, Key: key}, key)
 }
 
 type fleetCmd struct{ at }
 
 func (c *fleetCmd) Run(ctx context.Context) error {
-	var s core.Status
-	if err := c.call(ctx, "GET", "/fleet", nil, &s); err != nil {
+	var status core.Status
+	if err := c.request(ctx, "GET", "/fleet", nil, &status); err != nil {
 		return err
 	}
 	if c.JSON {
-		return show(s)
+		return printJSON(status)
 	}
-	lead, fresh := s.Lead, "fresh"
+	lead, fresh := status.Lead, "fresh"
 	if lead == "" {
 		lead = "nobody"
 	}
-	if !s.Fresh {
+	if !status.Fresh {
 		fresh = "STALE: machines are kept as last told, nothing is granted as far as this front knows"
 	}
-	fmt.Printf("%s of %s: %s leads, entry %d, heard %d ms ago, %s\n", s.Name, s.Cluster, lead, s.Index, s.HeardMs, fresh)
+	fmt.Printf("%s of %s: %s leads, entry %d, heard %d ms ago, %s\n", status.Name, status.Cluster, lead, status.Index,
+		status.HeardMs, fresh)
 	switch {
-	case s.Broken:
+	case status.Broken:
 		fmt.Println("this voter is out of the fleet: its log says why; it serves on")
-	case s.Silent:
+	case status.Silent:
 		fmt.Println("this voter does not take part yet: too few others have told it that its disk is the newest")
 	}
-	if s.Newer > 0 {
-		fmt.Printf("entries were agreed on in format %d, which this front does not know: it grants nothing\n", s.Newer)
+	if status.Newer > 0 {
+		fmt.Printf("entries were agreed on in format %d, which this front does not know: it grants nothing\n",
+			status.Newer)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FRONT\tHERE\tVOTES\tZONE\tLIFE")
-	for _, h := range s.Here {
-		fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%d\n", h.Name, h.Here, h.Voter, h.Zone, h.Life)
+	for _, front := range status.Here {
+		fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%d\n", front.Name, front.Here, front.Voter, front.Zone, front.Life)
 	}
 	return w.Flush()
 }
--- a/cmd/tealledge/fleetday.go
+++ b/cmd/tealledge/fleetday.go
@@ -10,6 +10,7 @@
 	"tealledge/internal/rig"
 )
 
+// fleetDayCmd plays faults between the fronts of a fleet.
 type fleetDayCmd struct {
 	Seed   int64  `default:"1" help:"Draws the faults."`
 	Faults int    `default:"60" help:"How many."`
@@ -18,7 +19,7 @@
 }
 
 func (c *fleetDayCmd) Run(ctx context.Context) error {
-	s, err := day.Parse("fleet-day", rig.Site)
+	script, err := day.Parse("fleet-day", rig.Site)
 	if err != nil {
 		return err
 	}
@@ -29,13 +30,13 @@
 	} else if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 		return err
 	}
-	list := rig.Random(c.Seed, c.Faults, s.Fronts, s.Servers)
+	faultList := rig.Random(c.Seed, c.Faults, script.Fronts, script.Servers)
 	if c.Script != "" {
 		text, err := os.ReadFile(c.Script)
 		if err != nil {
 			return err
 		}
-		if list, err = rig.Read(c.Script, string(text), s.Fronts, s.Servers); err != nil {
+		if faultList, err = rig.Read(c.Script, string(text), script.Fronts, script.Servers); err != nil {
 			return err
 		}
 	}
@@ -43,49 +44,51 @@
 	if err != nil {
 		return err
 	}
-	rig.Write(f, list)
+	rig.Write(f, faultList)
 	if err := f.Close(); err != nil {
 		return err
 	}
-	fmt.Printf("seed %d, %d steps, script and records in %s\n", c.Seed, len(list), c.Dir)
-	self, err := os.Executable()
+	fmt.Printf("seed %d, %d steps, script and records in %s\n", c.Seed, len(faultList), c.Dir)
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	r, err := rig.Open(ctx, s, day.Options{Command: []string{self, "serve", "--config"}, Dir: c.Dir, Out: os.Stderr}, 3)
+	testRig, err := rig.Open(ctx, script, day.Options{Command: []string{executable, "serve", "--config"}, Dir: c.Dir,
+		Out: os.Stderr}, 3)
 	if err != nil {
 		return err
 	}
-	defer r.Close()
-	if !r.Whole(ctx, time.Minute) {
+	defer testRig.Close()
+	if !testRig.Whole(ctx, time.Minute) {
 		return fmt.Errorf("no fleet within a minute: see the logs in %s", c.Dir)
 	}
-	crowd, enough := context.WithCancel(ctx)
-	defer enough()
-	wait := r.Viewers(crowd, time.Hour)
-	faults, err := r.Play(ctx, list)
+	viewerCtx, stopViewers := context.WithCancel(ctx)
+	defer stopViewers()
+	waitViewers := testRig.Viewers(viewerCtx, time.Hour)
+	faults, err := testRig.Play(ctx, faultList)
 	if err != nil {
 		return err
 	}
-	enough()
-	if err := wait(); err != nil {
+	stopViewers()
+	if err := waitViewers(); err != nil {
 		return err
 	}
-	r.AllSeen(ctx)
-	report, err := r.Judge(ctx, r.Rules())
+	testRig.AllSeen(ctx)
+	report, err := testRig.Judge(ctx, testRig.Rules())
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d faults brought about, %d commands, checked %v, replies %v\n", faults, len(r.Calls()), report.Checked, report.Replies)
+	fmt.Printf("%d faults brought about, %d commands, checked %v, replies %v\n", faults, len(testRig.Calls()),
+		report.Checked, report.Replies)
 	for _, v := range report.Violations {
 		fmt.Println(v)
 	}
-	if !rig.Linearizable(r.Calls(), time.Minute) {
+	if !rig.Linearizable(testRig.Calls(), time.Minute) {
 		fmt.Println("no order of the commands explains their answers")
-		return errRules
+		return errRuleViolated
 	}
 	if len(report.Violations) > 0 {
-		return errRules
+		return errRuleViolated
 	}
 	fmt.Println("every rule kept")
 	return nil
--- a/cmd/tealledge/flood_test.go
+++ b/cmd/tealledge/flood_test.go
@@ -12,17 +12,18 @@
 	"tealledge/internal/standin/platformsim"
 )
 
-// BenchmarkUsualClientsInAFlood tells how many of 1,000 requests, each on a new connection, are closed unanswered while bursts of 300
-// clients connect and say nothing: one flood an iteration.
-func BenchmarkUsualClientsInAFlood(b *testing.B) {
+// BenchmarkRequestsDuringConnectionFlood measures how many of 1,000 requests, each on a new connection, are closed without a
+// reply while bursts of 300 clients connect and send nothing. Each iteration is one flood.
+func BenchmarkRequestsDuringConnectionFlood(b *testing.B) {
 	for b.Loop() {
-		w := platformsim.NewWorld()
-		s, err := platformsim.NewServer(w, 0)
+		world := platformsim.NewWorld()
+		server, err := platformsim.NewServer(world, 0)
 		if err != nil {
 			b.Fatal(err)
 		}
-		p := start(b, siteSettings(), listOf([]*platformsim.Server{s}, 0), "", 256, "env", "GOMAXPROCS=1")
-		p.ready()
+		front := startFront(b, siteSettings(), serverListEvents([]*platformsim.Server{server}, 0), "", 256, "env",
+			"GOMAXPROCS=1")
+		front.waitReady()
 		var idle atomic.Int64
 		var flood sync.WaitGroup
 		stop := make(chan struct{})
@@ -36,12 +37,12 @@
 				}()
 				for {
 					for range 75 {
-						if c, err := net.DialTimeout("tcp", p.addr, time.Second); err == nil {
+						if c, err := net.DialTimeout("tcp", front.addr, time.Second); err == nil {
 							held = append(held, c)
 							idle.Add(1)
 						}
 					}
-					for len(held) > 1500 { // this process has descriptors to keep to, too
+					for len(held) > 1500 { // this process has a descriptor limit, too
 						held[0].Close()
 						held = held[1:]
 					}
@@ -55,25 +56,26 @@
 		}
 		plays, refused, closed := 0, 0, 0
 		for sid := uint64(1000); sid < 2000; sid++ {
-			v, err := platformsim.Dial(w, p.addr)
+			viewer, err := platformsim.Dial(world, front.addr)
 			if err != nil {
 				b.Fatal(err)
 			}
-			v.Write(strings.Replace(platformsim.Form(sid, "only", 1500*time.Millisecond, ""), "copies:3", "copies:1", 1))
+			viewer.Write(strings.Replace(platformsim.Form(sid, "only", 1500*time.Millisecond, ""),
+				"copies:3", "copies:1", 1))
 			select {
-			case l := <-v.Lines:
-				if l.Msg == wire.LineReady {
+			case line := <-viewer.Lines:
+				if line.Msg == wire.LineReady {
 					plays++
-					v.GiveUp(sid)
+					viewer.GiveUp(sid)
 				} else {
 					refused++
 				}
-			case <-v.Ended:
+			case <-viewer.Ended:
 				closed++
 			case <-time.After(3 * time.Second):
-				b.Fatalf("no answer: %s", p.log.String())
+				b.Fatalf("no reply: %s", front.log.String())
 			}
-			v.Close()
+			viewer.Close()
 			time.Sleep(8 * time.Millisecond)
 		}
 		close(stop)
@@ -82,8 +84,8 @@
 		b.ReportMetric(float64(refused), "refused")
 		b.ReportMetric(float64(closed), "closed")
 		b.ReportMetric(float64(idle.Load()), "idle")
-		p.cmd.Process.Kill()
-		<-p.ended
-		s.Die()
+		front.cmd.Process.Kill()
+		<-front.ended
+		server.Die()
 	}
 }
--- a/cmd/tealledge/load.go
+++ b/cmd/tealledge/load.go
@@ -37,20 +37,21 @@
 }
 
 func (c *loadCmd) Run(ctx context.Context) error {
-	p := load.Plan{Clients: c.Clients, Rate: c.Rate, Length: c.Length, Shape: load.Shape(c.Shape), Hold: [2]time.Duration{c.HoldMin, c.HoldMax},
-		Bad: c.Bad, Wait: c.Wait, Titles: c.Titles, Classes: c.Classes, Tenant: c.Tenant, Seed: c.Seed}
+	plan := load.Plan{Clients: c.Clients, Rate: c.Rate, Length: c.Length, Shape: load.Shape(c.Shape),
+		Hold: [2]time.Duration{c.HoldMin, c.HoldMax},
+		Bad:  c.Bad, Wait: c.Wait, Titles: c.Titles, Classes: c.Classes, Tenant: c.Tenant, Seed: c.Seed}
 	if c.URL != "" {
 		addr, _, _ := strings.Cut(strings.TrimPrefix(c.URL, "ws://"), "/")
-		p.Front = func(int) (string, string) { return "front", addr }
-		res, err := load.Run(ctx, p, nil)
+		plan.Front = func(int) (string, string) { return "front", addr }
+		result, err := load.Run(ctx, plan, nil)
 		if err != nil {
 			return err
 		}
-		return c.print(res)
+		return c.print(result)
 	}
-	s, err := day.Load(c.Script)
+	script, err := day.Load(c.Script)
 	if c.Script == "" {
-		s, err = day.Quiet()
+		script, err = day.Quiet()
 	}
 	if err != nil {
 		return err
@@ -64,46 +65,47 @@
 	} else if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	w, err := day.Open(ctx, s, day.Options{Command: frontCommand(), Dir: dir, Out: os.Stderr})
+	world, err := day.Open(ctx, script, day.Options{Command: frontCommand(), Dir: dir, Out: os.Stderr})
 	if err != nil {
 		return err
 	}
-	defer w.Close()
-	p.Front, p.Titles, p.Classes, p.Mix = w.Front, s.TitleNames(), s.Service.Classes, s.Mix
-	wait := w.Troubles(ctx)
-	res, err := load.Run(ctx, p, w.Record())
+	defer world.Close()
+	plan.Front, plan.Titles, plan.Classes, plan.Mix = world.Front, script.TitleNames(), script.Service.Classes, script.Mix
+	waitTroubles := world.Troubles(ctx)
+	result, err := load.Run(ctx, plan, world.Record())
 	if err != nil {
 		return err
 	}
-	wait()
-	if err := c.print(res); err != nil {
+	waitTroubles()
+	if err := c.print(result); err != nil {
 		return err
 	}
-	report, err := w.Judge(ctx)
+	report, err := world.Judge(ctx)
 	if err != nil {
 		return err
 	}
 	if c.JSON {
 		if len(report.Violations) > 0 {
-			return errRules
+			return errRuleViolated
 		}
 		return nil
 	}
 	fmt.Println()
-	return judged(report, false)
+	return printReport(report, false)
 }
 
-func (c *loadCmd) print(res *load.Result) error {
+func (c *loadCmd) print(result *load.Result) error {
 	if c.Plot != "" {
-		if err := load.Plot(c.Plot, "open to answer (loopback)", "share of requests, in nines", "ms", []load.Line{res.Curve("answers")}); err != nil {
+		if err := load.Plot(c.Plot, "open to answer (loopback)", "share of requests, in nines", "ms",
+			[]load.Line{result.Curve("answers")}); err != nil {
 			return err
 		}
 	}
 	if !c.JSON {
-		fmt.Print(res.Table())
+		fmt.Print(result.Table())
 		return nil
 	}
-	b, err := json.MarshalIndent(res, "", "  ")
+	b, err := json.MarshalIndent(result, "", "  ")
 	if err != nil {
 		return err
 	}
@@ -111,13 +113,13 @@
 	return nil
 }
 
-// frontCommand starts this program as a front.
+// frontCommand returns the command that starts this program as a front, without the settings file.
 func frontCommand() []string {
-	self, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
-		self = os.Args[0]
+		executable = os.Args[0]
 	}
-	return []string{self, "serve", "-c"}
+	return []string{executable, "serve", "-c"}
 }
 
 type standinEchoCmd struct{}
@@ -142,10 +144,10 @@
 	CPU     string        `name:"cpuprofile" help:"Write a CPU profile of the front to this file." type:"path"`
 }
 
-// Run measures a front and a bare echo in turn: sessions a second in closed loops, CPU of the process a session,
-// what the front adds to an answer, bytes a held session.
+// Run measures a front and a bare WebSocket echo in turn: sessions per second in closed loops, CPU time per session, the
+// latency that the front adds to an answer, and memory per held session.
 func (c *measureCmd) Run(ctx context.Context) error {
-	s, err := wide()
+	script, err := unlimitedScript()
 	if err != nil {
 		return err
 	}
@@ -158,121 +160,128 @@
 	if c.CPU != "" {
 		command = []string{command[0], "serve", "--cpuprofile", c.CPU, "-c"}
 	}
-	w, err := day.Open(ctx, s, day.Options{Command: command, Dir: dir, Out: os.Stderr, NoRecord: true,
+	world, err := day.Open(ctx, script, day.Options{Command: command, Dir: dir, Out: os.Stderr, NoRecord: true,
 		Limits: "(limits (handshakes 100000))"})
 	if err != nil {
 		return err
 	}
-	defer w.Close()
-	echo, err := spawn("standin", "echo")
+	defer world.Close()
+	echo, err := startChild("standin", "echo")
 	if err != nil {
 		return err
 	}
-	defer echo.end()
-	at, err := echo.until("ready ws://", nil)
+	defer echo.stop()
+	echoAddr, err := echo.readUntil("ready ws://", nil)
 	if err != nil {
 		return err
 	}
-	base := load.Plan{Clients: c.Clients, Length: c.Length, Shape: load.Closed, Titles: s.TitleNames(), Classes: s.Service.Classes[:1], Seed: 1}
-	front, bare := base, base
-	front.Front = w.Front
-	bare.Front = func(int) (string, string) { return "echo", strings.TrimSuffix(at, "/") }
-	bare.Echo = true
-	front.Shape = load.Poisson
-	if err := c.memory(ctx, front, w.Pid(0)); err != nil { // first, while the process is fresh
+	base := load.Plan{Clients: c.Clients, Length: c.Length, Shape: load.Closed, Titles: script.TitleNames(),
+		Classes: script.Service.Classes[:1], Seed: 1}
+	frontPlan, echoPlan := base, base
+	frontPlan.Front = world.Front
+	echoPlan.Front = func(int) (string, string) { return "echo", strings.TrimSuffix(echoAddr, "/") }
+	echoPlan.Echo = true
+	frontPlan.Shape = load.Poisson
+	// Memory is measured first, before other loads change that of the process.
+	if err := c.measureMemory(ctx, frontPlan, world.Pid(0)); err != nil {
 		return err
 	}
-	if err := c.idle(ctx, w); err != nil {
+	if err := c.measureIdle(ctx, world); err != nil {
 		return err
 	}
-	front.Shape = load.Closed
-	run := func(name string, p load.Plan, pid int) (*load.Result, float64, error) {
-		before := cpuOf(pid)
-		r, err := load.Run(ctx, p, nil)
+	frontPlan.Shape = load.Closed
+	run := func(name string, plan load.Plan, pid int) (*load.Result, float64, error) {
+		cpuBefore := cpuTime(pid)
+		result, err := load.Run(ctx, plan, nil)
 		if err != nil {
 			return nil, 0, err
 		}
-		cpu := (cpuOf(pid) - before).Seconds() * 1e6 / float64(max(r.Sent, 1))
-		fmt.Printf("%-22s %8.0f sessions/s  %6.1f us CPU a session  p50 %.2f ms  p99 %.2f ms  p99.9 %.2f ms  max %.1f ms  %v\n", name, r.Opened, cpu,
-			r.Latency.P50, r.Latency.P99, r.Latency.P999, r.Latency.Max, r.Kinds)
-		return r, cpu, nil
+		cpu := (cpuTime(pid) - cpuBefore).Seconds() * 1e6 / float64(max(result.Sent, 1))
+		fmt.Printf("%-22s %8.0f sessions/s  %6.1f us CPU a session  p50 %.2f ms  p99 %.2f ms  p99.9 %.2f ms  max %.1f ms  %v\n",
+			name, result.Opened, cpu,
+			result.Latency.P50, result.Latency.P99, result.Latency.P999, result.Latency.Max, result.Kinds)
+		return result, cpu, nil
 	}
 	for i := range c.Rounds {
-		f, fc, err := run(fmt.Sprintf("front, closed %d", i+1), front, w.Pid(0))
+		frontResult, frontCPU, err := run(fmt.Sprintf("front, closed %d", i+1), frontPlan, world.Pid(0))
 		if err != nil {
 			return err
 		}
-		e, ec, err := run(fmt.Sprintf("echo, closed %d", i+1), bare, echo.cmd.Process.Pid)
+		echoResult, echoCPU, err := run(fmt.Sprintf("echo, closed %d", i+1), echoPlan, echo.cmd.Process.Pid)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("  front over echo: %.2f of its sessions a second, %.1f times its CPU\n", f.Opened/e.Opened, fc/ec)
+		fmt.Printf("  front over echo: %.2f of its sessions a second, %.1f times its CPU\n",
+			frontResult.Opened/echoResult.Opened, frontCPU/echoCPU)
 	}
-	front.Shape, bare.Shape, front.Rate, bare.Rate = load.Poisson, load.Poisson, 200, 200
-	f, _, err := run("front, 200 a second", front, w.Pid(0))
+	frontPlan.Shape, echoPlan.Shape, frontPlan.Rate, echoPlan.Rate = load.Poisson, load.Poisson, 200, 200
+	frontResult, _, err := run("front, 200 a second", frontPlan, world.Pid(0))
 	if err != nil {
 		return err
 	}
-	e, _, err := run("echo, 200 a second", bare, echo.cmd.Process.Pid)
+	echoResult, _, err := run("echo, 200 a second", echoPlan, echo.cmd.Process.Pid)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("  front adds: p50 %.2f ms, p99 %.2f ms (two round trips and the server's own time against one)\n", f.Latency.P50-e.Latency.P50, f.Latency.P99-e.Latency.P99)
-	w.Leave()
+	fmt.Printf("  front adds: p50 %.2f ms, p99 %.2f ms (two round trips and the server's own time against one)\n",
+		frontResult.Latency.P50-echoResult.Latency.P50, frontResult.Latency.P99-echoResult.Latency.P99)
+	world.Leave()
 	return nil
 }
 
-// idle opens connections that say nothing and looks at the process.
-func (c *measureCmd) idle(ctx context.Context, w *day.World) error {
+// measureIdle measures the memory and CPU of idle connections.
+func (c *measureCmd) measureIdle(ctx context.Context, world *day.World) error {
 	if c.Idle == 0 {
 		return nil
 	}
-	pid := w.Pid(0)
-	before := rssOf(pid)
+	pid := world.Pid(0)
+	rssBefore := residentBytes(pid)
 	var conns []net.Conn
 	defer func() {
-		for _, nc := range conns {
-			nc.Close()
+		for _, conn := range conns {
+			conn.Close()
 		}
 	}()
-	_, addr := w.Front(0)
+	_, addr := world.Front(0)
 	for range c.Idle {
-		nc, err := playersim.Dial(ctx, addr)
+		conn, err := playersim.Dial(ctx, addr)
 		if err != nil {
 			return fmt.Errorf("after %d connections: %w", len(conns), err)
 		}
-		conns = append(conns, nc)
+		conns = append(conns, conn)
 	}
 	time.Sleep(time.Second)
-	cpu := cpuOf(pid)
+	cpuBefore := cpuTime(pid)
 	time.Sleep(5 * time.Second)
-	fmt.Printf("%d idle connections: %.1f kB each, %.1f%% of a core\n", len(conns), float64(rssOf(pid)-before)/1024/float64(len(conns)),
-		(cpuOf(pid)-cpu).Seconds()/5*100)
+	fmt.Printf("%d idle connections: %.1f kB each, %.1f%% of a core\n", len(conns),
+		float64(residentBytes(pid)-rssBefore)/1024/float64(len(conns)),
+		(cpuTime(pid)-cpuBefore).Seconds()/5*100)
 	return nil
 }
 
-// memory holds sessions over a few connections and looks at the process meanwhile.
-func (c *measureCmd) memory(ctx context.Context, p load.Plan, pid int) error {
-	before, files := rssOf(pid), filesOf(pid)
-	p.Clients, p.Rate, p.Length = 50, 1000, time.Duration(float64(c.Held)/1000*float64(time.Second))
-	p.Hold = [2]time.Duration{time.Hour, time.Hour}
-	type look struct{ rss, files int }
-	seen := make(chan look, 1)
-	time.AfterFunc(p.Length-50*time.Millisecond, func() { seen <- look{rssOf(pid), filesOf(pid)} })
-	r, err := load.Run(ctx, p, nil)
+// measureMemory holds sessions over a few connections and measures memory and descriptors of the process meanwhile.
+func (c *measureCmd) measureMemory(ctx context.Context, plan load.Plan, pid int) error {
+	rssBefore, filesBefore := residentBytes(pid), openFiles(pid)
+	plan.Clients, plan.Rate, plan.Length = 50, 1000, time.Duration(float64(c.Held)/1000*float64(time.Second))
+	plan.Hold = [2]time.Duration{time.Hour, time.Hour}
+	type sample struct{ rss, files int }
+	samples := make(chan sample, 1)
+	time.AfterFunc(plan.Length-50*time.Millisecond, func() { samples <- sample{residentBytes(pid), openFiles(pid)} })
+	result, err := load.Run(ctx, plan, nil)
 	if err != nil {
 		return err
 	}
-	s := <-seen
-	fmt.Printf("held about %d sessions: resident memory %d to %d kB, %.1f kB a session; p99 meanwhile %.2f ms\n", r.Kinds["plays"], before/1024, s.rss/1024,
-		float64(s.rss-before)/1024/float64(max(r.Kinds["plays"], 1)), r.Latency.P99)
+	held := <-samples
+	fmt.Printf("held about %d sessions: resident memory %d to %d kB, %.1f kB a session; p99 meanwhile %.2f ms\n",
+		result.Kinds["plays"], rssBefore/1024, held.rss/1024,
+		float64(held.rss-rssBefore)/1024/float64(max(result.Kinds["plays"], 1)), result.Latency.P99)
 	time.Sleep(time.Second)
-	fmt.Printf("descriptors %d before, %d while held, %d after\n", files, s.files, filesOf(pid))
+	fmt.Printf("descriptors %d before, %d while held, %d after\n", filesBefore, held.files, openFiles(pid))
 	return nil
 }
 
-// cpuOf gives the CPU time that a process has used (user and system).
-func cpuOf(pid int) time.Duration {
+// cpuTime returns the CPU time that a process has used (user and system).
+func cpuTime(pid int) time.Duration {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -284,11 +293,11 @@
 	}
 	user, _ := strconv.Atoi(f[11])
 	sys, _ := strconv.Atoi(f[12])
-	return time.Duration(user+sys) * 10 * time.Millisecond // clock ticks of 100 a second
+	return time.Duration(user+sys) * 10 * time.Millisecond // 100 clock ticks per second
 }
 
-// rssOf gives a process's resident memory in bytes.
-func rssOf(pid int) int {
+// residentBytes returns the resident memory of a process.
+func residentBytes(pid int) int {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
@@ -301,19 +310,21 @@
 	return pages * os.Getpagesize()
 }
 
-func filesOf(pid int) int {
+// openFiles returns the number of open descriptors of a process.
+func openFiles(pid int) int {
 	list, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
 	return len(list)
 }
 
-// wide gives a quiet day with one front, whose servers take whatever is asked at once: what is measured is the front.
-func wide() (*day.Script, error) {
-	s, err := day.Quiet()
+// unlimitedScript returns a day without faults, with one front and with servers that accept all set-ups at once, so that
+// only the front limits the results.
+func unlimitedScript() (*day.Script, error) {
+	script, err := day.Quiet()
 	if err != nil {
 		return nil, err
 	}
-	s.Fronts, s.SetupTime = 1, 0
-	s.Slots, s.LinkKB, s.UplinkKB = 1e6, 1e9, 1e10
-	s.Scale()
-	return s, nil
+	script.Fronts, script.SetupTime = 1, 0
+	script.Slots, script.LinkKB, script.UplinkKB = 1e6, 1e9, 1e10
+	script.Scale()
+	return script, nil
 }
--- a/cmd/tealledge/main.go
+++ b/cmd/tealledge/main.go
@@ -1,5 +1,5 @@
-// Command tealledge is the session front with its tools: it serves players, checks settings, plays scripted days
-// against stand-ins and judges their records. See docs/run/front.md.
+// Command tealledge is the session front and its tools: it serves players, checks settings, plays scripted days against
+// stand-ins and checks their records. See docs/run/front.md.
 package main
 
 import (
@@ -18,6 +18,7 @@
 	"tealledge/internal/serve"
 )
 
+// cli holds the commands. Kong derives their names, flags and help from the fields.
 type cli struct {
 	Serve    serveCmd    `cmd:"" help:"Serve players by a settings file. SIGTERM leaves service."`
 	Platform platformCmd `cmd:"" help:"Run as a front of the operators' platform, by the configuration in NODE_CONFIG."`
@@ -45,8 +46,8 @@
 		kong.Description("A session front: it places video sessions on media servers and shapes them there."),
 		kong.BindTo(ctx, (*context.Context)(nil)))
 	err := k.Run()
-	if errors.Is(err, errRules) {
-		os.Exit(1) // the table has said it
+	if errors.Is(err, errRuleViolated) {
+		os.Exit(1) // the violations have been printed already
 	}
 	k.FatalIfErrorf(err)
 }
@@ -57,7 +58,8 @@
 	CPU    string `name:"cpuprofile" help:"Write a CPU profile to this file." type:"path"`
 }
 
-func logger(level string, pretty bool) zerolog.Logger {
+// newLogger returns a logger to standard error. An unknown level means info.
+func newLogger(level string, pretty bool) zerolog.Logger {
 	l, err := zerolog.ParseLevel(level)
 	if err != nil {
 		l = zerolog.InfoLevel
@@ -75,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	s, err := serve.New(cfg, logger(cfg.Front.LogLevel, c.Pretty).With().Str("front", cfg.Front.Name).Logger())
+	s, err := serve.New(cfg, newLogger(cfg.Front.LogLevel, c.Pretty).With().Str("front", cfg.Front.Name).Logger())
 	if err != nil {
 		return err
 	}
--- a/cmd/tealledge/platform.go
+++ b/cmd/tealledge/platform.go
@@ -13,18 +13,19 @@
 	"tealledge/internal/platform/node"
 )
 
-// platformCmd is a front of the operators' platform. See docs/run/platform.md.
+// platformCmd runs a front of the operators' platform. See docs/run/platform.md.
 type platformCmd struct {
 	Config   string `env:"NODE_CONFIG" required:"" help:"The platform's configuration, as JSON."`
 	LogLevel string `env:"TEALLEDGE_LOG" default:"info" help:"debug, info, warn or error."`
 }
 
-// Parts of the memory limit: the heap is kept under it by collecting harder, and the rest is for the program itself,
-// stacks, and the sockets' buffers.
-const memoryPart = 0.6
+// heapShare is the share of the memory limit that the heap may use: the garbage collector runs more often near it. The
+// rest is for the program itself, stacks, and the buffers of the sockets.
+const heapShare = 0.6
 
 func (c *platformCmd) Run() error {
-	// Danger: a signal that comes before it is asked for ends the process, as SIGHUP would a front that just starts.
+	// Handle signals before anything else: a signal that arrives earlier, such as SIGHUP to a front that is still starting,
+	// would end the process.
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
 	cfg, err := node.Load(c.Config)
@@ -37,10 +38,10 @@
 	procs, memory := cfg.RuntimeLimits()
 	runtime.GOMAXPROCS(procs)
 	if memory > 0 {
-		debug.SetMemoryLimit(int64(float64(memory) * memoryPart))
+		debug.SetMemoryLimit(int64(float64(memory) * heapShare))
 		debug.SetGCPercent(50)
 	}
-	n, err := node.New(cfg, c.Config, logger(c.LogLevel, false))
+	n, err := node.New(cfg, c.Config, newLogger(c.LogLevel, false))
 	if err != nil {
 		return err
 	}
--- a/cmd/tealledge/platform_test.go
+++ b/cmd/tealledge/platform_test.go
@@ -17,7 +17,7 @@
 const platformSettings = `{"family-info":{"level-kb":[100,200],"level-worth":[0.5,1],"positions":1,"shelves":1,"weight-kb":3000},
 "request-classes":[{"name":"safe","effect":"safe","importance":1,"slo-ns":1000000000,"deadline-ns":2000000000}]}`
 
-// lockedBuffer may be read while a process writes to it.
+// lockedBuffer is a buffer that can be read while a process writes to it.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -35,18 +35,19 @@
 	return l.b.String()
 }
 
-// The program itself, as the platform starts and signals it.
-func TestThePlatformsSignals(t *testing.T) {
-	bin, err := program()
+// Runs the program and signals it in the way of the platform. SIGHUP must reload a valid configuration and keep the current
+// one otherwise; SIGTERM must drain the front before it exits.
+func TestReloadAndShutdownSignals(t *testing.T) {
+	bin, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0") // a port that is free
+	listener, err := net.Listen("tcp", "127.0.0.1:0") // finds a free port
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := ln.Addr().String()
-	ln.Close()
+	addr := listener.Addr().String()
+	listener.Close()
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -54,24 +55,24 @@
 		}
 	}
 	command := func() *exec.Cmd {
-		c := exec.Command(bin, "platform")
-		c.Env = append(os.Environ(), "NODE_CONFIG="+path, "NODE_NAME=n0", "NODE_LISTEN="+addr)
-		return c
+		front := exec.Command(bin, "platform")
+		front.Env = append(os.Environ(), "NODE_CONFIG="+path, "NODE_NAME=n0", "NODE_LISTEN="+addr)
+		return front
 	}
 	write("{")
 	if out, err := command().CombinedOutput(); err == nil || bytes.Count(out, []byte("\n")) != 1 {
-		t.Errorf("a file that can't be used: %v %q", err, out)
+		t.Errorf("invalid configuration: want an error of one line, got %v, %q", err, out)
 	}
-	good := fmt.Sprintf(`{"name":"n0","listen":"%s","seed":"01","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"pos":0,"entries":[]},"settings":%s}`, addr, platformSettings)
-	write(good)
+	valid := fmt.Sprintf(`{"name":"n0","listen":"%s","seed":"01","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"pos":0,"entries":[]},"settings":%s}`, addr, platformSettings)
+	write(valid)
 	var log lockedBuffer
-	c := command()
-	c.Stderr = &log
-	if err := c.Start(); err != nil {
+	front := command()
+	front.Stderr = &log
+	if err := front.Start(); err != nil {
 		t.Fatal(err)
 	}
-	defer c.Process.Kill()
-	tested := func() bool {
+	defer front.Process.Kill()
+	answersProbe := func() bool {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return false
@@ -83,55 +84,55 @@
 		n, _ := conn.Read(b)
 		return strings.Contains(string(b[:n]), `"probed"`)
 	}
-	for end := time.Now().Add(10 * time.Second); !tested(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !answersProbe(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			c.Process.Kill()
-			c.Wait()
-			t.Fatalf("never ready: %s", log.String())
+			front.Process.Kill()
+			front.Wait()
+			t.Fatalf("not ready in 10 s: %s", log.String())
 		}
 	}
-	said := func(what string) {
+	waitForLog := func(what string) {
 		t.Helper()
 		for end := time.Now().Add(8 * time.Second); !strings.Contains(log.String(), what); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("never %q: %s", what, log.String())
+				t.Fatalf("the log lacks %q: %s", what, log.String())
 			}
 		}
 	}
-	// A file that stays damaged is not taken; one that was half written when the signal came is, once it is whole; the same
-	// again changes nothing, and signals that come together are no more than one.
+	// A file that stays invalid is rejected. A file that was half written at the time of the signal is read once it is
+	// complete. Reading the same file again changes nothing, and several signals in a row have the effect of one.
 	write("{")
-	c.Process.Signal(syscall.SIGHUP)
-	said("not taken")
-	write(good[:len(good)/2])
-	c.Process.Signal(syscall.SIGHUP)
+	front.Process.Signal(syscall.SIGHUP)
+	waitForLog("not taken")
+	write(valid[:len(valid)/2])
+	front.Process.Signal(syscall.SIGHUP)
 	time.Sleep(50 * time.Millisecond)
 	if strings.Contains(log.String(), "read again") {
-		t.Error("half a file was taken")
+		t.Error("a half-written file was accepted")
 	}
-	write(good)
-	said("read again")
+	write(valid)
+	waitForLog("read again")
 	for range 5 {
-		c.Process.Signal(syscall.SIGHUP)
+		front.Process.Signal(syscall.SIGHUP)
 	}
-	if !tested() {
-		t.Error("gone at SIGHUP")
+	if !answersProbe() {
+		t.Error("the front does not answer after SIGHUP")
 	}
-	c.Process.Signal(syscall.SIGTERM)
+	front.Process.Signal(syscall.SIGTERM)
 	time.Sleep(300 * time.Millisecond)
-	if !tested() {
-		t.Error("SIGTERM closed the door at once")
+	if !answersProbe() {
+		t.Error("the front does not answer while it drains after SIGTERM")
 	}
-	c.Process.Signal(syscall.SIGTERM) // a second one, and a new configuration meanwhile, change nothing
-	c.Process.Signal(syscall.SIGHUP)
+	front.Process.Signal(syscall.SIGTERM) // a second SIGTERM and a SIGHUP while draining change nothing
+	front.Process.Signal(syscall.SIGHUP)
 	ended := make(chan error, 1)
-	go func() { ended <- c.Wait() }()
+	go func() { ended <- front.Wait() }()
 	select {
 	case err := <-ended:
 		if err != nil {
 			t.Errorf("%v: %s", err, log.String())
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it stays")
+		t.Error("the process still runs 10 s after SIGTERM")
 	}
 }
--- a/cmd/tealledge/signals_test.go
+++ b/cmd/tealledge/signals_test.go
@@ -11,10 +11,11 @@
 	"tealledge/internal/standin/platformsim"
 )
 
-// What the configuration's file lets a test do: a pipe in its place holds whoever reads it, and tells that he does.
+// These tests replace the configuration file by a named pipe. The pipe blocks the process that reads it, and shows the test
+// that it is being read.
 
-// pipeAt puts a pipe in a file's place, and gives what stood there.
-func pipeAt(t *testing.T, path string) (text []byte) {
+// replaceWithPipe replaces a file by a named pipe and returns the contents of the file.
+func replaceWithPipe(t *testing.T, path string) (text []byte) {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -29,108 +30,110 @@
 	return text
 }
 
-// reader waits until somebody reads the pipe.
-func (p *process) reader(path string) *os.File {
+// waitForReader waits until a process reads the pipe, and returns the end for writing.
+func (p *process) waitForReader(path string) *os.File {
 	p.t.Helper()
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		f, err := os.OpenFile(path, os.O_WRONLY|syscall.O_NONBLOCK, 0) // refused while nobody reads
+		f, err := os.OpenFile(path, os.O_WRONLY|syscall.O_NONBLOCK, 0) // fails while no process reads
 		if err == nil {
 			p.t.Cleanup(func() { f.Close() })
 			return f
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("nobody reads: %v: %s", err, p.log.String())
+			p.t.Fatalf("no process reads the pipe: %v: %s", err, p.log.String())
 		}
 	}
 }
 
-// signalled starts the program on a pipe, signals it as it reads there, and then lets it read on. It gives what it reads.
-func signalled(t *testing.T, s syscall.Signal) (p *process, text []byte) {
+// startAndSignal starts the program on a pipe, signals it while it reads, and then writes the configuration, which it
+// returns.
+func startAndSignal(t *testing.T, sig syscall.Signal) (p *process, text []byte) {
 	t.Helper()
-	model := start(t, siteSettings(), nil, "", 256) // for its file
-	model.cmd.Process.Kill()
-	<-model.ended
-	text = pipeAt(t, model.path)
-	p = startOn(t, model.path, model.addr)
-	w := p.reader(model.path)
-	p.cmd.Process.Signal(s)
-	w.Write(text)
-	w.Close()
-	p.ready()
+	first := startFront(t, siteSettings(), nil, "", 256) // writes the configuration file
+	first.cmd.Process.Kill()
+	<-first.ended
+	text = replaceWithPipe(t, first.path)
+	p = startFromFile(t, first.path, first.addr)
+	pipe := p.waitForReader(first.path)
+	p.cmd.Process.Signal(sig)
+	pipe.Write(text)
+	pipe.Close()
+	p.waitReady()
 	return p, text
 }
 
-// Signals that come before the configuration is read end nothing: it starts, and then acts on them.
-func TestSignalsBeforeItIsReady(t *testing.T) {
+// A signal that arrives before the configuration is read must not end the process: it starts, and then handles the signal.
+func TestHandlesSignalsBeforeReady(t *testing.T) {
 	t.Run("SIGHUP", func(t *testing.T) {
-		p, text := signalled(t, syscall.SIGHUP)
-		again := p.reader(p.path) // it acts on the signal now
+		p, text := startAndSignal(t, syscall.SIGHUP)
+		again := p.waitForReader(p.path) // the front handles the signal now
 		again.Write(text)
 		again.Close()
-		if !p.tested() {
-			t.Error("gone")
+		if !p.answersProbe() {
+			t.Error("the front does not answer after SIGHUP")
 		}
 	})
 	t.Run("SIGTERM", func(t *testing.T) {
-		p, _ := signalled(t, syscall.SIGTERM)
+		p, _ := startAndSignal(t, syscall.SIGTERM)
 		select {
 		case err := <-p.ended:
 			if err != nil {
 				t.Errorf("%v: %s", err, p.log.String())
 			}
 		case <-time.After(10 * time.Second):
-			t.Errorf("it stays: %s", p.log.String())
+			t.Errorf("the process still runs 10 s after SIGTERM: %s", p.log.String())
 		}
 	})
 }
 
-// While a new configuration is read, however long that takes, requests are answered; then it is followed.
-func TestAConfigurationIsReadBesideTheWork(t *testing.T) {
-	w := platformsim.NewWorld()
-	first, err := platformsim.NewServer(w, 0)
+// Requests must be answered while a new configuration is read, however long that takes. Then the new configuration must be
+// applied.
+func TestServesWhileConfigurationIsRead(t *testing.T) {
+	world := platformsim.NewWorld()
+	first, err := platformsim.NewServer(world, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Die()
-	second, err := platformsim.NewServer(w, 0x10)
+	second, err := platformsim.NewServer(world, 0x10)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Die()
-	j, err := platformsim.NewJournal(w, nil)
+	journal, err := platformsim.NewJournal(world, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer j.Close()
-	j.Tell(true, wire.HostReady, first)
-	p := start(t, siteSettings(), listOf([]*platformsim.Server{first}, 0), j.Addr(), 256)
-	p.ready()
-	p.serves(w, "only", 100)
-	moved, err := platformsim.NewJournal(w, j)
+	defer journal.Close()
+	journal.Tell(true, wire.HostReady, first)
+	front := startFront(t, siteSettings(), serverListEvents([]*platformsim.Server{first}, 0), journal.Addr(), 256)
+	front.waitReady()
+	front.waitForSession(world, "only", 100)
+	newJournal, err := platformsim.NewJournal(world, journal)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer moved.Close()
-	text := pipeAt(t, p.path)
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	pipe := p.reader(p.path)
+	defer newJournal.Close()
+	text := replaceWithPipe(t, front.path)
+	front.cmd.Process.Signal(syscall.SIGHUP)
+	pipe := front.waitForReader(front.path)
 	for range 3 {
-		p.serves(w, "only", 200)
+		front.waitForSession(world, "only", 200)
 	}
-	moved.Tell(false, wire.HostReady, second)
-	pipe.WriteString(strings.Replace(string(text), j.Addr(), moved.Addr(), 1))
+	newJournal.Tell(false, wire.HostReady, second)
+	pipe.WriteString(strings.Replace(string(text), journal.Addr(), newJournal.Addr(), 1))
 	pipe.Close()
-	p.until("the new list", func() bool { return strings.Count(p.log.String(), `"server list"`) >= 2 })
+	front.waitUntil("the new list", func() bool { return strings.Count(front.log.String(), `"server list"`) >= 2 })
 	first.Die()
-	p.serves(w, "only", 300)
+	front.waitForSession(world, "only", 300)
 }
 
-// until waits for something.
-func (p *process) until(what string, is func() bool) {
+// waitUntil waits until a condition holds.
+func (p *process) waitUntil(condition string, holds func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("never: %s: %s", what, p.log.String())
+			p.t.Fatalf("not within 10 s: %s: %s", condition, p.log.String())
 		}
 	}
 }
