--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -44,6 +44,7 @@
 	Baseline     string // baseline policy that replaces the decision module; "": none
 	Fronts, Me   int
 
+	// Settings of the forms timing, limits and hls.
 	AnswerMargin, LastLine, MovedFor, DrainLimit, Idle, Ping, WriteWait time.Duration
 	KeepAlive, Stall, ProbeWait                                         time.Duration
 	Queue, Message, OpenPerConnection, Connections, WriteBuffer         int
--- a/internal/wsock/wsock.go
+++ b/internal/wsock/wsock.go
@@ -50,12 +50,12 @@
 type Conn struct {
 	maxMessageBytes int // limit of the bytes of a message
 	path            string
-	buf             []byte
+	buf             []byte // input that is not processed yet
 	handshakeDone   bool
-	closed          bool // no further input is accepted
-	message         []byte
-	fragmented      bool // a fragmented message is incomplete
-	Out             []byte
+	closed          bool   // no further input is accepted
+	message         []byte // payload of the fragments received so far
+	fragmented      bool   // a fragmented message is incomplete
+	Out             []byte // bytes for the caller to write; the caller empties it
 }
 
 // New returns the state of a new connection. It accepts the handshake at path only, and messages of at most
