--- a/internal/hls/playlist.go
+++ b/internal/hls/playlist.go
@@ -1,5 +1,5 @@
-// Package hls reads HLS playlists (RFC 8216) into a form that many sessions share, and writes a session's own view of
-// them. It does no I/O. What it does not know it keeps: unknown tags of a segment go out as they came in.
+// Package hls parses HLS playlists (RFC 8216) into a form that many sessions share, and renders each session's own view
+// of them. It does no I/O. Unknown tags of a segment are kept and written unchanged.
 package hls
 
 import (
@@ -10,83 +10,83 @@
 	"time"
 )
 
-// Bounds of a playlist. One that passes them is refused whole.
+// Limits of a playlist. A playlist that exceeds one of them is rejected as a whole.
 const (
-	MaxBytes    = 4 << 20
-	MaxLine     = 8 << 10
-	MaxSegments = 20_000
-	MaxVariants = 64
+	MaxBytes     = 4 << 20
+	MaxLineBytes = 8 << 10
+	MaxSegments  = 20_000
+	MaxVariants  = 64
 )
 
-// ErrPlaylist tells that a text is no playlist that can be used.
+// ErrPlaylist is wrapped by all errors about a text that is not a usable playlist.
 var ErrPlaylist = errors.New("hls")
 
 // Variant is a variant stream of a multivariant playlist (section 4.3.4.2).
 type Variant struct {
 	Attrs     string // as written
-	Bandwidth int    // bits a second
+	Bandwidth int    // bits per second
 	URI       string
 }
 
-// Multivariant is a multivariant playlist.
-type Multivariant struct {
+// MultivariantPlaylist is a multivariant playlist.
+type MultivariantPlaylist struct {
 	Version  int
 	Variants []Variant
-	Media    []string // EXT-X-MEDIA and other tags that belong to all, as written
+	Tags     []string // EXT-X-MEDIA and other tags that apply to all variants, as written
 }
 
 // Segment is a media segment.
 type Segment struct {
 	Duration      time.Duration
-	Title         string // what follows the duration, as written
+	Title         string // the text after the duration, as written
 	URI           string
 	Discontinuity bool
-	Tags          []string // further tags that stand before it, as written (KEY, MAP, PROGRAM-DATE-TIME ...)
+	Tags          []string // other tags that precede the segment, as written (KEY, MAP, PROGRAM-DATE-TIME ...)
 }
 
-// Media is a media playlist. It is shared and must not be changed.
-type Media struct {
-	Version       int
-	Target        time.Duration
-	Sequence      uint64 // of the first segment (section 4.3.3.2)
-	Discontinuity uint64 // of the first segment (section 4.3.3.3)
-	Ended         bool   // ENDLIST
-	Kind          string // VOD, EVENT or ""
-	Segments      []Segment
+// MediaPlaylist is a media playlist. It is shared and must not be modified.
+type MediaPlaylist struct {
+	Version        int
+	TargetDuration time.Duration
+	Sequence       uint64 // of the first segment (section 4.3.3.2)
+	Discontinuity  uint64 // of the first segment (section 4.3.3.3)
+	Ended          bool   // ENDLIST
+	Type           string // VOD, EVENT or ""
+	Segments       []Segment
 }
 
-// Total is how long all segments last.
-func (m *Media) Total() (d time.Duration) {
+// TotalDuration returns the sum of the durations of all segments.
+func (m *MediaPlaylist) TotalDuration() (d time.Duration) {
 	for i := range m.Segments {
 		d += m.Segments[i].Duration
 	}
 	return d
 }
 
-// lines checks a text's bounds and gives its lines without the first, which must be #EXTM3U.
-func lines(text string) ([]string, error) {
+// splitLines checks the limits of a text and returns its lines without the first, which must be #EXTM3U.
+func splitLines(text string) ([]string, error) {
 	if len(text) > MaxBytes {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrPlaylist, len(text), MaxBytes)
+		return nil, fmt.Errorf("%w: %d bytes, the limit is %d", ErrPlaylist, len(text), MaxBytes)
 	}
 	list := strings.Split(strings.TrimPrefix(text, "\ufeff"), "\n")
 	if strings.TrimRight(list[0], "\r \t") != "#EXTM3U" {
 		return nil, fmt.Errorf("%w: does not begin with #EXTM3U", ErrPlaylist)
 	}
 	for i, l := range list {
-		if len(l) > MaxLine {
-			return nil, fmt.Errorf("%w: line %d has %d bytes, %d at most", ErrPlaylist, i+1, len(l), MaxLine)
+		if len(l) > MaxLineBytes {
+			return nil, fmt.Errorf("%w: line %d has %d bytes, the limit is %d", ErrPlaylist, i+1, len(l), MaxLineBytes)
 		}
 	}
 	return list[1:], nil
 }
 
-// ParseMultivariant reads a multivariant playlist.
-func ParseMultivariant(text string) (*Multivariant, error) {
-	list, err := lines(text)
+// ParseMultivariant parses a multivariant playlist.
+func ParseMultivariant(text string) (*MultivariantPlaylist, error) {
+	list, err := splitLines(text)
 	if err != nil {
 		return nil, err
 	}
-	m := &Multivariant{Version: 1}
+	m := &MultivariantPlaylist{Version: 1}
 	var pending *Variant
 	for i, l := range list {
 		l = strings.TrimRight(l, "\r \t")
@@ -96,20 +96,20 @@
 		case tag == "#EXTINF" || tag == "#EXT-X-TARGETDURATION":
 			return nil, fmt.Errorf("%w: line %d: %s in a multivariant playlist", ErrPlaylist, i+2, tag)
 		case tag == "#EXT-X-VERSION":
-			if m.Version, err = number(value, 1, 99); err != nil {
+			if m.Version, err = parseInteger(value, 1, 99); err != nil {
 				return nil, fmt.Errorf("%w: line %d: %v", ErrPlaylist, i+2, err)
 			}
 		case tag == "#EXT-X-STREAM-INF":
-			bandwidth, err := strconv.Atoi(attribute(value, "BANDWIDTH"))
+			bandwidth, err := strconv.Atoi(attributeValue(value, "BANDWIDTH"))
 			if err != nil || bandwidth <= 0 {
 				return nil, fmt.Errorf("%w: line %d: no BANDWIDTH", ErrPlaylist, i+2)
 			}
 			pending = &Variant{Attrs: value, Bandwidth: bandwidth}
 		case strings.HasPrefix(l, "#EXT-X-"):
-			m.Media = append(m.Media, l)
+			m.Tags = append(m.Tags, l)
 		case strings.HasPrefix(l, "#"): // a comment
 		case pending == nil:
-			return nil, fmt.Errorf("%w: line %d: an address without EXT-X-STREAM-INF", ErrPlaylist, i+2)
+			return nil, fmt.Errorf("%w: line %d: URI without EXT-X-STREAM-INF", ErrPlaylist, i+2)
 		default:
 			pending.URI = l
 			m.Variants = append(m.Variants, *pending)
@@ -118,17 +118,17 @@
 	}
 	switch {
 	case pending != nil:
-		return nil, fmt.Errorf("%w: truncated: the last variant has no address", ErrPlaylist)
+		return nil, fmt.Errorf("%w: truncated: the last variant has no URI", ErrPlaylist)
 	case len(m.Variants) == 0:
 		return nil, fmt.Errorf("%w: no variants", ErrPlaylist)
-	case len(m.Variants) > MaxVariants || len(m.Media) > 4*MaxVariants:
-		return nil, fmt.Errorf("%w: over %d variants", ErrPlaylist, MaxVariants)
+	case len(m.Variants) > MaxVariants || len(m.Tags) > 4*MaxVariants:
+		return nil, fmt.Errorf("%w: more than %d variants", ErrPlaylist, MaxVariants)
 	}
 	return m, nil
 }
 
-// attribute gives an attribute's value out of a list (section 4.2), without quotes; "" if there is none.
-func attribute(list, name string) string {
+// attributeValue returns the value of an attribute in a list (section 4.2) without quotes, "" if it is absent.
+func attributeValue(list, name string) string {
 	for list != "" {
 		key, rest, ok := strings.Cut(list, "=")
 		if !ok {
@@ -149,24 +149,25 @@
 	return ""
 }
 
-func number(text string, least, most int) (int, error) {
+// parseInteger parses a decimal number from minimum to maximum.
+func parseInteger(text string, minimum, maximum int) (int, error) {
 	v, err := strconv.Atoi(strings.TrimSpace(text))
-	if err != nil || v < least || v > most {
-		return 0, fmt.Errorf("%.40q is no number from %d to %d", text, least, most)
+	if err != nil || v < minimum || v > maximum {
+		return 0, fmt.Errorf("%.40q is not a number from %d to %d", text, minimum, maximum)
 	}
 	return v, nil
 }
 
-// ParseMedia reads a media playlist. One that ends in the middle of a segment is truncated and refused.
-func ParseMedia(text string) (*Media, error) {
-	list, err := lines(text)
+// ParseMedia parses a media playlist. A playlist that ends inside a segment is truncated and rejected.
+func ParseMedia(text string) (*MediaPlaylist, error) {
+	list, err := splitLines(text)
 	if err != nil {
 		return nil, err
 	}
-	m := &Media{Version: 1}
+	m := &MediaPlaylist{Version: 1}
 	var s Segment
-	inf := false
-	bad := func(i int, format string, args ...any) error {
+	hasDuration := false
+	lineError := func(i int, format string, args ...any) error {
 		return fmt.Errorf("%w: line %d: %s", ErrPlaylist, i+2, fmt.Sprintf(format, args...))
 	}
 	for i, l := range list {
@@ -175,60 +176,61 @@
 		switch {
 		case l == "":
 		case tag == "#EXT-X-STREAM-INF":
-			return nil, bad(i, "%s in a media playlist", tag)
+			return nil, lineError(i, "%s in a media playlist", tag)
 		case tag == "#EXT-X-VERSION":
-			if m.Version, err = number(value, 1, 99); err != nil {
-				return nil, bad(i, "%v", err)
+			if m.Version, err = parseInteger(value, 1, 99); err != nil {
+				return nil, lineError(i, "%v", err)
 			}
 		case tag == "#EXT-X-TARGETDURATION":
-			v, err := number(value, 1, 3600)
+			v, err := parseInteger(value, 1, 3600)
 			if err != nil {
-				return nil, bad(i, "%v", err)
+				return nil, lineError(i, "%v", err)
 			}
-			m.Target = time.Duration(v) * time.Second
+			m.TargetDuration = time.Duration(v) * time.Second
 		case tag == "#EXT-X-MEDIA-SEQUENCE":
 			if m.Sequence, err = strconv.ParseUint(value, 10, 62); err != nil || len(m.Segments) > 0 {
-				return nil, bad(i, "MEDIA-SEQUENCE %.40q", value)
+				return nil, lineError(i, "MEDIA-SEQUENCE %.40q", value)
 			}
 		case tag == "#EXT-X-DISCONTINUITY-SEQUENCE":
 			if m.Discontinuity, err = strconv.ParseUint(value, 10, 62); err != nil || len(m.Segments) > 0 {
-				return nil, bad(i, "DISCONTINUITY-SEQUENCE %.40q", value)
+				return nil, lineError(i, "DISCONTINUITY-SEQUENCE %.40q", value)
 			}
 		case tag == "#EXT-X-PLAYLIST-TYPE":
-			m.Kind = value
+			m.Type = value
 		case l == "#EXT-X-ENDLIST":
 			m.Ended = true
 		case l == "#EXT-X-DISCONTINUITY":
 			s.Discontinuity = true
 		case tag == "#EXTINF":
-			d, title, _ := strings.Cut(value, ",")
-			seconds, err := strconv.ParseFloat(d, 64)
-			if err != nil || !(seconds >= 0 && seconds <= 3600) || inf {
-				return nil, bad(i, "EXTINF %.40q", value)
+			durationText, title, _ := strings.Cut(value, ",")
+			seconds, err := strconv.ParseFloat(durationText, 64)
+			if err != nil || !(seconds >= 0 && seconds <= 3600) || hasDuration {
+				return nil, lineError(i, "EXTINF %.40q", value)
 			}
-			s.Duration, s.Title, inf = time.Duration(seconds*float64(time.Second)), title, true
+			s.Duration, s.Title, hasDuration = time.Duration(seconds*float64(time.Second)), title, true
 		case strings.HasPrefix(l, "#EXT"):
 			s.Tags = append(s.Tags, l)
 		case strings.HasPrefix(l, "#"):
-		case !inf:
-			return nil, bad(i, "an address without EXTINF")
+		case !hasDuration:
+			return nil, lineError(i, "URI without EXTINF")
 		default:
 			s.URI = l
 			if m.Segments = append(m.Segments, s); len(m.Segments) > MaxSegments {
-				return nil, bad(i, "over %d segments", MaxSegments)
+				return nil, lineError(i, "more than %d segments", MaxSegments)
 			}
-			s, inf = Segment{}, false
+			s, hasDuration = Segment{}, false
 		}
 	}
 	switch {
-	case inf:
-		return nil, fmt.Errorf("%w: truncated: the last segment has no address", ErrPlaylist)
-	case m.Target == 0:
+	case hasDuration:
+		return nil, fmt.Errorf("%w: truncated: the last segment has no URI", ErrPlaylist)
+	case m.TargetDuration == 0:
 		return nil, fmt.Errorf("%w: no EXT-X-TARGETDURATION", ErrPlaylist)
 	}
 	for i := range m.Segments {
-		if m.Segments[i].Duration > m.Target+500*time.Millisecond { // section 4.3.3.1, rounded
-			return nil, fmt.Errorf("%w: segment %d lasts %v, the target is %v", ErrPlaylist, i, m.Segments[i].Duration, m.Target)
+		if m.Segments[i].Duration > m.TargetDuration+500*time.Millisecond { // section 4.3.3.1, rounded
+			return nil, fmt.Errorf("%w: segment %d has duration %v, the target duration is %v", ErrPlaylist,
+				i, m.Segments[i].Duration, m.TargetDuration)
 		}
 	}
 	return m, nil
--- a/internal/hls/render.go
+++ b/internal/hls/render.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// View is a session's own view of a live or finished title. It is small: the playlists themselves are shared. Parts
-// tell from which media sequence on segments come from where; a change of rung or server begins a part, at a
-// discontinuity. Sequence numbers never go backwards for one viewer.
+// View is a session's own view of a live or finished title. It is small: the playlists themselves are shared. Each part
+// gives the rung and server of the segments from its media sequence number on; a change of rung or server starts a new
+// part at a discontinuity. Sequence numbers never go backwards for one viewer.
 type View struct {
-	Parts []Part
-	last  uint64 // highest first sequence number given out
-	disc  uint64 // discontinuity sequence that went with it
-	gone  uint64 // discontinuities of this view that left the window
+	Parts               []Part
+	lastSequence        uint64 // highest media sequence number of a first segment sent so far
+	lastDiscontinuity   uint64 // discontinuity sequence number sent with it
+	pastDiscontinuities uint64 // discontinuities of this view that have left the window
 }
 
 // Part is a run of segments from one rung at one server.
 type Part struct {
-	From uint64 // media sequence of its first segment
-	Rung int
-	Base string // what a segment's address is taken relative to, with a '/' at its end
+	FirstSequence uint64 // media sequence number of its first segment
+	Rung          int
+	Base          string // base URI of its segments, ending in '/'
 }
 
-// Switch has segments that were not announced yet come from another rung or server. next is the media sequence after
-// the last one that the player was told of.
+// Switch changes the rung or server of the segments that have not been announced yet. next is the media sequence number
+// after the last segment announced to the player.
 func (v *View) Switch(next uint64, rung int, base string) {
 	if n := len(v.Parts); n > 0 {
 		p := &v.Parts[n-1]
 		if p.Rung == rung && p.Base == base {
 			return
 		}
-		if p.From >= next { // nothing of it was announced: it never was
+		if p.FirstSequence >= next { // none of its segments was announced: the new part replaces it
 			p.Rung, p.Base = rung, base
 			return
 		}
@@ -39,7 +39,7 @@
 	v.Parts = append(v.Parts, Part{next, rung, base})
 }
 
-// Current is the part that new segments come from.
+// Current returns the part that new segments belong to, and false if there is none.
 func (v *View) Current() (Part, bool) {
 	if len(v.Parts) == 0 {
 		return Part{}, false
@@ -47,81 +47,82 @@
 	return v.Parts[len(v.Parts)-1], true
 }
 
-// Render writes the session's media playlist. of gives the shared playlist of a rung, nil if it can't be had; query
-// is added to every segment's address. next is the media sequence after the last segment written. It gives ok false
-// if nothing can be told that would not go backwards.
-func (v *View) Render(dst []byte, of func(rung int) *Media, query string) (out []byte, next uint64, ok bool) {
-	current, has := v.Current()
-	if !has {
+// Render appends the session's media playlist to dst. playlistOf returns the shared playlist of a rung, nil if it is
+// unavailable; query is added to every segment's URI. next is the media sequence number after the last segment written.
+// ok is false if no playlist can be rendered without going backwards or leaving a gap.
+func (v *View) Render(dst []byte, playlistOf func(rung int) *MediaPlaylist, query string) (out []byte, next uint64, ok bool) {
+	current, hasPart := v.Current()
+	if !hasPart {
 		return dst, 0, false
 	}
-	m := of(current.Rung)
+	m := playlistOf(current.Rung)
 	if m == nil {
 		return dst, 0, false
 	}
-	// The window begins where every list that is still told from has begun.
-	first, target := m.Sequence, m.Target
-	for i := len(v.Parts) - 2; i >= 0 && v.Parts[i+1].From > first; i-- {
-		o := of(v.Parts[i].Rung)
-		if o == nil {
+	// The window starts at the latest of the first segments of all playlists that still contribute to it.
+	first, target := m.Sequence, m.TargetDuration
+	for i := len(v.Parts) - 2; i >= 0 && v.Parts[i+1].FirstSequence > first; i-- {
+		playlist := playlistOf(v.Parts[i].Rung)
+		if playlist == nil {
 			return dst, 0, false
 		}
-		first, target = max(first, o.Sequence), max(target, o.Target)
+		first, target = max(first, playlist.Sequence), max(target, playlist.TargetDuration)
 	}
-	if first < v.last || first > m.Sequence+uint64(len(m.Segments)) {
-		return dst, 0, false // older than what the player has (a stale copy of the origin's), or with a gap
+	if first < v.lastSequence || first > m.Sequence+uint64(len(m.Segments)) {
+		return dst, 0, false // older than what the player has (a stale playlist from the origin), or with a gap
 	}
-	// Parts that left the window are forgotten, and their discontinuities counted.
-	for len(v.Parts) > 1 && v.Parts[1].From <= first {
+	// Parts that have left the window are removed and their discontinuities counted.
+	for len(v.Parts) > 1 && v.Parts[1].FirstSequence <= first {
 		v.Parts = v.Parts[1:]
-		v.gone++
+		v.pastDiscontinuities++
 	}
-	disc := m.Discontinuity + v.gone
+	discontinuity := m.Discontinuity + v.pastDiscontinuities
 	for i := range m.Segments[:first-m.Sequence] {
 		if m.Segments[i].Discontinuity {
-			disc++
+			discontinuity++
 		}
 	}
-	disc = max(disc, v.disc)
-	mark := dst
+	discontinuity = max(discontinuity, v.lastDiscontinuity)
+	start := dst
 	dst = append(dst, "#EXTM3U\n#EXT-X-VERSION:"...)
 	dst = strconv.AppendInt(dst, int64(max(m.Version, 3)), 10)
 	dst = append(dst, "\n#EXT-X-TARGETDURATION:"...)
 	dst = strconv.AppendInt(dst, int64(target/time.Second), 10)
 	dst = append(dst, "\n#EXT-X-MEDIA-SEQUENCE:"...)
 	dst = strconv.AppendUint(dst, first, 10)
-	if disc > 0 {
+	if discontinuity > 0 {
 		dst = append(dst, "\n#EXT-X-DISCONTINUITY-SEQUENCE:"...)
-		dst = strconv.AppendUint(dst, disc, 10)
+		dst = strconv.AppendUint(dst, discontinuity, 10)
 	}
-	if m.Kind != "" && len(v.Parts) == 1 {
+	if m.Type != "" && len(v.Parts) == 1 {
 		dst = append(dst, "\n#EXT-X-PLAYLIST-TYPE:"...)
-		dst = append(dst, m.Kind...)
+		dst = append(dst, m.Type...)
 	}
 	dst = append(dst, '\n')
 	next = first
 	for i, p := range v.Parts {
 		final := i+1 == len(v.Parts)
-		o, end := m, m.Sequence+uint64(len(m.Segments))
+		playlist, end := m, m.Sequence+uint64(len(m.Segments))
 		if !final {
-			o, end = of(p.Rung), v.Parts[i+1].From
+			playlist, end = playlistOf(p.Rung), v.Parts[i+1].FirstSequence
 		}
-		for seq := max(p.From, first); seq < end; seq++ {
-			if seq < o.Sequence || seq >= o.Sequence+uint64(len(o.Segments)) {
-				return mark, 0, false // a hole in the middle would shift all numbers behind it
+		for seq := max(p.FirstSequence, first); seq < end; seq++ {
+			if seq < playlist.Sequence || seq >= playlist.Sequence+uint64(len(playlist.Segments)) {
+				return start, 0, false // a gap would shift the numbers of all segments after it
 			}
-			s := &o.Segments[seq-o.Sequence]
-			dst = appendSegment(dst, s, s.Discontinuity || i > 0 && seq == p.From, p.Base, query)
+			s := &playlist.Segments[seq-playlist.Sequence]
+			dst = appendSegment(dst, s, s.Discontinuity || i > 0 && seq == p.FirstSequence, p.Base, query)
 			next = seq + 1
 		}
 	}
-	v.last, v.disc = first, disc
+	v.lastSequence, v.lastDiscontinuity = first, discontinuity
 	if m.Ended {
 		dst = append(dst, "#EXT-X-ENDLIST\n"...)
 	}
 	return dst, next, true
 }
 
+// appendSegment appends a segment with its tags; a relative URI is prefixed with base.
 func appendSegment(dst []byte, s *Segment, discontinuity bool, base, query string) []byte {
 	if discontinuity {
 		dst = append(dst, "#EXT-X-DISCONTINUITY\n"...)
@@ -150,18 +151,19 @@
 	return append(dst, '\n')
 }
 
+// absolute reports whether a URI has a scheme.
 func absolute(uri string) bool {
 	i := strings.Index(uri, "://")
 	return i > 0 && !strings.ContainsAny(uri[:i], "/?#")
 }
 
-// RenderMultivariant writes a multivariant playlist of the rungs from floor to top, lowest first; address gives each
-// one's. Variants are matched to rungs in the order of their bandwidth.
-func (m *Multivariant) RenderMultivariant(dst []byte, floor, top int, address func(rung int) string) []byte {
+// RenderMultivariant appends to dst a multivariant playlist of the rungs from floor to top, lowest first; variantURI
+// returns the URI of each. Variants are matched to rungs in the order of their bandwidth.
+func (m *MultivariantPlaylist) RenderMultivariant(dst []byte, floor, top int, variantURI func(rung int) string) []byte {
 	dst = append(dst, "#EXTM3U\n#EXT-X-VERSION:"...)
 	dst = strconv.AppendInt(dst, int64(max(m.Version, 3)), 10)
 	dst = append(dst, '\n')
-	for _, l := range m.Media {
+	for _, l := range m.Tags {
 		dst = append(dst, l...)
 		dst = append(dst, '\n')
 	}
@@ -172,16 +174,16 @@
 		dst = append(dst, "#EXT-X-STREAM-INF:"...)
 		dst = append(dst, v.Attrs...)
 		dst = append(dst, '\n')
-		dst = append(dst, address(rung)...)
+		dst = append(dst, variantURI(rung)...)
 		dst = append(dst, '\n')
 	}
 	return dst
 }
 
-// ByRung gives the variants, lowest bandwidth first.
-func (m *Multivariant) ByRung() []Variant {
+// ByRung returns the variants, lowest bandwidth first.
+func (m *MultivariantPlaylist) ByRung() []Variant {
 	out := append([]Variant(nil), m.Variants...)
-	for i := range out { // few, and mostly in order
+	for i := range out { // insertion sort: there are few variants, mostly in order
 		for k := i; k > 0 && out[k].Bandwidth < out[k-1].Bandwidth; k-- {
 			out[k], out[k-1] = out[k-1], out[k]
 		}
@@ -189,5 +191,5 @@
 	return out
 }
 
-// Before notes that an earlier view of the same playlist may have told of so many discontinuities more.
-func (v *View) Before(n uint64) { v.gone += n }
+// AddPastDiscontinuities adds n discontinuities that an earlier view of the same playlist may have announced.
+func (v *View) AddPastDiscontinuities(n uint64) { v.pastDiscontinuities += n }
--- a/internal/manifest/hub.go
+++ b/internal/manifest/hub.go
@@ -1,10 +1,10 @@
-// Package manifest is the second way in for players: HLS addresses (RFC 8216) over HTTP. It serves manifests only;
-// segments come from the media servers. Behind it are the same core, module and rules as behind the session API: the
-// GET of a multivariant playlist is the request for a session, and its answer is the request's one answer.
+// Package manifest is the second interface for players: HLS (RFC 8216) over HTTP. It serves manifests only; segments
+// come from the media servers. It uses the same core, module and rules as the session API: the GET of a multivariant
+// playlist is the request for a session, and its response is the request's only reply.
 //
-// It has a listener of its own on net/http, beside netpoll: requests are short and come every few seconds a player, so
-// a goroutine lives only while one is answered, and the standard server's limits on headers, lines and slow clients
-// are well tried.
+// It has its own net/http listener beside netpoll: requests are short and each player sends one every few seconds, so
+// a goroutine lives only while a request is served, and the standard server's limits on headers, lines and slow clients
+// are well tested.
 package manifest
 
 import (
@@ -32,45 +32,45 @@
 	"tealledge/policy"
 )
 
-// Owner is the front that decides.
+// Owner is the front that decides. Number returns the number in a session's name, MovedToken the token of a move.
 type Owner interface {
 	Now() front.Time
-	Open(c *Call, ask front.Request)
+	Open(c *Call, request front.Request)
 	End(session uint64)
 	Number(name string) (uint64, bool)
 	MovedToken(v any) uint64
 }
 
-// Hub serves manifests.
+// Hub serves manifests and holds the sessions of the HLS players.
 type Hub struct {
-	cfg    *config.Config
-	owner  Owner
-	keys   *hlstoken.Keys
-	origin *origin
-	ln     net.Listener
-	srv    *http.Server
-	room   chan struct{} // requests at one time
-	mu     sync.Mutex
-	byKey  map[uint64]*session
-	same   map[viewerKey]*session
-	stop   chan struct{}
-	done   sync.WaitGroup
+	cfg      *config.Config
+	owner    Owner
+	keys     *hlstoken.Keys
+	origin   *origin
+	listener net.Listener
+	server   *http.Server
+	slots    chan struct{} // holds one element per request in flight
+	mu       sync.Mutex
+	sessions map[uint64]*session
+	byViewer map[viewerKey]*session
+	stop     chan struct{}
+	done     sync.WaitGroup
 }
 
 const (
-	cookie      = "tealledge"
-	headerMost  = 8 << 10
-	requestMost = 4096 // requests at one time; past it 503
-	sweepEvery  = 500 * time.Millisecond
+	cookieName     = "tealledge"
+	maxHeaderBytes = 8 << 10
+	maxRequests    = 4096 // concurrent requests; further ones get status 503
+	sweepInterval  = 500 * time.Millisecond
 )
 
-// New listens.
+// New returns a hub that listens on the configured address.
 func New(cfg *config.Config, owner Owner) (*Hub, error) {
 	var list [][]byte
 	for _, k := range cfg.Front.HLSKeys {
 		b, err := hex.DecodeString(k)
 		if err != nil {
-			return nil, fmt.Errorf("hls: keys are written in hex: %w", err)
+			return nil, fmt.Errorf("hls: key is not hexadecimal: %w", err)
 		}
 		list = append(list, b)
 	}
@@ -82,47 +82,50 @@
 	if err != nil {
 		return nil, fmt.Errorf("hls: %w", err)
 	}
-	h := &Hub{cfg: cfg, owner: owner, keys: keys, origin: newOrigin(owner.Now, cfg.Front.OriginWait), ln: ln,
-		room: make(chan struct{}, requestMost), byKey: map[uint64]*session{}, same: map[viewerKey]*session{}, stop: make(chan struct{})}
-	h.srv = &http.Server{Handler: h, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second, WriteTimeout: 15 * time.Second,
-		IdleTimeout: 60 * time.Second, MaxHeaderBytes: headerMost}
+	h := &Hub{cfg: cfg, owner: owner, keys: keys, origin: newOrigin(owner.Now, cfg.Front.OriginWait), listener: ln,
+		slots: make(chan struct{}, maxRequests), sessions: map[uint64]*session{},
+		byViewer: map[viewerKey]*session{}, stop: make(chan struct{})}
+	h.server = &http.Server{Handler: h, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second,
+		WriteTimeout: 15 * time.Second,
+		IdleTimeout:  60 * time.Second, MaxHeaderBytes: maxHeaderBytes}
 	return h, nil
 }
 
-// Addr is where the hub listens.
-func (h *Hub) Addr() net.Addr { return h.ln.Addr() }
+// Addr returns the address that the hub listens on.
+func (h *Hub) Addr() net.Addr { return h.listener.Addr() }
 
 // Serve serves until Shutdown.
 func (h *Hub) Serve() error {
 	h.done.Add(1)
 	go h.sweep()
-	if err := h.srv.Serve(h.ln); !errors.Is(err, http.ErrServerClosed) {
+	if err := h.server.Serve(h.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Shutdown ends the listener and waits for requests under way, in bounded time.
+// Shutdown closes the listener and waits until the requests in flight are done or ctx is; then it closes their
+// connections.
 func (h *Hub) Shutdown(ctx context.Context) {
 	close(h.stop)
-	if h.srv.Shutdown(ctx) != nil {
-		h.srv.Close()
+	if h.server.Shutdown(ctx) != nil {
+		h.server.Close()
 	}
 	h.origin.client.CloseIdleConnections()
 	h.done.Wait()
 }
 
-// Sessions tells how many sessions are held.
+// Sessions returns the number of sessions held.
 func (h *Hub) Sessions() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.byKey)
+	return len(h.sessions)
 }
 
-// sweep ends sessions whose players stopped asking.
+// sweep periodically ends the sessions whose players have stopped sending requests.
 func (h *Hub) sweep() {
 	defer h.done.Done()
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -132,57 +135,61 @@
 		}
 		now := h.owner.Now()
 		h.mu.Lock()
-		var dead []*session
-		for _, s := range h.byKey {
+		var expired []*session
+		for _, s := range h.sessions {
 			s.mu.Lock()
-			if s.state == over || s.state != opening && now >= hlssession.ExpiresAt(s.opened, s.heard, s.list) {
-				dead = append(dead, s)
+			if s.state == ended ||
+				s.state != opening && now >= hlssession.ExpiresAt(s.openedAt, s.lastRequestAt, s.playlist) {
+				expired = append(expired, s)
 			}
 			s.mu.Unlock()
 		}
 		h.mu.Unlock()
-		for _, s := range dead {
-			h.end(s)
+		for _, s := range expired {
+			h.endSession(s)
 		}
 	}
 }
 
-// end forgets a session and has its stream torn down.
-func (h *Hub) end(s *session) {
+// endSession removes a session and, if it plays, tears down its stream.
+func (h *Hub) endSession(s *session) {
 	h.mu.Lock()
-	if h.byKey[s.key] == s {
-		delete(h.byKey, s.key)
+	if h.sessions[s.key] == s {
+		delete(h.sessions, s.key)
 	}
-	if h.same[s.same] == s {
-		delete(h.same, s.same)
+	if h.byViewer[s.viewer] == s {
+		delete(h.byViewer, s.viewer)
 	}
 	h.mu.Unlock()
 	s.mu.Lock()
-	plays := s.state == playing
+	wasPlaying := s.state == playing
 	id := s.id
-	s.state = over
+	s.state = ended
 	s.mu.Unlock()
-	if plays {
+	if wasPlaying {
 		h.owner.End(id)
 	}
 }
 
-// wish turns claims into what the core is asked.
-func (h *Hub) wish(c hlstoken.Claims) (a front.Request, ok bool) {
+// coreRequest returns the request to the core for the given claims, and false if the title or class is unknown.
+func (h *Hub) coreRequest(c hlstoken.Claims) (a front.Request, ok bool) {
 	t, ok := h.cfg.Place(c.Title, c.Class)
 	if !ok || c.Class < 0 || c.Class >= len(h.cfg.Classes) {
 		return a, false
 	}
-	return front.Request{ReadAt: h.owner.Now(), Title: t.Number, Home: t.Home, Copies: t.Copies, Holders: t.Holders, Name: t.Name, Class: c.Class, Tenant: c.Tenant,
+	return front.Request{ReadAt: h.owner.Now(), Title: t.Number, Home: t.Home, Copies: t.Copies, Holders: t.Holders,
+		Name: t.Name, Class: c.Class, Tenant: c.Tenant,
 		Viewer: c.Viewer, Top: min(c.Top, len(h.cfg.Service.RungKB)-1)}, true
 }
 
+// ServeHTTP serves the playlists and the closing of sessions. It replies with status 503 when too many requests are in
+// flight.
 func (h *Hub) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case h.room <- struct{}{}:
-		defer func() { <-h.room }()
+	case h.slots <- struct{}{}:
+		defer func() { <-h.slots }()
 	default:
-		h.later(w, policy.Second)
+		h.replyUnavailable(w, policy.Second)
 		return
 	}
 	w.Header().Set("Cache-Control", "no-store")
@@ -191,11 +198,11 @@
 	case !strings.HasPrefix(r.URL.Path, "/hls/"):
 		http.NotFound(w, r)
 	case len(parts) == 2 && parts[1] == "master.m3u8" && (r.Method == http.MethodGet || r.Method == http.MethodHead):
-		h.master(w, r, parts[0])
+		h.serveMaster(w, r, parts[0])
 	case len(parts) == 3 && parts[0] == "s" && (r.Method == http.MethodGet || r.Method == http.MethodHead):
-		h.media(w, r, parts[1], parts[2])
+		h.serveMedia(w, r, parts[1], parts[2])
 	case len(parts) == 2 && parts[0] == "s" && r.Method == http.MethodDelete:
-		h.closed(w, parts[1])
+		h.serveClose(w, parts[1])
 	case r.Method != http.MethodGet && r.Method != http.MethodHead && r.Method != http.MethodDelete:
 		w.Header().Set("Allow", "GET, HEAD, DELETE")
 		http.Error(w, "method not allowed", http.StatusMethodNotAllowed)
@@ -204,17 +211,19 @@
 	}
 }
 
-// claims reads what a request asks for, and who asks.
-func (h *Hub) claims(w http.ResponseWriter, r *http.Request, title string) (c hlstoken.Claims, named bool, err error) {
+// parseClaims reads the parameters of a request: what is requested, and for which viewer.
+func (h *Hub) parseClaims(w http.ResponseWriter, r *http.Request, title string) (
+	c hlstoken.Claims, ownsSession bool, err error,
+) {
 	q := r.URL.Query()
 	if _, ok := h.cfg.Place(title, 0); !ok {
-		return c, false, errNoTitle
+		return c, false, errUnknownTitle
 	}
 	c.Title = title
-	if c.Class = index(h.cfg.Classes, q.Get("class")); c.Class < 0 {
+	if c.Class = indexOf(h.cfg.Classes, q.Get("class")); c.Class < 0 {
 		return c, false, fmt.Errorf("no class %.60q", q.Get("class"))
 	}
-	if c.Tenant = index(h.cfg.Tenants, q.Get("tenant")); c.Tenant < 0 {
+	if c.Tenant = indexOf(h.cfg.Tenants, q.Get("tenant")); c.Tenant < 0 {
 		if len(h.cfg.Tenants) > 0 {
 			return c, false, fmt.Errorf("no tenant %.60q", q.Get("tenant"))
 		}
@@ -232,66 +241,67 @@
 	if len(viewer) > 200 {
 		return c, false, fmt.Errorf("viewer holds 200 bytes at most")
 	}
-	carried := false
+	hasCookie := false
 	if viewer == "" {
-		if k, err := r.Cookie(cookie); err == nil && len(k.Value) <= 64 {
-			viewer, carried = k.Value, k.Value != ""
+		if k, err := r.Cookie(cookieName); err == nil && len(k.Value) <= 64 {
+			viewer, hasCookie = k.Value, k.Value != ""
 		}
 	}
-	named = hlssession.OwnsSession(carried, viewer != "")
-	if viewer == "" { // told from all others, also from itself if this answer is lost
+	ownsSession = hlssession.OwnsSession(hasCookie, viewer != "")
+	if viewer == "" { // a new random identity: distinct from all others, also from a retry if this response is lost
 		var b [12]byte
 		rand.Read(b[:])
 		viewer = hex.EncodeToString(b[:])
-		http.SetCookie(w, &http.Cookie{Name: cookie, Value: viewer, Path: "/hls/", HttpOnly: true, SameSite: http.SameSiteLaxMode})
+		http.SetCookie(w, &http.Cookie{Name: cookieName, Value: viewer, Path: "/hls/",
+			HttpOnly: true, SameSite: http.SameSiteLaxMode})
 	}
 	c.Viewer = xxhash.Sum64String(viewer)
-	return c, named, nil
+	return c, ownsSession, nil
 }
 
-var errNoTitle = errors.New("no such title")
+var errUnknownTitle = errors.New("no such title")
 
-// master is the request for a session.
-func (h *Hub) master(w http.ResponseWriter, r *http.Request, title string) {
-	c, named, err := h.claims(w, r, title)
+// serveMaster serves the multivariant playlist of a title, which is the request for a session.
+func (h *Hub) serveMaster(w http.ResponseWriter, r *http.Request, title string) {
+	c, ownsSession, err := h.parseClaims(w, r, title)
 	if err != nil {
 		code := http.StatusBadRequest
-		if errors.Is(err, errNoTitle) {
+		if errors.Is(err, errUnknownTitle) {
 			code = http.StatusNotFound
 		}
 		http.Error(w, err.Error(), code)
 		return
 	}
-	same := viewerKey{c.Viewer, c.Title, c.Class}
+	viewer := viewerKey{c.Viewer, c.Title, c.Class}
 	h.mu.Lock()
-	s := h.same[same]
+	s := h.byViewer[viewer]
 	start := func() {}
-	if s != nil && named {
+	if s != nil && ownsSession {
 		s.mu.Lock()
-		if s.state == over || s.state == adrift {
+		if s.state == ended || s.state == unplaced {
 			s.mu.Unlock()
 			s = nil
 		} else {
 			s.mu.Unlock()
 		}
 	}
-	if s == nil || !named {
-		s = h.create(c, same)
+	if s == nil || !ownsSession {
+		s = h.create(c, viewer)
 		s.mu.Lock()
-		start = s.ask(false)
+		start = s.request(false)
 		s.mu.Unlock()
 	}
 	h.mu.Unlock()
 	start()
-	if !h.await(w, r, s) {
+	if !h.awaitReply(w, r, s) {
 		return
 	}
 	s.mu.Lock()
-	server, rung, token := s.http, s.rung, s.token
+	server, rung, token := s.serverAddr, s.rung, s.token
 	s.mu.Unlock()
 	e, err := h.origin.get(r.Context(), listKey{title, -1}, server)
 	if err != nil {
-		h.end(s) // it plays, but its player can't be told where
+		h.endSession(s) // it plays, but there is no playlist to send to its player
 		w.Header().Set("X-Tealledge-Session", s.name)
 		http.Error(w, "failed", http.StatusBadGateway)
 		return
@@ -301,34 +311,37 @@
 	b := e.multi.RenderMultivariant(nil, min(floor, top), top, func(rung int) string {
 		return "/hls/s/" + token + "/" + strconv.Itoa(rung) + ".m3u8"
 	})
-	h.write(w, s, b)
+	h.writePlaylist(w, s, b)
 }
 
-// create makes a session under a fresh key, in place of whatever its viewer had. The caller holds the hub.
-func (h *Hub) create(c hlstoken.Claims, same viewerKey) *session {
+// create registers a session under a new random key, replacing any session of the same viewer. The caller holds the
+// hub's mutex.
+func (h *Hub) create(c hlstoken.Claims, viewer viewerKey) *session {
 	var b [8]byte
 	rand.Read(b[:])
 	c.Session = binary.LittleEndian.Uint64(b[:])
 	now := time.Now().Unix()
 	c.Issued, c.Expires = now, now+int64(h.cfg.Front.TokenFor/time.Second)
-	return h.adopt(c, same, h.keys.Sign(c))
+	return h.register(c, viewer, h.keys.Sign(c))
 }
 
-func (h *Hub) adopt(c hlstoken.Claims, same viewerKey, token string) *session {
-	s := &session{hub: h, key: c.Session, claims: c, token: token, same: same, opened: h.owner.Now()}
-	h.byKey[s.key], h.same[same] = s, s
+// register adds a session for the given claims and token. The caller holds the hub's mutex.
+func (h *Hub) register(c hlstoken.Claims, viewer viewerKey, token string) *session {
+	s := &session{hub: h, key: c.Session, claims: c, token: token, viewer: viewer, openedAt: h.owner.Now()}
+	h.sessions[s.key], h.byViewer[viewer] = s, s
 	return s
 }
 
-// await waits for the answer to a session's request and gives true if it plays; else it has answered.
-func (h *Hub) await(w http.ResponseWriter, r *http.Request, s *session) bool {
+// awaitReply waits for the reply to a session's request and returns true if the session plays; otherwise the response
+// has been written, unless the player is gone.
+func (h *Hub) awaitReply(w http.ResponseWriter, r *http.Request, s *session) bool {
 	s.mu.Lock()
-	ch, state := s.answer, s.state
+	ch, state := s.answered, s.state
 	s.mu.Unlock()
 	if state == opening {
 		select {
 		case <-ch:
-		case <-r.Context().Done(): // the player is gone; the session waits for it as for a lost answer
+		case <-r.Context().Done(): // the player is gone; the session is kept as if the response had been lost
 			return false
 		}
 	}
@@ -340,21 +353,22 @@
 	if s.name != "" {
 		w.Header().Set("X-Tealledge-Session", s.name)
 	}
-	if s.no.failed {
+	if s.refusal.failed {
 		http.Error(w, "failed", http.StatusBadGateway)
 	} else {
-		h.later(w, s.no.after)
+		h.replyUnavailable(w, s.refusal.retryAfter)
 	}
 	return false
 }
 
-// later answers 503 with a time to come again, in whole seconds (RFC 9110 section 10.2.3).
-func (h *Hub) later(w http.ResponseWriter, after front.Time) {
-	w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(float64(after)/1e9)))))
+// replyUnavailable writes status 503 with a Retry-After header in whole seconds (RFC 9110 section 10.2.3).
+func (h *Hub) replyUnavailable(w http.ResponseWriter, retryAfter front.Time) {
+	w.Header().Set("Retry-After", strconv.Itoa(max(1, int(math.Ceil(float64(retryAfter)/1e9)))))
 	http.Error(w, "refused", http.StatusServiceUnavailable)
 }
 
-func (h *Hub) write(w http.ResponseWriter, s *session, b []byte) {
+// writePlaylist writes a playlist with the headers that go with it.
+func (h *Hub) writePlaylist(w http.ResponseWriter, s *session, b []byte) {
 	s.mu.Lock()
 	name := s.name
 	s.mu.Unlock()
@@ -364,9 +378,9 @@
 	w.Write(b)
 }
 
-// find gives the session of a token. One that this front does not know, as after its restart or at another front, is
-// placed anew, once for all requests that carry its token.
-func (h *Hub) find(w http.ResponseWriter, token string) *session {
+// sessionByToken returns the session of a token, or nil after it has written an error response. A session that this
+// front does not know, after a restart or at another front, is placed again, once for all requests that carry its token.
+func (h *Hub) sessionByToken(w http.ResponseWriter, token string) *session {
 	c, err := h.keys.Verify(token, time.Now().Unix())
 	switch {
 	case errors.Is(err, hlstoken.ErrExpired):
@@ -378,30 +392,30 @@
 	}
 	paid := c.Class >= 0 && c.Class < len(h.cfg.Service.Classes) && h.cfg.Service.Classes[c.Class].Paid
 	h.mu.Lock()
-	s := h.byKey[c.Session]
+	s := h.sessions[c.Session]
 	start := func() {}
-	if s == nil && paid { // its set-up was paid for elsewhere and may have run: only its viewer may ask again
+	if s == nil && paid { // its paid set-up was made elsewhere and may have run: only its viewer may request a new one
 		h.mu.Unlock()
 		http.Error(w, "the session is not known here: open the title anew", http.StatusGone)
 		return nil
 	}
 	if s == nil {
-		s = h.adopt(c, viewerKey{c.Viewer, c.Title, c.Class}, token)
-		// What an earlier front told is not known; it made no more than one change a second.
-		s.gone = uint64(max(time.Now().Unix()-c.Issued, 0))
+		s = h.register(c, viewerKey{c.Viewer, c.Title, c.Class}, token)
+		// It is unknown what an earlier front has announced; it made at most one change per second.
+		s.pastDiscontinuities = uint64(max(time.Now().Unix()-c.Issued, 0))
 		s.mu.Lock()
-		start = s.ask(true)
+		start = s.request(true)
 		s.mu.Unlock()
 	} else {
 		s.mu.Lock()
-		if s.state == adrift && paid && s.moved == 0 {
+		if s.state == unplaced && paid && s.moveToken == 0 {
 			s.mu.Unlock()
 			h.mu.Unlock()
 			http.Error(w, "the session is over: open the title anew", http.StatusGone)
 			return nil
 		}
-		if s.state == adrift { // moved, or its server was lost: placed anew
-			start = s.ask(true)
+		if s.state == unplaced { // moved, or its server was lost: placed again
+			start = s.request(true)
 		}
 		s.mu.Unlock()
 	}
@@ -410,81 +424,83 @@
 	return s
 }
 
-// media is a reload of a variant's playlist.
-func (h *Hub) media(w http.ResponseWriter, r *http.Request, token, name string) {
+// serveMedia serves a reload of a variant's playlist.
+func (h *Hub) serveMedia(w http.ResponseWriter, r *http.Request, token, name string) {
 	text, ok := strings.CutSuffix(name, ".m3u8")
 	rung, err := strconv.Atoi(text)
 	if !ok || err != nil || rung < 0 || rung >= len(h.cfg.Service.RungKB) {
 		http.NotFound(w, r)
 		return
 	}
-	s := h.find(w, token)
-	if s == nil || !h.await(w, r, s) {
+	s := h.sessionByToken(w, token)
+	if s == nil || !h.awaitReply(w, r, s) {
 		return
 	}
 	s.mu.Lock()
-	if now := h.owner.Now(); hlssession.ReloadsTooFast(now, s.told, s.list) {
-		if s.fast++; hlssession.ThrottlesReload(s.fast) {
-			s.heard = now
+	if now := h.owner.Now(); hlssession.ReloadsTooFast(now, s.servedAt, s.playlist) {
+		if s.fastReloads++; hlssession.ThrottlesReload(s.fastReloads) {
+			s.lastRequestAt = now
 			s.mu.Unlock()
 			w.Header().Set("Retry-After", "1")
 			http.Error(w, "reloads come too fast", http.StatusTooManyRequests)
 			return
 		}
 	} else {
-		s.fast = 0
+		s.fastReloads = 0
 	}
 	floor := h.cfg.Service.Classes[s.claims.Class].Floor
-	effective := max(min(rung, s.rung), floor)
-	server, title := s.http, s.claims.Title
-	need := map[int]bool{effective: true}
+	servedRung := max(min(rung, s.rung), floor)
+	server, title := s.serverAddr, s.claims.Title
+	neededRungs := map[int]bool{servedRung: true}
 	v := s.view(rung)
 	for _, p := range v.Parts {
-		need[p.Rung] = true
+		neededRungs[p.Rung] = true
 	}
 	s.mu.Unlock()
-	lists := map[int]*hls.Media{}
-	for k := range need { // outside the session's lock: an origin may be slow
+	lists := map[int]*hls.MediaPlaylist{}
+	for k := range neededRungs { // without the session's mutex: an origin may be slow
 		if e, err := h.origin.get(r.Context(), listKey{title, k}, server); err == nil {
 			lists[k] = e.media
 		}
 	}
 	s.mu.Lock()
 	now := h.owner.Now()
-	v.Switch(v.next, effective, "http://"+server+"/"+title+"/")
-	b, next, ok := v.Render(nil, func(rung int) *hls.Media { return lists[rung] }, "st="+s.token)
-	s.heard = now
+	v.Switch(v.next, servedRung, "http://"+server+"/"+title+"/")
+	b, next, ok := v.Render(nil, func(rung int) *hls.MediaPlaylist { return lists[rung] }, "st="+s.token)
+	s.lastRequestAt = now
 	if ok {
 		v.next = max(v.next, next)
-		s.told = now
-		m := lists[effective]
-		s.list = hlssession.Playlist{TargetDuration: front.Time(m.Target), TotalDuration: front.Time(m.Total()), Ended: m.Ended}
+		s.servedAt = now
+		m := lists[servedRung]
+		s.playlist = hlssession.Playlist{TargetDuration: front.Time(m.TargetDuration),
+			TotalDuration: front.Time(m.TotalDuration()), Ended: m.Ended}
 	}
 	s.mu.Unlock()
 	if !ok {
-		h.later(w, policy.Second)
+		h.replyUnavailable(w, policy.Second)
 		return
 	}
-	h.write(w, s, b)
+	h.writePlaylist(w, s, b)
 }
 
-// closed ends a session at its player's word.
-func (h *Hub) closed(w http.ResponseWriter, token string) {
+// serveClose ends a session at its player's request.
+func (h *Hub) serveClose(w http.ResponseWriter, token string) {
 	c, err := h.keys.Verify(token, time.Now().Unix())
 	if err != nil {
 		http.Error(w, "not an address of ours", http.StatusForbidden)
 		return
 	}
 	h.mu.Lock()
-	s := h.byKey[c.Session]
+	s := h.sessions[c.Session]
 	h.mu.Unlock()
 	if s != nil {
-		h.end(s)
+		h.endSession(s)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func index(list []string, s string) int {
+// indexOf returns the index of s in list, -1 if it is absent.
+func indexOf(list []string, s string) int {
 	for i, x := range list {
 		if x == s {
 			return i
--- a/internal/manifest/origin.go
+++ b/internal/manifest/origin.go
@@ -14,20 +14,20 @@
 	"tealledge/internal/hls"
 )
 
-// origin keeps the origin's playlists in parsed form, by title and rung, shared by all sessions: all servers that hold
-// a title tell the same. A playlist is fetched once for all that wait for it, an error is remembered for a moment, and
-// the whole is bounded.
+// origin caches the origin's playlists in parsed form, by title and rung, shared by all sessions: all servers that hold
+// a title serve the same ones. Concurrent requests for a playlist share one fetch, an error is cached for a short time,
+// and the size of the cache is bounded.
 type origin struct {
-	client *http.Client
-	now    func() front.Time
-	wait   time.Duration
-	mu     sync.Mutex
-	lists  map[listKey]*entry
-	weight int // segments held
-	Stats  OriginStats
+	client   *http.Client
+	now      func() front.Time
+	timeout  time.Duration
+	mu       sync.Mutex
+	entries  map[listKey]*entry
+	segments int // segments of all cached playlists
+	Stats    OriginStats
 }
 
-// OriginStats counts, guarded by the origin's mutex.
+// OriginStats counts the cache's results; it is guarded by the origin's mutex.
 type OriginStats struct{ Fetched, Shared, Stale, Failed int }
 
 type listKey struct {
@@ -36,50 +36,53 @@
 }
 
 type entry struct {
-	media   *hls.Media
-	multi   *hls.Multivariant
-	at      front.Time // fetched
-	used    front.Time
-	err     error
-	errAt   front.Time
-	loading chan struct{} // closed when the fetch under way ends
+	media     *hls.MediaPlaylist
+	multi     *hls.MultivariantPlaylist
+	fetchedAt front.Time
+	usedAt    front.Time
+	err       error
+	failedAt  front.Time
+	loading   chan struct{} // closed when the fetch in flight ends
 }
 
 const (
-	negative    = 300 * front.Time(time.Millisecond) // an error is not asked for again within
-	entriesMost = 8192
-	weightMost  = 400_000 // segments, some 60 MB
+	errorTTL    = 300 * front.Time(time.Millisecond) // a failed fetch is not repeated within this time
+	maxEntries  = 8192
+	maxSegments = 400_000 // about 60 MB
 )
 
-func newOrigin(now func() front.Time, wait time.Duration) *origin {
-	return &origin{now: now, wait: wait, lists: map[listKey]*entry{}, client: &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: 8, MaxConnsPerHost: 32, IdleConnTimeout: 30 * time.Second, ResponseHeaderTimeout: wait},
+// newOrigin returns an empty cache; timeout bounds each fetch.
+func newOrigin(now func() front.Time, timeout time.Duration) *origin {
+	return &origin{now: now, timeout: timeout, entries: map[listKey]*entry{}, client: &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 8, MaxConnsPerHost: 32, IdleConnTimeout: 30 * time.Second, ResponseHeaderTimeout: timeout},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
-func (e *entry) list() hlssession.Playlist {
+// playlist returns the properties of the cached playlist that its freshness depends on.
+func (e *entry) playlist() hlssession.Playlist {
 	if e.media == nil {
 		return hlssession.Playlist{Ended: true} // a multivariant playlist does not change
 	}
-	return hlssession.Playlist{TargetDuration: front.Time(e.media.Target), TotalDuration: front.Time(e.media.Total()), Ended: e.media.Ended}
+	return hlssession.Playlist{TargetDuration: front.Time(e.media.TargetDuration),
+		TotalDuration: front.Time(e.media.TotalDuration()), Ended: e.media.Ended}
 }
 
-// get gives a playlist, from the server at an address if it is not at hand. The error is the fetch's if nothing usable
-// is known.
+// get returns a playlist, fetched from the given server if the cache has no fresh one. It returns the fetch's error if
+// the cache has no usable copy either.
 func (o *origin) get(ctx context.Context, k listKey, server string) (*entry, error) {
 	for {
 		o.mu.Lock()
 		now := o.now()
-		e := o.lists[k]
+		e := o.entries[k]
 		if e == nil {
 			e = &entry{}
-			o.lists[k] = e
-			o.bound(k)
+			o.entries[k] = e
+			o.evict(k)
 		}
-		e.used = now
-		have := e.media != nil || e.multi != nil
+		e.usedAt = now
+		hasPlaylist := e.media != nil || e.multi != nil
 		switch {
-		case have && hlssession.Fresh(now-e.at, e.list()):
+		case hasPlaylist && hlssession.Fresh(now-e.fetchedAt, e.playlist()):
 			o.Stats.Shared++
 			c := *e
 			o.mu.Unlock()
@@ -93,8 +96,8 @@
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
-		case e.err != nil && now-e.errAt < negative:
-			c, err := o.old(e, now)
+		case e.err != nil && now-e.failedAt < errorTTL:
+			c, err := o.staleEntry(e, now)
 			o.mu.Unlock()
 			return c, err
 		}
@@ -106,33 +109,34 @@
 		e.loading = nil
 		now = o.now()
 		if err == nil && media != nil && e.media != nil && media.Sequence < e.media.Sequence && !media.Ended {
-			err = fmt.Errorf("playlist of %s went back from %d to %d", k.title, e.media.Sequence, media.Sequence)
+			err = fmt.Errorf("playlist of %s: media sequence went back from %d to %d",
+				k.title, e.media.Sequence, media.Sequence)
 		}
 		if err != nil {
 			o.Stats.Failed++
-			e.err, e.errAt = err, now
-			c, err := o.old(e, now)
+			e.err, e.failedAt = err, now
+			c, err := o.staleEntry(e, now)
 			o.mu.Unlock()
 			return c, err
 		}
 		o.Stats.Fetched++
 		if e.media != nil {
-			o.weight -= len(e.media.Segments)
+			o.segments -= len(e.media.Segments)
 		}
 		if media != nil {
-			o.weight += len(media.Segments)
+			o.segments += len(media.Segments)
 		}
-		e.media, e.multi, e.at, e.err = media, multi, now, nil
-		o.bound(k)
+		e.media, e.multi, e.fetchedAt, e.err = media, multi, now, nil
+		o.evict(k)
 		c := *e
 		o.mu.Unlock()
 		return &c, nil
 	}
 }
 
-// old gives what is known though it could not be had anew, if that is better than nothing.
-func (o *origin) old(e *entry, now front.Time) (*entry, error) {
-	if (e.media != nil || e.multi != nil) && hlssession.Usable(now-e.at, e.list()) {
+// staleEntry returns a copy of an entry that could not be refreshed if it is still usable, otherwise the entry's error.
+func (o *origin) staleEntry(e *entry, now front.Time) (*entry, error) {
+	if (e.media != nil || e.multi != nil) && hlssession.Usable(now-e.fetchedAt, e.playlist()) {
 		o.Stats.Stale++
 		c := *e
 		return &c, nil
@@ -140,33 +144,34 @@
 	return nil, e.err
 }
 
-// bound forgets what was not used for longest, but for one.
-func (o *origin) bound(keep listKey) {
-	for len(o.lists) > entriesMost || o.weight > weightMost {
-		var worst listKey
+// evict removes the least recently used entries until the cache is within its limits. It never removes keep.
+func (o *origin) evict(keep listKey) {
+	for len(o.entries) > maxEntries || o.segments > maxSegments {
+		var oldest listKey
 		found := false
-		for k, e := range o.lists {
-			if k != keep && e.loading == nil && (!found || e.used < o.lists[worst].used) {
-				worst, found = k, true
+		for k, e := range o.entries {
+			if k != keep && e.loading == nil && (!found || e.usedAt < o.entries[oldest].usedAt) {
+				oldest, found = k, true
 			}
 		}
 		if !found {
 			return
 		}
-		if m := o.lists[worst].media; m != nil {
-			o.weight -= len(m.Segments)
+		if m := o.entries[oldest].media; m != nil {
+			o.segments -= len(m.Segments)
 		}
-		delete(o.lists, worst)
+		delete(o.entries, oldest)
 	}
 }
 
-func (o *origin) fetch(k listKey, server string) (*hls.Media, *hls.Multivariant, error) {
+// fetch requests a playlist from a server and parses it.
+func (o *origin) fetch(k listKey, server string) (*hls.MediaPlaylist, *hls.MultivariantPlaylist, error) {
 	name := "master.m3u8"
 	if k.rung >= 0 {
 		name = fmt.Sprintf("%d.m3u8", k.rung)
 	}
-	// Not the viewer's context: others wait for it too.
-	ctx, cancel := context.WithTimeout(context.Background(), o.wait)
+	// Not the viewer's context: other requests wait for this fetch too.
+	ctx, cancel := context.WithTimeout(context.Background(), o.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server+"/"+url.PathEscape(k.title)+"/"+name, nil)
 	if err != nil {
--- a/internal/manifest/session.go
+++ b/internal/manifest/session.go
@@ -11,113 +11,117 @@
 	"tealledge/internal/players"
 )
 
-// session is one HLS player's session, over all servers that it plays from. It is small: playlists are shared.
+// session is the session of one HLS player, across all servers that it plays from. It is small: playlists are shared.
 type session struct {
 	hub    *Hub
-	key    uint64 // stays the same; in its token
+	key    uint64 // constant for the session's lifetime; part of its token
 	claims hlstoken.Claims
 	token  string
-	same   viewerKey
-
-	mu     sync.Mutex
-	state  state
-	answer chan struct{} // closed when the request under way is answered
-	call   *Call
-	no     refusal // how the last request ended, if it did not play
-	name   string  // of the front's session that plays now
-	id     uint64
-	http   string // server that delivers
-	rung   int
-	moved  uint64 // token of a move, for the next request
-	opened front.Time
-	heard  front.Time
-	list   hlssession.Playlist
-	told   front.Time // when it was told a playlist last: too fast counts from there, so that waiting ends it
-	fast   int        // reloads in a row that came too fast
-	views  []*view    // by rung asked for
-	gone   uint64     // discontinuities that an earlier front may have told of
+	viewer viewerKey
+
+	mu                  sync.Mutex
+	state               state
+	answered            chan struct{} // closed when the request in flight is answered
+	call                *Call
+	refusal             refusal // result of the most recent request, if it did not start playback
+	name                string  // name of the front's session that plays now
+	id                  uint64
+	serverAddr          string // HTTP address of the server that delivers the segments
+	rung                int
+	moveToken           uint64 // token of the most recent move, for the next request
+	openedAt            front.Time
+	lastRequestAt       front.Time
+	playlist            hlssession.Playlist
+	servedAt            front.Time // last playlist sent; the reload rate counts from it, so waiting ends a rejection
+	fastReloads         int        // consecutive reloads that came too fast
+	views               []*view    // by requested rung
+	pastDiscontinuities uint64     // discontinuities that an earlier front may have announced
 }
 
-// view is what one variant's player was told.
+// view is what was sent to the player for one variant.
 type view struct {
 	hls.View
-	next uint64
+	next uint64 // media sequence number after the last segment announced
 }
 
 type state uint8
 
 const (
-	opening state = iota // a request is under way
+	opening state = iota // a request is in flight
 	playing
-	adrift // moved or lost: it is placed anew at the next reload
-	over
+	unplaced // moved or lost: the next reload places it again
+	ended
 )
 
-// refusal is an answer that does not play.
+// refusal is a reply that does not start playback.
 type refusal struct {
-	failed bool
-	after  front.Time
+	failed     bool
+	retryAfter front.Time
 }
 
-// viewerKey is one viewer's wish: a second request for it is the same session.
+// viewerKey identifies what one viewer plays: a second request with the same key belongs to the same session.
 type viewerKey struct {
 	viewer uint64
 	title  string
 	class  int
 }
 
-// Call is a session's request as the owner sees it. The owner must never be held up here.
+// Call is a session's request as the owner sees it. Its methods must never block the owner.
 type Call struct {
-	s    *session
-	done atomic.Bool
-	held map[uint64]struct{}
-	ref  uint64
+	session      *session
+	done         atomic.Bool
+	heldSessions map[uint64]struct{}
+	handle       uint64
 }
 
+// Result takes the result of a request that plays. It returns false if v is not such a result or the request was
+// answered before.
 func (c *Call) Result(v any) bool {
 	r, ok := v.(players.PlaysResult)
 	if !ok || c.done.Swap(true) {
 		return false
 	}
-	s := c.s
+	s := c.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.call != c || s.state == over { // nobody asks for it any more; the owner must not wait for its own queue
+	// A session that is no longer wanted is ended from a goroutine, as the owner must not wait for its own queue.
+	if s.call != c || s.state == ended {
 		if id, ok := s.hub.owner.Number(r.Session); ok {
 			go s.hub.owner.End(id)
 		}
 		return true
 	}
-	s.state, s.name, s.http, s.rung, s.opened = playing, r.Session, r.HTTP, r.Rung, s.hub.owner.Now()
+	s.state, s.name, s.serverAddr, s.rung, s.openedAt = playing, r.Session, r.HTTP, r.Rung, s.hub.owner.Now()
 	s.id, _ = s.hub.owner.Number(r.Session)
-	close(s.answer)
+	close(s.answered)
 	return true
 }
 
+// Fail takes the error of a request that does not play. It returns false if the request was answered before.
 func (c *Call) Fail(code int, _ string, data any) bool {
 	if c.done.Swap(true) {
 		return false
 	}
-	s := c.s
+	s := c.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.call != c || s.state == over {
+	if s.call != c || s.state == ended {
 		return true
 	}
-	s.no = refusal{failed: code == players.CodeFailed}
+	s.refusal = refusal{failed: code == players.CodeFailed}
 	if d, ok := data.(players.NoData); ok {
-		s.no.after = front.Time(d.RetryAfterMs) * 1e6
+		s.refusal.retryAfter = front.Time(d.RetryAfterMs) * 1e6
 		s.name = d.Session
 	}
-	s.state = adrift
-	close(s.answer)
+	s.state = unplaced
+	close(s.answered)
 	return true
 }
 
-// Notify takes what the module decides for a session that plays.
+// Notify applies a notification about the session that plays: a new rung, a move or its end.
 func (c *Call) Notify(method string, params any) {
 	p, _ := params.(map[string]any)
-	s := c.s
+	s := c.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.call != c {
@@ -129,51 +133,58 @@
 			s.rung = r
 		}
 	case "session.moved":
-		s.moved = s.hub.owner.MovedToken(p["token"])
-		s.state = adrift
+		s.moveToken = s.hub.owner.MovedToken(p["token"])
+		s.state = unplaced
 	case "session.ended":
-		s.state = adrift
+		s.state = unplaced
 		if why, _ := p["reason"].(front.EndReason); why == front.EndReasonFinished {
-			s.state = over
+			s.state = ended
 		}
 	}
 }
 
+// Left reports whether the player is gone: the session has ended or has made a newer request.
 func (c *Call) Left() bool {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	return c.s.call != c || c.s.state == over
+	c.session.mu.Lock()
+	defer c.session.mu.Unlock()
+	return c.session.call != c || c.session.state == ended
 }
 
-func (c *Call) Drop()                     { c.done.Store(true) }
-func (c *Call) Held() map[uint64]struct{} { return c.held }
-func (c *Call) Ref() *uint64              { return &c.ref }
+// Drop ends a call without an answer.
+func (c *Call) Drop() { c.done.Store(true) }
 
-// ask sends a request for the session to the owner. The caller holds the session.
-func (s *session) ask(again bool) (start func()) {
-	s.state, s.answer, s.no = opening, make(chan struct{}), refusal{}
-	c := &Call{s: s, held: map[uint64]struct{}{}}
+// Held returns the owner's set of sessions that end with the player.
+func (c *Call) Held() map[uint64]struct{} { return c.heldSessions }
+
+// Ref returns the owner's handle of the player.
+func (c *Call) Ref() *uint64 { return &c.handle }
+
+// request prepares a new request for the session and returns the function that sends it to the owner. The caller
+// holds the session's mutex, and calls start after it has released it.
+func (s *session) request(repeated bool) (start func()) {
+	s.state, s.answered, s.refusal = opening, make(chan struct{}), refusal{}
+	c := &Call{session: s, heldSessions: map[uint64]struct{}{}}
 	s.call = c
-	a, ok := s.hub.wish(s.claims)
-	a.Again, a.Token = again, s.moved
-	s.moved = 0
+	coreRequest, ok := s.hub.coreRequest(s.claims)
+	coreRequest.Again, coreRequest.Token = repeated, s.moveToken
+	s.moveToken = 0
 	return func() {
 		if !ok {
 			c.Fail(players.CodeUnknownTitle, "", nil)
 			return
 		}
-		s.hub.owner.Open(c, a)
+		s.hub.owner.Open(c, coreRequest)
 	}
 }
 
-// view gives the view of a variant.
+// view returns the view of a variant and creates it if necessary.
 func (s *session) view(rung int) *view {
 	for len(s.views) <= rung {
 		s.views = append(s.views, nil)
 	}
 	if s.views[rung] == nil {
 		s.views[rung] = &view{}
-		s.views[rung].Before(s.gone)
+		s.views[rung].AddPastDiscontinuities(s.pastDiscontinuities)
 	}
 	return s.views[rung]
 }
