--- a/internal/catalogue/bench_test.go
+++ b/internal/catalogue/bench_test.go
@@ -13,31 +13,31 @@
 	"github.com/tidwall/btree"
 )
 
-// store is a way to keep titles that change under readers.
-type keeper interface {
+// titleIndex is a data structure for titles that change while they are read.
+type titleIndex interface {
 	get(name string) *Title
-	change(list []*Title)
+	update(list []*Title)
 }
 
 type trie struct{ c *Catalogue }
 
 func (k trie) get(name string) *Title { t, _ := k.c.Now().Get(name); return t }
-func (k trie) change(list []*Title) {
+func (k trie) update(list []*Title) {
 	v := k.c.Now()
 	next := &Version{Mark: Mark{Number: v.Number + 1}, tree: v.tree}
 	for _, t := range list {
 		next.tree, _ = next.tree.with(t)
 	}
-	k.c.now.Store(next)
+	k.c.current.Store(next)
 }
 
-type locked struct {
+type lockedMap struct {
 	mu sync.RWMutex
 	m  map[string]*Title
 }
 
-func (k *locked) get(name string) *Title { k.mu.RLock(); defer k.mu.RUnlock(); return k.m[name] }
-func (k *locked) change(list []*Title) {
+func (k *lockedMap) get(name string) *Title { k.mu.RLock(); defer k.mu.RUnlock(); return k.m[name] }
+func (k *lockedMap) update(list []*Title) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, t := range list {
@@ -45,12 +45,12 @@
 	}
 }
 
-type copied struct {
+type copiedMap struct {
 	m atomic.Pointer[map[string]*Title]
 }
 
-func (k *copied) get(name string) *Title { return (*k.m.Load())[name] }
-func (k *copied) change(list []*Title) {
+func (k *copiedMap) get(name string) *Title { return (*k.m.Load())[name] }
+func (k *copiedMap) update(list []*Title) {
 	m := maps.Clone(*k.m.Load())
 	for _, t := range list {
 		m[t.Name] = t
@@ -58,12 +58,12 @@
 	k.m.Store(&m)
 }
 
-type ordered struct {
+type btreeIndex struct {
 	t atomic.Pointer[btree.BTreeG[*Title]]
 }
 
-func (k *ordered) get(name string) *Title { t, _ := k.t.Load().Get(&Title{Name: name}); return t }
-func (k *ordered) change(list []*Title) {
+func (k *btreeIndex) get(name string) *Title { t, _ := k.t.Load().Get(&Title{Name: name}); return t }
+func (k *btreeIndex) update(list []*Title) {
 	t := k.t.Load().Copy()
 	for _, x := range list {
 		t.Set(x)
@@ -71,8 +71,8 @@
 	k.t.Store(t)
 }
 
-// BenchmarkCatalogue compares them at a size: bytes a title for the structure alone, what a change of 100 titles costs,
-// and lookups (p50, p99 and most, in ns) while such a change comes each 10 ms.
+// BenchmarkCatalogue compares the data structures at several sizes: bytes per title of the structure alone, the time of
+// an update of 100 titles, and lookups (p50, p99 and maximum, in ns) while there is such an update every 10 ms.
 func BenchmarkCatalogue(b *testing.B) {
 	for _, size := range []int{1_000, 100_000, 3_000_000} {
 		names := make([]*Title, size)
@@ -84,34 +84,35 @@
 				runtime.GC()
 				var before, after runtime.MemStats
 				runtime.ReadMemStats(&before)
-				var k keeper
+				var titles titleIndex
 				switch kind {
 				case "trie":
 					v := tree{}
 					for _, t := range names {
 						v, _ = v.with(t)
 					}
-					k = trie{New(&Version{tree: v})}
+					titles = trie{New(&Version{tree: v})}
 				case "locked":
-					l := &locked{m: map[string]*Title{}}
-					l.change(names)
-					k = l
+					l := &lockedMap{m: map[string]*Title{}}
+					l.update(names)
+					titles = l
 				case "copied":
 					m := map[string]*Title{}
 					for _, t := range names {
 						m[t.Name] = t
 					}
-					c := &copied{}
+					c := &copiedMap{}
 					c.m.Store(&m)
-					k = c
+					titles = c
 				default:
-					t := btree.NewBTreeGOptions(func(a, b *Title) bool { return a.Name < b.Name }, btree.Options{NoLocks: true})
+					t := btree.NewBTreeGOptions(func(a, b *Title) bool { return a.Name < b.Name },
+						btree.Options{NoLocks: true})
 					for _, x := range names {
 						t.Set(x)
 					}
-					o := &ordered{}
+					o := &btreeIndex{}
 					o.t.Store(t)
-					k = o
+					titles = o
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
@@ -122,37 +123,37 @@
 				go func() {
 					defer wg.Done()
 					for i := 0; !stop.Load(); i++ {
-						began := time.Now()
-						k.change(names[i*100%(size-100) : i*100%(size-100)+100])
-						spent += int64(time.Since(began))
+						startedAt := time.Now()
+						titles.update(names[i*100%(size-100) : i*100%(size-100)+100])
+						spent += int64(time.Since(startedAt))
 						changes++
 						time.Sleep(10 * time.Millisecond)
 					}
 				}()
-				took := make([]int64, 0, 200_000)
+				durations := make([]int64, 0, 200_000)
 				for i := 0; i < 200_000; i++ {
 					name := names[i*7919%size].Name
-					began := time.Now()
-					k.get(name)
-					took = append(took, int64(time.Since(began)))
+					startedAt := time.Now()
+					titles.get(name)
+					durations = append(durations, int64(time.Since(startedAt)))
 				}
 				time.Sleep(50 * time.Millisecond)
 				stop.Store(true)
 				wg.Wait()
-				slices.Sort(took)
+				slices.Sort(durations)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(size), "B/title")
 				b.ReportMetric(float64(spent)/float64(changes)/1000, "us/change")
-				b.ReportMetric(float64(took[len(took)/2]), "p50-ns")
-				b.ReportMetric(float64(took[len(took)*99/100]), "p99-ns")
-				b.ReportMetric(float64(took[len(took)-1]), "max-ns")
+				b.ReportMetric(float64(durations[len(durations)/2]), "p50-ns")
+				b.ReportMetric(float64(durations[len(durations)*99/100]), "p99-ns")
+				b.ReportMetric(float64(durations[len(durations)-1]), "max-ns")
 				b.ReportMetric(0, "ns/op")
-				runtime.KeepAlive(k)
+				runtime.KeepAlive(titles)
 			})
 		}
 	}
 }
 
-// BenchmarkLoad reads 3 million titles of two holders each from a file, as a front does when it starts.
+// BenchmarkLoad reads 3 million titles with two holders each from a file, as a front does when it starts.
 func BenchmarkLoad(b *testing.B) {
 	v, err := Build(1, func(yield func(*Title) bool) {
 		for i := range 3_000_000 {
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -1,7 +1,7 @@
-// Package catalogue tells which titles exist, in which renditions and on which servers, while that changes. A version
-// is immutable and shared by all its readers without a lock; a delta applies only onto the version that it names and
-// only if the result is the one that it names, so that half-delivered, reordered, repeated or corrupt updates leave the
-// old version as it was.
+// Package catalogue holds which titles exist, in which renditions and on which servers, and applies updates to it. A
+// version is immutable and shared by all its readers without a lock. A delta applies only to the version that it names,
+// and only if the result is the version that it names, so that partly delivered, reordered, repeated or corrupt updates
+// leave the old version unchanged.
 package catalogue
 
 import (
@@ -17,32 +17,32 @@
 	"tealledge/policy"
 )
 
-// Bounds of what is taken.
+// Limits of a catalogue and of a delta.
 const (
-	MostTitles  = 8_000_000
-	MostHolders = 1_000
-	MostChanges = 1_000_000 // of one delta
-	MostName    = 256       // bytes
-	MostRungs   = 32
+	MaxTitles    = 8_000_000
+	MaxHolders   = 1_000
+	MaxChanges   = 1_000_000 // per delta
+	MaxNameBytes = 256
+	MaxRungs     = 32
 )
 
-// Title is a title and who holds what of it. It is never changed once it is in a version.
+// Title is a title with the servers that hold it. It is immutable once it is part of a version.
 type Title struct {
 	Name    string
-	Holders []Holding // in the order of servers
+	Holders []Holding // sorted by server
 }
 
-// Holding is the renditions that one server holds: bit r of Rungs for rung r.
+// Holding names the renditions that one server holds: bit r of Rungs stands for rung r.
 type Holding struct {
 	Server uint32
 	Rungs  uint32
 }
 
-// Number is the title's number for the decision module: the same in every version and process.
+// TitleNumber returns the title's number for the decision module: the same in every version and process.
 func Number(name string) uint64 { return xxhash.Sum64String(name) | 1 }
 
-// Ask gives the holders as an ask names them: servers that hold every rung from the floor up to some rung. One that holds
-// only higher ones can't be lowered to the floor and is left out.
+// EligibleHolders returns the holders in the form that the decision module takes: the servers that hold every rung from
+// the floor up to some rung. A server that holds only higher rungs can't be lowered to the floor and is left out.
 func (t *Title) Ask(floor int) []policy.Holder {
 	out := make([]policy.Holder, 0, len(t.Holders))
 	for _, h := range t.Holders {
@@ -53,24 +53,25 @@
 	return out
 }
 
-// check tells what is wrong with a title.
-func (t *Title) check() error {
+// validate returns an error if the title is invalid.
+func (t *Title) validate() error {
 	switch {
-	case t.Name == "" || len(t.Name) > MostName:
-		return fmt.Errorf("a title's name of %d bytes; 1 to %d may be", len(t.Name), MostName)
-	case len(t.Holders) > MostHolders:
-		return fmt.Errorf("title %.60q has %d holders, %d at most", t.Name, len(t.Holders), MostHolders)
+	case t.Name == "" || len(t.Name) > MaxNameBytes:
+		return fmt.Errorf("title name has %d bytes, want 1 to %d", len(t.Name), MaxNameBytes)
+	case len(t.Holders) > MaxHolders:
+		return fmt.Errorf("title %.60q has %d holders, the limit is %d", t.Name, len(t.Holders), MaxHolders)
 	}
 	for i, h := range t.Holders {
 		if h.Rungs == 0 || i > 0 && t.Holders[i-1].Server >= h.Server {
-			return fmt.Errorf("title %.60q: server %d holds nothing, or is not in order", t.Name, h.Server)
+			return fmt.Errorf("title %.60q: server %d has no rungs or is out of order", t.Name, h.Server)
 		}
 	}
 	return nil
 }
 
-// sum is a title's part of a version's digest: parts add up, so that a change costs what it changes.
-func (t *Title) sum() uint64 {
+// digest returns the title's contribution to a version's digest. Contributions are added up, so that the cost of
+// updating the digest is proportional to the change.
+func (t *Title) digest() uint64 {
 	var b [8]byte
 	d := xxhash.New()
 	num := func(x uint32) {
@@ -86,45 +87,45 @@
 	return d.Sum64()
 }
 
-// Mark names a version: its number and the digest of all that is in it.
+// VersionID identifies a version by its number and the digest of its content.
 type Mark struct{ Number, Digest uint64 }
 
-// Version is the catalogue as it was at one time. It never changes.
+// Version is an immutable state of the catalogue.
 type Version struct {
 	Mark
 	tree tree
 }
 
-// Len tells how many titles there are.
-func (v *Version) Len() int { return v.tree.n }
+// Len returns the number of titles.
+func (v *Version) Len() int { return v.tree.size }
 
-// Get finds a title.
+// Get returns the title of a name, and whether there is one.
 func (v *Version) Get(name string) (*Title, bool) { t := v.tree.get(name); return t, t != nil }
 
-// All calls fn for each title, in no order that means anything, until it gives false.
+// All calls fn for each title, in no particular order, until fn returns false.
 func (v *Version) All(fn func(*Title) bool) { v.tree.root.all(fn) }
 
-// Build makes a version of titles. It is refused whole if one of them is wrong or comes twice.
+// Build returns a version with the given titles. It returns an error if one of them is invalid or occurs twice.
 func Build(number uint64, titles func(yield func(*Title) bool)) (*Version, error) {
 	v := &Version{Mark: Mark{Number: number}, tree: tree{root: &node{}}}
-	var wrong error
+	var invalid error
 	titles(func(t *Title) bool {
-		if wrong = t.check(); wrong == nil && v.tree.n >= MostTitles {
-			wrong = fmt.Errorf("more than %d titles", MostTitles)
+		if invalid = t.validate(); invalid == nil && v.tree.size >= MaxTitles {
+			invalid = fmt.Errorf("more than %d titles", MaxTitles)
 		}
-		if wrong != nil {
+		if invalid != nil {
 			return false
 		}
 		if old := v.tree.root.add(t, xxhash.Sum64String(t.Name), 0); old != nil {
-			wrong = fmt.Errorf("title %.60q comes twice", t.Name)
+			invalid = fmt.Errorf("title %.60q occurs twice", t.Name)
 			return false
 		}
-		v.tree.n++
-		v.Digest += t.sum()
+		v.tree.size++
+		v.Digest += t.digest()
 		return true
 	})
-	if wrong != nil {
-		return nil, fmt.Errorf("catalogue version %d: %w", number, wrong)
+	if invalid != nil {
+		return nil, fmt.Errorf("catalogue version %d: %w", number, invalid)
 	}
 	return v, nil
 }
@@ -132,60 +133,61 @@
 // Delta is a change from one version to another.
 type Delta struct {
 	From, To Mark
-	Put      []*Title // new, or in place of what was
+	Put      []*Title // new titles and replacements
 	Remove   []string
 }
 
-// Why a delta is not applied.
+// Errors that Apply wraps when a delta is not applied.
 var (
-	ErrBase   = errors.New("it is for another version")
-	ErrResult = errors.New("its result is not what it says")
-	ErrOld    = errors.New("it was applied already")
+	ErrBaseMismatch   = errors.New("delta is for another version")
+	ErrResultMismatch = errors.New("result differs from the version that the delta names")
+	ErrAlreadyApplied = errors.New("delta was already applied")
 )
 
-// Apply gives the version after a delta. v stays as it is, whatever comes of it.
+// Apply returns the version that results from a delta. v is never modified.
 func (v *Version) Apply(d *Delta) (*Version, error) {
 	fail := func(err error) (*Version, error) {
-		return nil, fmt.Errorf("catalogue delta from version %d to %d onto %d: %w", d.From.Number, d.To.Number, v.Number, err)
+		return nil, fmt.Errorf("applying catalogue delta from version %d to %d to version %d: %w",
+			d.From.Number, d.To.Number, v.Number, err)
 	}
 	switch {
 	case d.To == v.Mark || d.To.Number < v.Number:
-		return fail(ErrOld)
+		return fail(ErrAlreadyApplied)
 	case d.From != v.Mark:
-		return fail(ErrBase)
+		return fail(ErrBaseMismatch)
 	case d.To.Number <= d.From.Number:
-		return fail(ErrResult)
-	case len(d.Put)+len(d.Remove) > MostChanges:
-		return fail(fmt.Errorf("%d changes, %d at most", len(d.Put)+len(d.Remove), MostChanges))
+		return fail(ErrResultMismatch)
+	case len(d.Put)+len(d.Remove) > MaxChanges:
+		return fail(fmt.Errorf("%d changes, the limit is %d", len(d.Put)+len(d.Remove), MaxChanges))
 	}
 	next := &Version{Mark: Mark{d.To.Number, v.Digest}, tree: v.tree}
 	var old *Title
 	for _, name := range d.Remove {
 		if next.tree, old = next.tree.without(name); old == nil {
-			return fail(fmt.Errorf("%w: it removes %.60q, which is not there", ErrResult, name))
+			return fail(fmt.Errorf("%w: it removes %.60q, which does not exist", ErrResultMismatch, name))
 		}
-		next.Digest -= old.sum()
+		next.Digest -= old.digest()
 	}
 	for _, t := range d.Put {
-		if err := t.check(); err != nil {
+		if err := t.validate(); err != nil {
 			return fail(err)
 		}
 		if next.tree, old = next.tree.with(t); old != nil {
-			next.Digest -= old.sum()
+			next.Digest -= old.digest()
 		}
-		next.Digest += t.sum()
+		next.Digest += t.digest()
 	}
-	if next.Digest != d.To.Digest || next.tree.n > MostTitles {
-		return fail(ErrResult)
+	if next.Digest != d.To.Digest || next.tree.size > MaxTitles {
+		return fail(ErrResultMismatch)
 	}
 	return next, nil
 }
 
-// Diff gives the delta from one version to a later one, in the order of names.
+// Diff returns the delta from one version to a later one, sorted by name.
 func Diff(from, to *Version) *Delta {
 	d := &Delta{From: from.Mark, To: to.Mark}
 	to.All(func(t *Title) bool {
-		if o, ok := from.Get(t.Name); !ok || o != t && o.sum() != t.sum() {
+		if o, ok := from.Get(t.Name); !ok || o != t && o.digest() != t.digest() {
 			d.Put = append(d.Put, t)
 		}
 		return true
@@ -211,79 +213,79 @@
 	return 0
 }
 
-// Catalogue is the newest version, for readers, and takes changes. Deltas that come before the one that they follow
-// wait, so many at most.
+// Catalogue gives readers the most recent version and applies updates. Deltas that arrive before the one that they
+// follow are kept until it arrives, at most maxPending of them.
 type Catalogue struct {
-	now  atomic.Pointer[Version]
-	mu   sync.Mutex // of those who change it
-	wait map[Mark]*Delta
+	current atomic.Pointer[Version]
+	mu      sync.Mutex      // serializes updates
+	pending map[Mark]*Delta // by the version that they apply to
 }
 
-const waitMost = 64
+const maxPending = 64
 
-// New makes a catalogue that begins with a version.
+// New returns a catalogue that starts with the given version.
 func New(v *Version) *Catalogue {
-	c := &Catalogue{wait: map[Mark]*Delta{}}
-	c.now.Store(v)
+	c := &Catalogue{pending: map[Mark]*Delta{}}
+	c.current.Store(v)
 	return c
 }
 
-// Now gives the newest version. It stays good for as long as it is held.
-func (c *Catalogue) Now() *Version { return c.now.Load() }
+// Current returns the most recent version, which stays valid for as long as it is referenced.
+func (c *Catalogue) Now() *Version { return c.current.Load() }
 
-// Set replaces all, unless what is there is newer.
-func (c *Catalogue) Set(v *Version) error {
+// Replace replaces the whole catalogue. It returns an error if the current version is newer.
+func (c *Catalogue) Replace(v *Version) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if old := c.Now(); v.Number < old.Number {
-		return fmt.Errorf("catalogue version %d comes after %d: the newer stands", v.Number, old.Number)
+		return fmt.Errorf("catalogue version %d is older than the current version %d", v.Number, old.Number)
 	}
-	c.now.Store(v)
-	return c.follow(nil)
+	c.current.Store(v)
+	return c.applyPending(nil)
 }
 
-// Take applies a delta and those that waited for it. One that is early waits; behind tells that it does, and that the
-// source should be asked for what is missing.
-func (c *Catalogue) Take(d *Delta) (behind bool, err error) {
+// ApplyDelta applies a delta and the pending ones that follow it. A delta that arrives early is kept as pending. behind
+// reports that the delta was not applied and the source should be asked for what is missing.
+func (c *Catalogue) ApplyDelta(d *Delta) (behind bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next, err := c.Now().Apply(d)
 	switch {
-	case errors.Is(err, ErrOld):
+	case errors.Is(err, ErrAlreadyApplied):
 		return false, nil
-	case errors.Is(err, ErrBase) && d.From.Number >= c.Now().Number:
-		if len(c.wait) >= waitMost {
-			clear(c.wait) // a full list is needed anyway
+	case errors.Is(err, ErrBaseMismatch) && d.From.Number >= c.Now().Number:
+		if len(c.pending) >= maxPending {
+			clear(c.pending) // the full catalogue is needed anyway
 		}
 		if d.From.Number > c.Now().Number {
-			c.wait[d.From] = d
+			c.pending[d.From] = d
 		}
 		return true, nil
 	case err != nil:
 		return true, err
 	}
-	c.now.Store(next)
-	return false, c.follow(nil)
+	c.current.Store(next)
+	return false, c.applyPending(nil)
 }
 
-// follow applies what waited for the version that is there now, and forgets what is too old.
-func (c *Catalogue) follow(err error) error {
+// applyPending applies the pending deltas that follow the current version and removes those that are too old.
+func (c *Catalogue) applyPending(err error) error {
 	for {
 		v := c.Now()
-		for from := range c.wait {
+		for from := range c.pending {
 			if from.Number < v.Number {
-				delete(c.wait, from)
+				delete(c.pending, from)
 			}
 		}
-		d := c.wait[v.Mark]
+		d := c.pending[v.Mark]
 		if d == nil {
 			return err
 		}
-		delete(c.wait, v.Mark)
-		next, wrong := v.Apply(d)
-		if wrong != nil {
-			return errors.Join(err, wrong)
+		delete(c.pending, v.Mark)
+		next, applyErr := v.Apply(d)
+		if applyErr != nil {
+			return errors.Join(err, applyErr)
 		}
-		c.now.Store(next)
+		c.current.Store(next)
 	}
 }
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -36,57 +36,58 @@
 	return v
 }
 
-// TestTreeIsAMap holds versions to plain maps through any puts and removes; old versions stay as they were.
-func TestTreeIsAMap(t *testing.T) {
+// TestTreeMatchesMapAndOldVersionsStay compares versions with plain maps through random insertions and removals; old
+// versions must stay unchanged.
+func TestTreeMatchesMapAndOldVersionsStay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, want := tree{}, map[string]*Title{}
 		type old struct {
 			tree tree
 			want map[string]*Title
 		}
-		var olds []old
+		var versions []old
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			name := fmt.Sprint(rapid.IntRange(0, 60).Draw(t, "name"))
-			var was *Title
+			var previous *Title
 			if rapid.Bool().Draw(t, "put") {
 				x := &Title{Name: name}
-				v, was = v.with(x)
-				if was != want[name] {
-					t.Fatal("another old title")
+				v, previous = v.with(x)
+				if previous != want[name] {
+					t.Fatal("with returned a wrong old title")
 				}
 				want[name] = x
 			} else {
-				v, was = v.without(name)
-				if was != want[name] {
-					t.Fatal("another title removed")
+				v, previous = v.without(name)
+				if previous != want[name] {
+					t.Fatal("without returned a wrong title")
 				}
 				delete(want, name)
 			}
-			if len(olds) < 8 {
+			if len(versions) < 8 {
 				copy := map[string]*Title{}
 				for k, x := range want {
 					copy[k] = x
 				}
-				olds = append(olds, old{v, copy})
+				versions = append(versions, old{v, copy})
 			}
 		}
-		for _, o := range append(olds, old{v, want}) {
+		for _, o := range append(versions, old{v, want}) {
 			n := 0
 			o.tree.root.all(func(x *Title) bool {
 				if n++; o.want[x.Name] != x || o.tree.get(x.Name) != x {
-					t.Fatal("a version changed")
+					t.Fatal("an old version has changed")
 				}
 				return true
 			})
-			if n != len(o.want) || o.tree.n != n {
-				t.Fatal("titles lost or left over", n, o.tree.n, len(o.want))
+			if n != len(o.want) || o.tree.size != n {
+				t.Fatal("wrong number of titles: visited, size, want", n, o.tree.size, len(o.want))
 			}
 		}
 	})
 }
 
-// TestBuiltInPlaceOrStepByStep gives the same: every title is found, and changes go on from there.
-func TestBuiltInPlaceOrStepByStep(t *testing.T) {
+// TestInPlaceBuildMatchesStepwiseBuild: every title is found in both, and a version built in place can be changed.
+func TestInPlaceBuildMatchesStepwiseBuild(t *testing.T) {
 	var list []*Title
 	steps := tree{}
 	for i := range 5000 {
@@ -96,13 +97,13 @@
 	v := build(t, 1, list...)
 	for _, x := range list {
 		if got, _ := v.Get(x.Name); got != x || steps.get(x.Name) != x {
-			t.Fatal("lost", x.Name)
+			t.Fatal("title not found:", x.Name)
 		}
 	}
 	var out *Title
 	for i, x := range list {
 		if v.tree, out = v.tree.without(x.Name); out != x || v.Len() != len(list)-1-i {
-			t.Fatal("not removed", x.Name)
+			t.Fatal("title not removed:", x.Name)
 		}
 	}
 	if v.tree.root != nil {
@@ -110,30 +111,30 @@
 	}
 }
 
-// TestTitlesOfOneHash are kept apart, at the bottom of the tree.
-func TestTitlesOfOneHash(t *testing.T) {
+// TestTitlesWithEqualHashStayDistinct: titles with equal hashes share a node at maxDepth and must not be confused.
+func TestTitlesWithEqualHashStayDistinct(t *testing.T) {
 	var n *node
 	a, b := &Title{Name: "a"}, &Title{Name: "b"}
 	n, _ = n.with(a, 7, maxDepth)
 	n, _ = n.with(b, 7, maxDepth)
-	c, was := n.with(&Title{Name: "b"}, 7, maxDepth)
-	if was != b {
-		t.Error("not replaced")
+	c, previous := n.with(&Title{Name: "b"}, 7, maxDepth)
+	if previous != b {
+		t.Error("title not replaced")
 	}
-	left, was := c.without("a", 7, maxDepth)
-	if was != a || left == nil {
-		t.Error("not removed")
+	left, previous := c.without("a", 7, maxDepth)
+	if previous != a || left == nil {
+		t.Error("title not removed")
 	}
-	if _, was := left.without("a", 7, maxDepth); was != nil {
-		t.Error("removed twice")
+	if _, previous := left.without("a", 7, maxDepth); previous != nil {
+		t.Error("title removed twice")
 	}
 	if none, _ := left.without("b", 7, maxDepth); none != nil {
 		t.Error("an empty tree has nodes")
 	}
 }
 
-// TestBadUpdatesLeaveTheOldVersion: each of them is told, and nothing of it is seen.
-func TestBadUpdatesLeaveTheOldVersion(t *testing.T) {
+// TestInvalidUpdatesLeaveVersionUnchanged: each invalid update returns an error, and no part of it becomes visible.
+func TestInvalidUpdatesLeaveVersionUnchanged(t *testing.T) {
 	v1 := build(t, 1, title(1, 1), title(2, 2))
 	v2 := build(t, 2, title(1, 1, 3), title(3, 3))
 	v3 := build(t, 3, title(3, 3))
@@ -154,32 +155,33 @@
 		d    *Delta
 		want error
 	}{
-		"half delivered":       {&cut, ErrResult},
-		"corrupt":              {&flipped, ErrResult},
-		"for another version":  {&wrongBase, ErrBase},
-		"removes what is not":  {&missing, ErrResult},
+		"incomplete":           {&cut, ErrResultMismatch},
+		"corrupt":              {&flipped, ErrResultMismatch},
+		"for another version":  {&wrongBase, ErrBaseMismatch},
+		"removes unknown":      {&missing, ErrResultMismatch},
 		"holders out of order": {&unordered, nil},
-		"goes nowhere":         {&backwards, ErrResult},
-		"comes too early":      {Diff(v2, v3), ErrBase},
+		"not a newer version":  {&backwards, ErrResultMismatch},
+		"too early":            {Diff(v2, v3), ErrBaseMismatch},
 	} {
 		next, err := v1.Apply(c.d)
 		if next != nil || err == nil || c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
 	if x, _ := v1.Get("title-1"); v1.Len() != 2 || len(x.Holders) != 1 {
-		t.Error("the old version changed")
+		t.Error("the old version has changed")
 	}
 	if next, err := v1.Apply(good); err != nil || next.Mark != v2.Mark {
 		t.Error(err)
 	}
 	if _, err := Build(1, func(y func(*Title) bool) { _ = y(title(1, 1)) && y(title(1, 2)) }); err == nil {
-		t.Error("a title twice was taken")
+		t.Error("a duplicate title was accepted")
 	}
 }
 
-// TestDeltasInAnyOrder come out at the newest version, repeated ones included; a gap is told.
-func TestDeltasInAnyOrder(t *testing.T) {
+// TestReorderedDeltasReachNewestVersion: deltas in any order, repeated ones included, lead to the newest version; a gap
+// is reported.
+func TestReorderedDeltasReachNewestVersion(t *testing.T) {
 	versions := []*Version{build(t, 1, title(0, 1))}
 	var deltas []*Delta
 	rng := rand.New(rand.NewSource(1))
@@ -197,47 +199,47 @@
 	for seed := range int64(50) {
 		c := New(versions[0])
 		rng := rand.New(rand.NewSource(seed))
-		order := append(rng.Perm(len(deltas)), rng.Perm(len(deltas))...) // each comes twice
+		order := append(rng.Perm(len(deltas)), rng.Perm(len(deltas))...) // each delta arrives twice
 		behind := false
 		for _, i := range order {
 			var err error
-			if behind, err = c.Take(deltas[i]); err != nil {
+			if behind, err = c.ApplyDelta(deltas[i]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if c.Now().Mark != newest.Mark || behind || len(c.wait) > 0 {
-			t.Fatalf("seed %d: at version %d, %d wait", seed, c.Now().Number, len(c.wait))
+		if c.Now().Mark != newest.Mark || behind || len(c.pending) > 0 {
+			t.Fatalf("seed %d: at version %d, %d deltas pending", seed, c.Now().Number, len(c.pending))
 		}
 	}
 	c := New(versions[0])
-	if behind, err := c.Take(deltas[5]); !behind || err != nil {
-		t.Error("a gap is not told", err)
+	if behind, err := c.ApplyDelta(deltas[5]); !behind || err != nil {
+		t.Error("a gap is not reported", err)
 	}
-	if err := c.Set(versions[5]); err != nil || c.Now().Number != 7 {
-		t.Error("what waited for a full list was not applied", c.Now().Number, err)
+	if err := c.Replace(versions[5]); err != nil || c.Now().Number != 7 {
+		t.Error("a delta pending for the full version was not applied", c.Now().Number, err)
 	}
-	if err := c.Set(versions[0]); err == nil || c.Now().Number != 7 {
-		t.Error("an older list replaced the newer")
+	if err := c.Replace(versions[0]); err == nil || c.Now().Number != 7 {
+		t.Error("an older version replaced the newer one")
 	}
 }
 
-func TestHoldersAsAnAskNamesThem(t *testing.T) {
+func TestEligibleHoldersHoldAllRungsFromFloor(t *testing.T) {
 	x := &Title{Name: "x", Holders: []Holding{{1, 0b1111}, {2, 0b0011}, {3, 0b1110}, {4, 0b1101}}}
 	for floor, want := range map[int]string{0: "[{1 3} {2 1} {4 0}]", 1: "[{1 3} {2 1} {3 3}]", 3: "[{1 3} {3 3} {4 3}]"} {
 		if got := fmt.Sprint(x.Ask(floor)); got != want {
-			t.Errorf("floor %d: %s, not %s", floor, got, want)
+			t.Errorf("floor %d: got %s, want %s", floor, got, want)
 		}
 	}
 	if got := (&Title{Name: "y", Holders: []Holding{{1, 1<<32 - 1}}}).Ask(0); got[0] != (policy.Holder{Server: 1, Top: 31}) {
 		t.Error(got)
 	}
 	if x := (&Title{Name: "z"}).Ask(0); x == nil || len(x) != 0 {
-		t.Error("a title that nobody holds must name no holder, not all")
+		t.Error("a title without holders must give an empty list, not nil")
 	}
 }
 
-// TestReadersSeeWholeVersions: while the catalogue changes, each reader sees one version or another, never a mixture.
-func TestReadersSeeWholeVersions(t *testing.T) {
+// TestConcurrentReadersSeeWholeVersions: while the catalogue changes, a reader must never see a mixture of two versions.
+func TestConcurrentReadersSeeWholeVersions(t *testing.T) {
 	version := func(n uint64) *Version {
 		var list []*Title
 		for i := range 200 {
@@ -256,7 +258,7 @@
 				v := c.Now()
 				for i := range 200 {
 					if x, ok := v.Get(fmt.Sprintf("title-%d", i)); !ok || x.Holders[0].Server != uint32(v.Number) {
-						t.Error("a mixture")
+						t.Error("a reader saw a mixture of two versions")
 						return
 					}
 				}
@@ -264,7 +266,7 @@
 		}()
 	}
 	for n := uint64(2); n < 60; n++ {
-		if _, err := c.Take(Diff(c.Now(), version(n))); err != nil {
+		if _, err := c.ApplyDelta(Diff(c.Now(), version(n))); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/catalogue/file.go
+++ b/internal/catalogue/file.go
@@ -13,32 +13,34 @@
 	"strings"
 )
 
-// The text form, one record a line, so that millions are read as they come:
+// The text format has one record per line, so that millions of records can be read as a stream:
 //
 //	catalogue 1 NUMBER DIGEST COUNT        or  delta 1 FROM DIGEST TO DIGEST COUNT
 //	+ "NAME" SERVER:RUNGS SERVER:RUNGS ...      RUNGS in hexadecimal, bit r for rung r
 //	- "NAME"                                    in a delta
 //	end
 //
-// COUNT is the number of records. Digests are hexadecimal. What ends before its end line was half delivered.
+// COUNT is the number of records. Digests are hexadecimal. A file without its end line was delivered incompletely.
 
-const lineMost = MostName*4 + MostHolders*24
+// maxLineBytes bounds a line. A quoted name takes up to 4 bytes per byte; 24 bytes are enough for a holder.
+const maxLineBytes = MaxNameBytes*4 + MaxHolders*24
 
-// Write writes a whole version.
+// Write writes the whole version.
 func (v *Version) Write(out io.Writer) error {
 	w := bufio.NewWriterSize(out, 1<<16)
 	fmt.Fprintf(w, "catalogue 1 %d %x %d\n", v.Number, v.Digest, v.Len())
-	v.All(func(t *Title) bool { _, err := w.Write(t.line(nil)); return err == nil })
+	v.All(func(t *Title) bool { _, err := w.Write(t.appendLine(nil)); return err == nil })
 	fmt.Fprintln(w, "end")
 	return w.Flush()
 }
 
-// Write writes a delta.
+// Write writes the delta.
 func (d *Delta) Write(out io.Writer) error {
 	w := bufio.NewWriterSize(out, 1<<16)
-	fmt.Fprintf(w, "delta 1 %d %x %d %x %d\n", d.From.Number, d.From.Digest, d.To.Number, d.To.Digest, len(d.Put)+len(d.Remove))
+	fmt.Fprintf(w, "delta 1 %d %x %d %x %d\n", d.From.Number, d.From.Digest,
+		d.To.Number, d.To.Digest, len(d.Put)+len(d.Remove))
 	for _, t := range d.Put {
-		w.Write(t.line(nil))
+		w.Write(t.appendLine(nil))
 	}
 	for _, name := range d.Remove {
 		fmt.Fprintf(w, "- %q\n", name)
@@ -47,7 +49,8 @@
 	return w.Flush()
 }
 
-func (t *Title) line(b []byte) []byte {
+// appendLine appends the title's record to b.
+func (t *Title) appendLine(b []byte) []byte {
 	b = strconv.AppendQuote(append(b, "+ "...), t.Name)
 	for _, h := range t.Holders {
 		b = strconv.AppendUint(append(b, ' '), uint64(h.Server), 10)
@@ -56,43 +59,46 @@
 	return append(b, '\n')
 }
 
-// reader reads records and knows the line.
+// reader reads records and counts lines for its errors.
 type reader struct {
-	name string
-	line int
-	in   *bufio.Scanner
+	name    string
+	line    int
+	scanner *bufio.Scanner
 }
 
 func newReader(name string, in io.Reader) *reader {
 	s := bufio.NewScanner(in)
-	s.Buffer(make([]byte, 0, 1<<16), lineMost)
-	return &reader{name: name, in: s}
+	s.Buffer(make([]byte, 0, 1<<16), maxLineBytes)
+	return &reader{name: name, scanner: s}
 }
 
-func (r *reader) next() ([]byte, error) {
+// nextLine returns the next line, and an error at the end of the input.
+func (r *reader) nextLine() ([]byte, error) {
 	r.line++
-	if !r.in.Scan() {
-		if err := r.in.Err(); err != nil {
-			return nil, r.fail("%w", err)
+	if !r.scanner.Scan() {
+		if err := r.scanner.Err(); err != nil {
+			return nil, r.errorf("%w", err)
 		}
-		return nil, r.fail("it ends before its end line")
+		return nil, r.errorf("file ends before the end line")
 	}
-	return r.in.Bytes(), nil
+	return r.scanner.Bytes(), nil
 }
 
-func (r *reader) fail(format string, args ...any) error {
+// errorf returns an error with the name and line of the input.
+func (r *reader) errorf(format string, args ...any) error {
 	return fmt.Errorf("%s:%d: "+format, append([]any{r.name, r.line}, args...)...)
 }
 
-// head reads the first line: a word, then as many numbers as said, every one at an odd place hexadecimal.
-func (r *reader) head(word string, n int) (list []uint64, err error) {
-	b, err := r.next()
+// readHeader reads the first line: a word, the format version 1 and n numbers. The numbers at odd indexes are
+// hexadecimal, but for the last.
+func (r *reader) readHeader(word string, n int) (list []uint64, err error) {
+	b, err := r.nextLine()
 	if err != nil {
 		return nil, err
 	}
 	parts := strings.Fields(string(b))
 	if len(parts) != n+2 || parts[0] != word || parts[1] != "1" {
-		return nil, r.fail("want a line %s 1 and %d numbers", word, n)
+		return nil, r.errorf("want a line with %s 1 and %d numbers", word, n)
 	}
 	for i, p := range parts[2:] {
 		base := 10
@@ -101,31 +107,32 @@
 		}
 		x, err := strconv.ParseUint(p, base, 64)
 		if err != nil {
-			return nil, r.fail("number %d: %w", i+1, err)
+			return nil, r.errorf("number %d: %w", i+1, err)
 		}
 		list = append(list, x)
 	}
 	return list, nil
 }
 
-// records reads so many, then the end line.
-func (r *reader) records(n uint64, put func(*Title) error, remove func(string) error) error {
+// readRecords reads n records and the end line.
+func (r *reader) readRecords(n uint64, put func(*Title) error, remove func(string) error) error {
 	for range n {
-		b, err := r.next()
+		b, err := r.nextLine()
 		if err != nil {
 			return err
 		}
-		if err := r.record(b, put, remove); err != nil {
-			return r.fail("%w", err)
+		if err := r.parseRecord(b, put, remove); err != nil {
+			return r.errorf("%w", err)
 		}
 	}
-	if b, err := r.next(); err != nil || string(b) != "end" {
-		return errors.Join(err, r.fail("want the end line after %d records", n))
+	if b, err := r.nextLine(); err != nil || string(b) != "end" {
+		return errors.Join(err, r.errorf("want the end line after %d records", n))
 	}
 	return nil
 }
 
-func (r *reader) record(b []byte, put func(*Title) error, remove func(string) error) error {
+// parseRecord parses a record and passes it to put or remove; remove is nil where removals are not allowed.
+func (r *reader) parseRecord(b []byte, put func(*Title) error, remove func(string) error) error {
 	if len(b) < 4 || b[1] != ' ' {
 		return errors.New("want + or -, and a name")
 	}
@@ -141,7 +148,7 @@
 	switch b[0] {
 	case '-':
 		if len(rest) > 0 || remove == nil {
-			return errors.New("a removal does not belong here, or says too much")
+			return errors.New("removal is not allowed here or has text after the name")
 		}
 		return remove(name)
 	case '+':
@@ -150,7 +157,7 @@
 	}
 	t := &Title{Name: name}
 	if n := bytes.Count(rest, []byte{':'}); n > 0 {
-		t.Holders = make([]Holding, 0, min(n, MostHolders))
+		t.Holders = make([]Holding, 0, min(n, MaxHolders))
 	}
 	for len(rest) > 0 {
 		if rest[0] != ' ' {
@@ -163,8 +170,8 @@
 		}
 		rest = rest[len(part):]
 		colon := bytes.IndexByte(part, ':')
-		if colon < 0 || len(t.Holders) >= MostHolders {
-			return errors.New("want SERVER:RUNGS, and not too many")
+		if colon < 0 || len(t.Holders) >= MaxHolders {
+			return errors.New("want SERVER:RUNGS, or too many holders")
 		}
 		server, err := strconv.ParseUint(string(part[:colon]), 10, 32)
 		if err != nil {
@@ -179,48 +186,48 @@
 	return put(t)
 }
 
-// Read reads a whole version and checks it against its digest.
+// Read reads a whole version and verifies its digest. name stands for the input in errors.
 func Read(name string, in io.Reader) (*Version, error) {
 	r := newReader(name, in)
-	head, err := r.head("catalogue", 3)
+	header, err := r.readHeader("catalogue", 3)
 	if err != nil {
 		return nil, err
 	}
-	if head[2] > MostTitles {
-		return nil, r.fail("%d titles, %d at most", head[2], MostTitles)
+	if header[2] > MaxTitles {
+		return nil, r.errorf("%d titles, the limit is %d", header[2], MaxTitles)
 	}
-	var wrong error
-	v, err := Build(head[0], func(yield func(*Title) bool) {
-		wrong = r.records(head[2], func(t *Title) error {
+	var recordErr error
+	v, err := Build(header[0], func(yield func(*Title) bool) {
+		recordErr = r.readRecords(header[2], func(t *Title) error {
 			if !yield(t) {
-				return errors.New("it is not taken")
+				return errors.New("title rejected")
 			}
 			return nil
 		}, nil)
 	})
 	switch {
 	case err != nil:
-		return nil, r.fail("%w", err)
-	case wrong != nil:
-		return nil, wrong
-	case v.Digest != head[1]:
-		return nil, r.fail("its digest is %x, it says %x", v.Digest, head[1])
+		return nil, r.errorf("%w", err)
+	case recordErr != nil:
+		return nil, recordErr
+	case v.Digest != header[1]:
+		return nil, r.errorf("digest is %x, the header says %x", v.Digest, header[1])
 	}
 	return v, nil
 }
 
-// ReadDelta reads a delta. Whether it is true shows when it is applied.
+// ReadDelta reads a delta. Its digest is verified only when it is applied.
 func ReadDelta(name string, in io.Reader) (*Delta, error) {
 	r := newReader(name, in)
-	head, err := r.head("delta", 5)
+	header, err := r.readHeader("delta", 5)
 	if err != nil {
 		return nil, err
 	}
-	if head[4] > MostChanges {
-		return nil, r.fail("%d changes, %d at most", head[4], MostChanges)
+	if header[4] > MaxChanges {
+		return nil, r.errorf("%d changes, the limit is %d", header[4], MaxChanges)
 	}
-	d := &Delta{From: Mark{head[0], head[1]}, To: Mark{head[2], head[3]}}
-	err = r.records(head[4], func(t *Title) error { d.Put = append(d.Put, t); return t.check() },
+	d := &Delta{From: Mark{header[0], header[1]}, To: Mark{header[2], header[3]}}
+	err = r.readRecords(header[4], func(t *Title) error { d.Put = append(d.Put, t); return t.validate() },
 		func(name string) error { d.Remove = append(d.Remove, name); return nil })
 	if err != nil {
 		return nil, err
@@ -228,11 +235,11 @@
 	return d, nil
 }
 
-// Dir is a directory that versions are delivered in: full.cat holds one whole, N.delta leads on from version N. Files are
-// to be renamed into place; one that is not is found half delivered and looked at again.
+// Dir is a directory that versions are delivered to: full.cat holds a whole version, N.delta the delta that applies to
+// version N. Files must be renamed into place; a file that is not may be read while incomplete, and is then read again.
 type Dir struct {
-	Path string
-	told string // the last error, told once
+	Path      string
+	lastError string // the most recent error, which is returned only once
 }
 
 // Load reads the whole version.
@@ -245,27 +252,27 @@
 	return Read(f.Name(), f)
 }
 
-// stepMost bounds the deltas taken at one look.
-const stepMost = 64
+// maxDeltasPerPoll bounds the deltas applied by one call of Poll.
+const maxDeltasPerPoll = 64
 
-// Look takes what is new. changed tells whether the catalogue changed; an error is given once for as long as it stays
-// the same, and leaves the catalogue as it is.
+// Poll applies new files. changed reports whether the catalogue has changed. An error leaves the catalogue unchanged and
+// is returned only once for as long as it stays the same.
 func (d *Dir) Look(c *Catalogue) (changed bool, err error) {
 	defer func() {
 		text := ""
 		if err != nil {
 			text = err.Error()
 		}
-		if text == d.told {
+		if text == d.lastError {
 			err = nil
 		}
-		d.told = text
+		d.lastError = text
 	}()
-	for range stepMost {
+	for range maxDeltasPerPoll {
 		v := c.Now()
 		f, err := os.Open(filepath.Join(d.Path, strconv.FormatUint(v.Number, 10)+".delta"))
 		if errors.Is(err, os.ErrNotExist) {
-			return d.ahead(c, changed)
+			return d.loadNewer(c, changed)
 		}
 		if err != nil {
 			return changed, fmt.Errorf("catalogue: %w", err)
@@ -273,14 +280,14 @@
 		delta, err := ReadDelta(f.Name(), f)
 		f.Close()
 		if err == nil {
-			_, err = c.Take(delta)
+			_, err = c.ApplyDelta(delta)
 		}
 		if err == nil && c.Now() == v {
-			err = fmt.Errorf("%s: it does not lead on from version %d with digest %x", f.Name(), v.Number, v.Digest)
+			err = fmt.Errorf("%s: delta does not apply to version %d with digest %x", f.Name(), v.Number, v.Digest)
 		}
-		if err != nil { // a whole version may lead past it
-			now, full := d.ahead(c, changed)
-			if now && full == nil {
+		if err != nil { // a newer whole version may supersede the delta
+			replaced, fullErr := d.loadNewer(c, changed)
+			if replaced && fullErr == nil {
 				return true, err
 			}
 			return changed, err
@@ -290,8 +297,9 @@
 	return changed, nil
 }
 
-// ahead takes the whole version if it is newer than what is there.
-func (d *Dir) ahead(c *Catalogue, changed bool) (bool, error) {
+// loadNewer loads the whole version if it is newer than the current one. It returns whether the catalogue has changed,
+// in this call or, as changed says, before.
+func (d *Dir) loadNewer(c *Catalogue, changed bool) (bool, error) {
 	f, err := os.Open(filepath.Join(d.Path, "full.cat"))
 	if errors.Is(err, os.ErrNotExist) {
 		return changed, nil
@@ -300,21 +308,21 @@
 		return changed, fmt.Errorf("catalogue: %w", err)
 	}
 	defer f.Close()
-	head, err := newReader(f.Name(), io.LimitReader(f, lineMost)).head("catalogue", 3)
-	if err != nil || head[0] <= c.Now().Number {
+	header, err := newReader(f.Name(), io.LimitReader(f, maxLineBytes)).readHeader("catalogue", 3)
+	if err != nil || header[0] <= c.Now().Number {
 		return changed, err
 	}
 	v, err := d.Load()
 	if err != nil {
 		return changed, err
 	}
-	if err := c.Set(v); err != nil {
+	if err := c.Replace(v); err != nil {
 		return changed, err
 	}
 	return true, nil
 }
 
-// Deliver writes a file into the directory as a source should: whole, then renamed into place.
+// Deliver writes a file to the directory as a source must: to a temporary file that is then renamed into place.
 func (d *Dir) Deliver(name string, write func(io.Writer) error) error {
 	f, err := os.CreateTemp(d.Path, ".new-*")
 	if err != nil {
@@ -330,7 +338,7 @@
 	return err
 }
 
-// Names gives the titles' names in order, for pages and tests.
+// Names returns the sorted names of all titles, for pages and tests.
 func (v *Version) Names() (list []string) {
 	v.All(func(t *Title) bool { list = append(list, t.Name); return true })
 	slices.Sort(list)
--- a/internal/catalogue/file_test.go
+++ b/internal/catalogue/file_test.go
@@ -18,7 +18,7 @@
 	return b.String()
 }
 
-func TestWhatIsWrittenIsReadAgain(t *testing.T) {
+func TestReadReturnsWrittenVersionAndDelta(t *testing.T) {
 	v := build(t, 7, title(1, 1, 2), &Title{Name: "a \"b\"\nc ü"}, title(2, 4294967295))
 	got, err := Read("x", strings.NewReader(text(t, v.Write)))
 	if err != nil || got.Mark != v.Mark || got.Len() != 3 {
@@ -34,14 +34,13 @@
 	}
 }
 
-// TestEveryCutAndEveryFlippedByteIsSeen: no file that differs from what was written becomes a version, unless it means the
-// same.
-func TestEveryCutAndEveryFlippedByteIsSeen(t *testing.T) {
+// TestDetectsTruncationAndBitErrors: a file that differs from what was written must not be read as another version.
+func TestDetectsTruncationAndBitErrors(t *testing.T) {
 	v := build(t, 7, title(1, 1, 2), title(2, 3))
 	full := text(t, v.Write)
-	for n := range len(full) - 1 { // without its last line break it is whole
+	for n := range len(full) - 1 { // a file that lacks only the final newline is complete
 		if _, err := Read("x", strings.NewReader(full[:n])); err == nil {
-			t.Fatalf("cut at %d it was read", n)
+			t.Fatalf("a file truncated at %d was accepted", n)
 		}
 	}
 	for n := range len(full) {
@@ -56,11 +55,12 @@
 	}
 }
 
-// TestADirectoryThatIsLateOrWrong: the catalogue follows what can be believed and keeps the rest out, and tells an error
-// once.
-func TestADirectoryThatIsLateOrWrong(t *testing.T) {
+// TestPollSkipsInvalidFiles: the catalogue applies valid files, rejects early, incomplete and wrong ones, and returns an
+// error once.
+func TestPollSkipsInvalidFiles(t *testing.T) {
 	dir := Dir{Path: t.TempDir()}
-	v1, v2, v3, v4 := build(t, 1, title(1, 1)), build(t, 2, title(1, 1), title(2, 2)), build(t, 3, title(2, 2)), build(t, 4, title(4, 4))
+	v1, v2, v3, v4 := build(t, 1, title(1, 1)), build(t, 2, title(1, 1), title(2, 2)),
+		build(t, 3, title(2, 2)), build(t, 4, title(4, 4))
 	deliver := func(name string, write func(io.Writer) error) {
 		t.Helper()
 		if err := dir.Deliver(name, write); err != nil {
@@ -68,7 +68,7 @@
 		}
 	}
 	if _, err := dir.Load(); err == nil {
-		t.Fatal("an empty directory has a catalogue")
+		t.Fatal("Load accepted an empty directory")
 	}
 	deliver("full.cat", v1.Write)
 	v, err := dir.Load()
@@ -76,29 +76,29 @@
 		t.Fatal(err)
 	}
 	c := New(v)
-	look := func(changed, told bool, number uint64) {
+	poll := func(changed, wantError bool, number uint64) {
 		t.Helper()
-		if got, err := dir.Look(c); got != changed || (err != nil) != told || c.Now().Number != number {
+		if got, err := dir.Look(c); got != changed || (err != nil) != wantError || c.Now().Number != number {
 			t.Fatalf("changed %v, %v, version %d", got, err, c.Now().Number)
 		}
 	}
-	look(false, false, 1)
+	poll(false, false, 1)
 	deliver("2.delta", Diff(v2, v3).Write) // too early
-	look(false, false, 1)
+	poll(false, false, 1)
 	half := text(t, Diff(v1, v2).Write)
 	os.WriteFile(filepath.Join(dir.Path, "1.delta"), []byte(half[:len(half)-6]), 0o644)
-	look(false, true, 1)
-	look(false, false, 1)                                        // told once
-	deliver("1.delta", Diff(build(t, 1, title(9, 9)), v4).Write) // another version's
-	look(false, true, 1)
+	poll(false, true, 1)
+	poll(false, false, 1)                                        // the same error is returned once
+	deliver("1.delta", Diff(build(t, 1, title(9, 9)), v4).Write) // delta of another version
+	poll(false, true, 1)
 	deliver("1.delta", Diff(v1, v2).Write)
-	look(true, false, 3)
+	poll(true, false, 3)
 	deliver("3.delta", func(w io.Writer) error { _, err := io.WriteString(w, "nonsense"); return err })
-	look(false, true, 3)
-	deliver("full.cat", v4.Write) // leads past it
-	look(true, false, 4)          // and its error was told
-	deliver("full.cat", v2.Write) // an older one
-	look(false, false, 4)
+	poll(false, true, 3)
+	deliver("full.cat", v4.Write) // supersedes the invalid delta
+	poll(true, false, 4)          // whose error was returned before
+	deliver("full.cat", v2.Write) // an older version
+	poll(false, false, 4)
 	if c.Now().Names()[0] != "title-4" {
 		t.Error(c.Now().Names())
 	}
@@ -112,7 +112,7 @@
 		if v, err := Read("x", bytes.NewReader(b)); err == nil {
 			again, err := Read("x", strings.NewReader(text(t, v.Write)))
 			if err != nil || again.Mark != v.Mark {
-				t.Fatal("what was read is not written alike", err)
+				t.Fatal("writing and reading again gives another version", err)
 			}
 		}
 		if d, err := ReadDelta("x", bytes.NewReader(b)); err == nil {
--- a/internal/catalogue/tree.go
+++ b/internal/catalogue/tree.go
@@ -7,51 +7,55 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tree is a persistent hash array mapped trie: a change copies the nodes on one path and shares the rest, so that every
-// version stands on its own and readers need no lock. A version that nobody holds is the collector's.
+// tree is a persistent hash array mapped trie: a change copies the nodes on one path and shares the rest, so that
+// versions are independent and readers need no lock. A version without references is garbage collected.
 type tree struct {
 	root *node
-	n    int
+	size int
 }
 
-// node holds up to 32 children, those present packed in the order of their bits. Past maxDepth titles whose hashes are
-// alike share a leaf.
+// node has up to 32 children; those present are packed in the order of their bits. At maxDepth a node holds all titles
+// whose hashes are equal up to there.
 type node struct {
-	branch uint32 // of these slots a child is a node
-	leaf   uint32 // of these a title
-	nodes  []*node
-	leaves []*Title
+	nodeSlots  uint32 // bits of the slots whose child is a node
+	titleSlots uint32 // bits of the slots whose child is a title
+	nodes      []*node
+	titles     []*Title
 }
 
 const (
-	width    = 5
-	maxDepth = 64 / width
+	bitsPerLevel = 5
+	maxDepth     = 64 / bitsPerLevel
 )
 
-func slot(hash uint64, depth int) uint32 { return 1 << (hash >> (depth * width) & (1<<width - 1)) }
+// slotBit returns the bit of a hash's slot in a node at the given depth.
+func slotBit(hash uint64, depth int) uint32 {
+	return 1 << (hash >> (depth * bitsPerLevel) & (1<<bitsPerLevel - 1))
+}
 
-func index(set, bit uint32) int { return bits.OnesCount32(set & (bit - 1)) }
+// packedIndex returns the index of a slot's child among the children present.
+func packedIndex(set, bit uint32) int { return bits.OnesCount32(set & (bit - 1)) }
 
-// get finds a title, nil if there is none.
+// get returns the title of a name, nil if there is none.
 func (t tree) get(name string) *Title {
 	hash := xxhash.Sum64String(name)
 	n := t.root
 	for depth := 0; n != nil; depth++ {
 		if depth == maxDepth {
-			for _, x := range n.leaves {
+			for _, x := range n.titles {
 				if x.Name == name {
 					return x
 				}
 			}
 			return nil
 		}
-		bit := slot(hash, depth)
-		if n.branch&bit != 0 {
-			n = n.nodes[index(n.branch, bit)]
+		bit := slotBit(hash, depth)
+		if n.nodeSlots&bit != 0 {
+			n = n.nodes[packedIndex(n.nodeSlots, bit)]
 			continue
 		}
-		if n.leaf&bit != 0 {
-			if x := n.leaves[index(n.leaf, bit)]; x.Name == name {
+		if n.titleSlots&bit != 0 {
+			if x := n.titles[packedIndex(n.titleSlots, bit)]; x.Name == name {
 				return x
 			}
 		}
@@ -60,12 +64,12 @@
 	return nil
 }
 
-// with gives a tree that has a title too, and the one that it replaces.
+// with returns a tree that contains the title x, and the title that it replaces, if any.
 func (t tree) with(x *Title) (out tree, old *Title) {
 	root, old := t.root.with(x, xxhash.Sum64String(x.Name), 0)
-	out = tree{root, t.n}
+	out = tree{root, t.size}
 	if old == nil {
-		out.n++
+		out.size++
 	}
 	return out, old
 }
@@ -74,84 +78,84 @@
 	if n == nil {
 		n = &node{}
 	}
-	c := &node{n.branch, n.leaf, n.nodes, n.leaves}
+	copied := &node{n.nodeSlots, n.titleSlots, n.nodes, n.titles}
 	if depth == maxDepth {
-		for i, o := range n.leaves {
-			if o.Name == x.Name {
-				c.leaves = replaced(n.leaves, i, x)
-				return c, o
+		for i, existing := range n.titles {
+			if existing.Name == x.Name {
+				copied.titles = replaced(n.titles, i, x)
+				return copied, existing
 			}
 		}
-		c.leaves = inserted(n.leaves, len(n.leaves), x)
-		return c, nil
+		copied.titles = inserted(n.titles, len(n.titles), x)
+		return copied, nil
 	}
-	bit := slot(hash, depth)
+	bit := slotBit(hash, depth)
 	switch {
-	case n.branch&bit != 0:
-		i := index(n.branch, bit)
+	case n.nodeSlots&bit != 0:
+		i := packedIndex(n.nodeSlots, bit)
 		child, old := n.nodes[i].with(x, hash, depth+1)
-		c.nodes = replaced(n.nodes, i, child)
-		return c, old
-	case n.leaf&bit != 0:
-		i := index(n.leaf, bit)
-		o := n.leaves[i]
-		if o.Name == x.Name {
-			c.leaves = replaced(n.leaves, i, x)
-			return c, o
+		copied.nodes = replaced(n.nodes, i, child)
+		return copied, old
+	case n.titleSlots&bit != 0:
+		i := packedIndex(n.titleSlots, bit)
+		existing := n.titles[i]
+		if existing.Name == x.Name {
+			copied.titles = replaced(n.titles, i, x)
+			return copied, existing
 		}
-		var child *node // both go a level down
-		child, _ = child.with(o, xxhash.Sum64String(o.Name), depth+1)
+		var child *node // both titles move one level down
+		child, _ = child.with(existing, xxhash.Sum64String(existing.Name), depth+1)
 		child, _ = child.with(x, hash, depth+1)
-		c.leaf &^= bit
-		c.leaves = removed(n.leaves, i)
-		c.branch |= bit
-		c.nodes = inserted(n.nodes, index(c.branch, bit), child)
-		return c, nil
+		copied.titleSlots &^= bit
+		copied.titles = removed(n.titles, i)
+		copied.nodeSlots |= bit
+		copied.nodes = inserted(n.nodes, packedIndex(copied.nodeSlots, bit), child)
+		return copied, nil
 	}
-	c.leaf |= bit
-	c.leaves = inserted(n.leaves, index(c.leaf, bit), x)
-	return c, nil
+	copied.titleSlots |= bit
+	copied.titles = inserted(n.titles, packedIndex(copied.titleSlots, bit), x)
+	return copied, nil
 }
 
-// add puts a title into a tree that nobody else has seen yet, changing it in place: a version is built several times as
-// fast so.
+// add puts a title into a tree that is not shared yet and modifies it in place, which makes building a version several
+// times as fast.
 func (n *node) add(x *Title, hash uint64, depth int) (old *Title) {
 	if depth == maxDepth {
-		for i, o := range n.leaves {
-			if o.Name == x.Name {
-				n.leaves[i] = x
-				return o
+		for i, existing := range n.titles {
+			if existing.Name == x.Name {
+				n.titles[i] = x
+				return existing
 			}
 		}
-		n.leaves = append(n.leaves, x)
+		n.titles = append(n.titles, x)
 		return nil
 	}
-	bit := slot(hash, depth)
+	bit := slotBit(hash, depth)
 	switch {
-	case n.branch&bit != 0:
-		return n.nodes[index(n.branch, bit)].add(x, hash, depth+1)
-	case n.leaf&bit != 0:
-		i := index(n.leaf, bit)
-		o := n.leaves[i]
-		if o.Name == x.Name {
-			n.leaves[i] = x
-			return o
+	case n.nodeSlots&bit != 0:
+		return n.nodes[packedIndex(n.nodeSlots, bit)].add(x, hash, depth+1)
+	case n.titleSlots&bit != 0:
+		i := packedIndex(n.titleSlots, bit)
+		existing := n.titles[i]
+		if existing.Name == x.Name {
+			n.titles[i] = x
+			return existing
 		}
 		child := &node{}
-		child.add(o, xxhash.Sum64String(o.Name), depth+1)
+		child.add(existing, xxhash.Sum64String(existing.Name), depth+1)
 		child.add(x, hash, depth+1)
-		n.leaf &^= bit
-		n.leaves = slices.Delete(n.leaves, i, i+1)
-		n.branch |= bit
-		n.nodes = slices.Insert(n.nodes, index(n.branch, bit), child)
+		n.titleSlots &^= bit
+		n.titles = slices.Delete(n.titles, i, i+1)
+		n.nodeSlots |= bit
+		n.nodes = slices.Insert(n.nodes, packedIndex(n.nodeSlots, bit), child)
 		return nil
 	}
-	n.leaf |= bit
-	n.leaves = slices.Insert(n.leaves, index(n.leaf, bit), x)
+	n.titleSlots |= bit
+	n.titles = slices.Insert(n.titles, packedIndex(n.titleSlots, bit), x)
 	return nil
 }
 
-// without gives a tree that lacks a title, and what it was.
+// without returns a tree that does not contain the title of a name, and the removed title, if any.
 func (t tree) without(name string) (out tree, old *Title) {
 	if t.root == nil {
 		return t, nil
@@ -160,65 +164,65 @@
 	if old == nil {
 		return t, nil
 	}
-	return tree{root, t.n - 1}, old
+	return tree{root, t.size - 1}, old
 }
 
 func (n *node) without(name string, hash uint64, depth int) (*node, *Title) {
-	c := &node{n.branch, n.leaf, n.nodes, n.leaves}
+	copied := &node{n.nodeSlots, n.titleSlots, n.nodes, n.titles}
 	if depth == maxDepth {
-		for i, o := range n.leaves {
-			if o.Name == name {
-				if c.leaves = removed(n.leaves, i); len(c.leaves) == 0 {
-					c = nil
+		for i, existing := range n.titles {
+			if existing.Name == name {
+				if copied.titles = removed(n.titles, i); len(copied.titles) == 0 {
+					copied = nil
 				}
-				return c, o
+				return copied, existing
 			}
 		}
 		return n, nil
 	}
-	bit := slot(hash, depth)
+	bit := slotBit(hash, depth)
 	switch {
-	case n.branch&bit != 0:
-		i := index(n.branch, bit)
+	case n.nodeSlots&bit != 0:
+		i := packedIndex(n.nodeSlots, bit)
 		child, old := n.nodes[i].without(name, hash, depth+1)
 		switch {
 		case old == nil:
 			return n, nil
 		case child == nil:
-			c.branch &^= bit
-			c.nodes = removed(n.nodes, i)
-		case child.branch == 0 && len(child.leaves) == 1: // a lone title comes up
-			c.branch &^= bit
-			c.nodes = removed(n.nodes, i)
-			c.leaf |= bit
-			c.leaves = inserted(n.leaves, index(c.leaf, bit), child.leaves[0])
+			copied.nodeSlots &^= bit
+			copied.nodes = removed(n.nodes, i)
+		case child.nodeSlots == 0 && len(child.titles) == 1: // a single title moves one level up
+			copied.nodeSlots &^= bit
+			copied.nodes = removed(n.nodes, i)
+			copied.titleSlots |= bit
+			copied.titles = inserted(n.titles, packedIndex(copied.titleSlots, bit), child.titles[0])
 		default:
-			c.nodes = replaced(n.nodes, i, child)
+			copied.nodes = replaced(n.nodes, i, child)
 		}
-		if c.branch|c.leaf == 0 {
-			c = nil
+		if copied.nodeSlots|copied.titleSlots == 0 {
+			copied = nil
 		}
-		return c, old
-	case n.leaf&bit != 0:
-		i := index(n.leaf, bit)
-		if o := n.leaves[i]; o.Name == name {
-			c.leaf &^= bit
-			c.leaves = removed(n.leaves, i)
-			if c.branch|c.leaf == 0 {
-				c = nil
+		return copied, old
+	case n.titleSlots&bit != 0:
+		i := packedIndex(n.titleSlots, bit)
+		if existing := n.titles[i]; existing.Name == name {
+			copied.titleSlots &^= bit
+			copied.titles = removed(n.titles, i)
+			if copied.nodeSlots|copied.titleSlots == 0 {
+				copied = nil
 			}
-			return c, o
+			return copied, existing
 		}
 	}
 	return n, nil
 }
 
-// all calls fn for each title until it gives false.
+// all calls fn for each title until it returns false, and reports whether it never did.
 func (n *node) all(fn func(*Title) bool) bool {
 	if n == nil {
 		return true
 	}
-	for _, x := range n.leaves {
+	for _, x := range n.titles {
 		if !fn(x) {
 			return false
 		}
@@ -231,6 +235,7 @@
 	return true
 }
 
+// replaced returns a copy of the list with element i replaced by x.
 func replaced[T any](list []T, i int, x T) []T {
 	out := make([]T, len(list))
 	copy(out, list)
@@ -238,6 +243,7 @@
 	return out
 }
 
+// inserted returns a copy of the list with x inserted at index i.
 func inserted[T any](list []T, i int, x T) []T {
 	out := make([]T, len(list)+1)
 	copy(out, list[:i])
@@ -246,6 +252,7 @@
 	return out
 }
 
+// removed returns a copy of the list without element i, nil if none is left.
 func removed[T any](list []T, i int) []T {
 	if len(list) == 1 {
 		return nil
