--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -12,32 +12,33 @@
 	"go.etcd.io/bbolt"
 )
 
-// BenchmarkEngines has 64 writers each wait for a record of a session to be durable on a real disk, by this store and by
-// bbolt with its own batches. What a write takes is what a paid set-up waits for.
+// BenchmarkEngines has 64 writers wait until a session's record is durable on a real disk, with this store and with
+// bbolt and its own batches. The duration of a write is how long a paid set-up waits.
 func BenchmarkEngines(b *testing.B) {
 	const writers, each = 64, 40
 	report := func(b *testing.B, write func(id uint64, done func())) {
 		var mu sync.Mutex
-		var took []time.Duration
+		var durations []time.Duration
 		var wg sync.WaitGroup
 		for w := range writers {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				for i := range each {
-					began, done := time.Now(), make(chan struct{})
+					startedAt, done := time.Now(), make(chan struct{})
 					write(uint64(w*each+i), func() { close(done) })
 					<-done
 					mu.Lock()
-					took = append(took, time.Since(began))
+					durations = append(durations, time.Since(startedAt))
 					mu.Unlock()
 				}
 			}()
 		}
 		wg.Wait()
-		slices.Sort(took)
-		for name, at := range map[string]int{"p50-us": len(took) / 2, "p99-us": len(took) * 99 / 100, "max-us": len(took) - 1} {
-			b.ReportMetric(float64(took[at].Microseconds()), name)
+		slices.Sort(durations)
+		for name, at := range map[string]int{"p50-us": len(durations) / 2, "p99-us": len(durations) * 99 / 100,
+			"max-us": len(durations) - 1} {
+			b.ReportMetric(float64(durations[at].Microseconds()), name)
 		}
 		b.ReportMetric(0, "ns/op")
 	}
@@ -64,7 +65,7 @@
 				if err != nil {
 					return err
 				}
-				return k.Put(key(keySession, id), seal(body))
+				return k.Put(recordKey(keySession, id), addChecksum(body))
 			})
 			if err != nil {
 				b.Error(err)
@@ -74,7 +75,7 @@
 	})
 }
 
-// BenchmarkRestart reads a store of 50,000 sessions.
+// BenchmarkRestart opens a store with 50,000 sessions.
 func BenchmarkRestart(b *testing.B) {
 	dir := filepath.Join(b.TempDir(), "d")
 	s, _, err := Open(dir, vfs.Default)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,9 +1,9 @@
-// Package store keeps what a front must not forget: open sessions, paid attempts that may have run, its own record of
-// servers, and when it was last alive. What a restarted front believes of it is decide/recovery's choice.
+// Package store persists the state that a front needs after a restart: open sessions, paid attempts that may have run,
+// its own record of servers, and when it was last alive. decide/recovery decides what a restarted front restores of it.
 //
-// One goroutine writes; all writes that come while one batch is being synced make the next batch (group commit), so a
-// set-up waits for one or two syncs whatever the load. Records carry a format and a checksum; one that is damaged is
-// skipped and counted, the others stand. What is kept is bounded by Most.
+// One goroutine writes; all writes that arrive while a batch is being synced form the next batch (group commit), so a
+// set-up waits for one or two syncs under any load. The store carries a format number, each record a checksum; a
+// damaged record is skipped and counted, the others are used. The number of sessions is bounded by MaxSessions.
 package store
 
 import (
@@ -22,13 +22,14 @@
 	"tealledge/decide/recovery"
 )
 
-// format of what is kept. A store of an older one is migrated when it is opened, one of a newer one is refused.
-const format = 2
+// formatVersion is the format of the records. A store with an older format is migrated when it is opened, one with a
+// newer format is rejected.
+const formatVersion = 2
 
-// Most bounds the sessions and the servers kept.
-const Most = 200_000
+// MaxSessions bounds the number of sessions stored.
+const MaxSessions = 200_000
 
-// Keys: a letter for the kind, then a number. Meta records have a name.
+// Keys consist of a letter for the kind and a number. Meta records have a name.
 const (
 	keySession = 's'
 	keyServer  = 'v'
@@ -36,50 +37,50 @@
 	keyAlive   = "m/alive"
 )
 
-// State is what a store held when it was opened.
+// State is the content of a store when it was opened.
 type State struct {
-	Alive    int64 // last sign of life, nanoseconds; 0: none
+	Alive    int64 // when the front was last alive, nanoseconds; 0: unknown
 	Sessions []recovery.Session
 	Servers  []recovery.Server
-	Damaged  int // records that were skipped
+	Damaged  int // damaged records, which were skipped
 }
 
-// Store is open. Its methods may be called from one goroutine; what they want written is written by another.
+// Store is an open store. Its methods may be called from one goroutine; another one writes the records.
 type Store struct {
-	db     *pebble.DB
-	lock   *pebble.Lock
-	mu     sync.Mutex
-	wake   sync.Cond
-	batch  []op
-	bytes  int
-	ended  bool
-	done   chan struct{}
-	kept   map[uint64]bool // sessions in it, to bound them
-	broken error           // of the writing goroutine: nothing can be written any more
-	Syncs  int             // for tests and measurements; read after Close
+	db          *pebble.DB
+	lock        *pebble.Lock
+	mu          sync.Mutex
+	pendingCond sync.Cond
+	pending     []op
+	closed      bool
+	done        chan struct{}
+	sessionIDs  map[uint64]bool // stored sessions, to enforce MaxSessions
+	writeErr    error           // set by the writing goroutine once nothing can be written any more
+	Syncs       int             // commits so far, for tests and benchmarks; read it after Close
 }
 
+// op is a write or the deletion of a record.
 type op struct {
-	key    []byte
-	value  []byte // made by the writing goroutine from record, if there is one; neither: delete
-	record any
-	then   func(took time.Duration, err error)
-	at     time.Time
+	key        []byte
+	value      []byte // encoded by the writing goroutine if record is set; if neither is set, the key is deleted
+	record     any
+	done       func(took time.Duration, err error)
+	enqueuedAt time.Time
 }
 
-// queueMost bounds the records that wait to be written; past it a write fails at once.
-const queueMost = 100_000
+// maxQueued bounds the records that wait to be written; when it is reached, a write fails at once.
+const maxQueued = 100_000
 
-// ErrHeld tells that another process has the store open. Its files are not to be touched.
-var ErrHeld = errors.New("another process holds it")
+// ErrLocked is returned when another process has the store open. Its files must not be touched.
+var ErrHeld = errors.New("another process has it open")
 
-// ErrFull tells that too much waits to be written.
-var ErrFull = errors.New("store: too much waits to be written")
+// ErrFull is returned when too many records wait to be written or MaxSessions is reached.
+var ErrFull = errors.New("store: too many sessions or pending writes")
 
-// Open opens or makes a store in a directory and reads what it holds. A store that can't be read is an error: the caller
-// may move it away and start anew.
+// Open opens or creates a store in a directory and reads its content. It returns an error if the store can't be read;
+// the caller may move the directory away and start with an empty store.
 func Open(dir string, fs vfs.FS) (*Store, *State, error) {
-	opts := &pebble.Options{FS: fs, Logger: silent{}, MemTableSize: 4 << 20}
+	opts := &pebble.Options{FS: fs, Logger: discardLogger{}, MemTableSize: 4 << 20}
 	if err := fs.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, fmt.Errorf("store %s: %w", dir, err)
 	}
@@ -92,36 +93,36 @@
 		return nil, nil, errors.Join(fmt.Errorf("store %s: %w", dir, err), lock.Close())
 	}
 	var db *pebble.DB
-	err = guarded(func() (err error) { db, err = pebble.Open(dir, opts); return err })
+	err = runIsolated(func() (err error) { db, err = pebble.Open(dir, opts); return err })
 	if err != nil {
 		return fail(err)
 	}
-	s := &Store{db: db, lock: lock, done: make(chan struct{}), kept: map[uint64]bool{}}
-	s.wake.L = &s.mu
+	s := &Store{db: db, lock: lock, done: make(chan struct{}), sessionIDs: map[uint64]bool{}}
+	s.pendingCond.L = &s.mu
 	var state *State
-	if err := guarded(func() (err error) { state, err = s.load(); return err }); err != nil {
-		return fail(errors.Join(err, guarded(db.Close)))
+	if err := runIsolated(func() (err error) { state, err = s.load(); return err }); err != nil {
+		return fail(errors.Join(err, runIsolated(db.Close)))
 	}
 	go s.write()
 	return s, state, nil
 }
 
-// load reads all, migrating an older format.
+// load reads all records and migrates an older format.
 func (s *Store) load() (*State, error) {
-	st := &State{}
-	was := uint64(0)
+	state := &State{}
+	storedFormat := uint64(0)
 	if v, ok, err := s.get(keyFormat); err != nil {
 		return nil, err
 	} else if ok {
-		was = binary.LittleEndian.Uint64(v)
+		storedFormat = binary.LittleEndian.Uint64(v)
 	}
-	if was > format {
-		return nil, fmt.Errorf("its format is %d, this program knows %d", was, format)
+	if storedFormat > formatVersion {
+		return nil, fmt.Errorf("its format is %d, this program supports up to %d", storedFormat, formatVersion)
 	}
 	if v, ok, err := s.get(keyAlive); err != nil {
 		return nil, err
 	} else if ok && len(v) == 8 {
-		st.Alive = int64(binary.LittleEndian.Uint64(v))
+		state.Alive = int64(binary.LittleEndian.Uint64(v))
 	}
 	it, err := s.db.NewIter(nil)
 	if err != nil {
@@ -132,36 +133,38 @@
 		if len(key) != 9 {
 			continue
 		}
-		body, ok := unseal(it.Value())
+		body, ok := verifyChecksum(it.Value())
 		switch {
 		case !ok:
-			st.Damaged++
+			state.Damaged++
 		case key[0] == keySession:
 			var x recovery.Session
 			if json.Unmarshal(body, &x) != nil || x.Ask.ID != binary.BigEndian.Uint64(key[1:]) {
-				st.Damaged++
+				state.Damaged++
 				continue
 			}
-			s.kept[x.Ask.ID] = true
-			st.Sessions = append(st.Sessions, x)
+			s.sessionIDs[x.Ask.ID] = true
+			state.Sessions = append(state.Sessions, x)
 		case key[0] == keyServer:
 			var x recovery.Server
 			if json.Unmarshal(body, &x) != nil {
-				st.Damaged++
+				state.Damaged++
 				continue
 			}
-			st.Servers = append(st.Servers, x)
+			state.Servers = append(state.Servers, x)
 		}
 	}
 	if err := errors.Join(it.Error(), it.Close()); err != nil {
 		return nil, err
 	}
-	if was < format { // format 1 had no sessions; what it had reads the same
-		return st, s.db.Set([]byte(keyFormat), seal(binary.LittleEndian.AppendUint64(nil, format)), pebble.Sync)
+	if storedFormat < formatVersion { // format 1 had no sessions; its other records are the same
+		return state, s.db.Set([]byte(keyFormat),
+			addChecksum(binary.LittleEndian.AppendUint64(nil, formatVersion)), pebble.Sync)
 	}
-	return st, nil
+	return state, nil
 }
 
+// get reads a meta record, whose body has 8 bytes. ok is false if it is absent or damaged.
 func (s *Store) get(key string) (body []byte, ok bool, err error) {
 	v, closer, err := s.db.Get([]byte(key))
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -171,30 +174,33 @@
 		return nil, false, err
 	}
 	defer closer.Close()
-	body, ok = unseal(append([]byte(nil), v...))
+	body, ok = verifyChecksum(append([]byte(nil), v...))
 	return body, ok && len(body) == 8, nil
 }
 
-// seal puts a checksum before a record, unseal takes it off; ok is false for a damaged one.
-func seal(body []byte) []byte {
+// addChecksum returns a record's body preceded by its checksum.
+func addChecksum(body []byte) []byte {
 	return append(binary.LittleEndian.AppendUint64(nil, xxhash.Sum64(body)), body...)
 }
 
-func unseal(v []byte) (body []byte, ok bool) {
+// verifyChecksum returns a record's body without its checksum; ok is false for a damaged record.
+func verifyChecksum(v []byte) (body []byte, ok bool) {
 	if len(v) < 8 {
 		return nil, false
 	}
 	return v[8:], xxhash.Sum64(v[8:]) == binary.LittleEndian.Uint64(v)
 }
 
-func key(kind byte, n uint64) []byte { return binary.BigEndian.AppendUint64([]byte{kind}, n) }
+// recordKey returns the key of a record of a kind.
+func recordKey(kind byte, n uint64) []byte { return binary.BigEndian.AppendUint64([]byte{kind}, n) }
 
-// Session writes a session's record. then, if any, is called from another goroutine once it is durable, or failed.
-func (s *Store) Session(x *recovery.Session, then func(took time.Duration, err error)) {
+// PutSession writes a session's record. done, if not nil, is called from another goroutine once the record is durable
+// or the write has failed.
+func (s *Store) Session(x *recovery.Session, done func(took time.Duration, err error)) {
 	s.mu.Lock()
-	full := len(s.kept) >= Most && !s.kept[x.Ask.ID]
+	full := len(s.sessionIDs) >= MaxSessions && !s.sessionIDs[x.Ask.ID]
 	if !full {
-		s.kept[x.Ask.ID] = true
+		s.sessionIDs[x.Ask.ID] = true
 	}
 	s.mu.Unlock()
 	var err error
@@ -202,76 +208,79 @@
 		err = ErrFull
 	}
 	copied := *x
-	s.put(op{key: key(keySession, x.Ask.ID), record: &copied, then: then}, err)
+	s.enqueue(op{key: recordKey(keySession, x.Ask.ID), record: &copied, done: done}, err)
 }
 
-// Forget drops a session's record.
+// DeleteSession deletes a session's record.
 func (s *Store) Forget(id uint64) {
 	s.mu.Lock()
-	had := s.kept[id]
-	delete(s.kept, id)
+	stored := s.sessionIDs[id]
+	delete(s.sessionIDs, id)
 	s.mu.Unlock()
-	if had {
-		s.put(op{key: key(keySession, id)}, nil)
+	if stored {
+		s.enqueue(op{key: recordKey(keySession, id)}, nil)
 	}
 }
 
-// Server writes what is known of a server.
-func (s *Store) Server(x recovery.Server) {
-	s.put(op{key: key(keyServer, uint64(x.ID)), record: &x}, nil)
+// PutServer writes the record of a server.
+func (s *Store) PutServer(x recovery.Server) {
+	s.enqueue(op{key: recordKey(keyServer, uint64(x.ID)), record: &x}, nil)
 }
 
-// Alive notes a sign of life.
+// PutAlive records that the front is alive at the given time.
 func (s *Store) Alive(now int64) {
-	s.put(op{key: []byte(keyAlive), value: binary.LittleEndian.AppendUint64(nil, uint64(now))}, nil)
+	s.enqueue(op{key: []byte(keyAlive), value: binary.LittleEndian.AppendUint64(nil, uint64(now))}, nil)
 }
 
-func (s *Store) put(o op, err error) {
-	o.at = time.Now()
+// enqueue queues an operation for the writing goroutine. If err is set or the queue rejects the operation, done is
+// called with the error.
+func (s *Store) enqueue(o op, err error) {
+	o.enqueuedAt = time.Now()
 	s.mu.Lock()
 	switch {
 	case err != nil:
-	case s.ended:
+	case s.closed:
 		err = errors.New("store: closed")
-	case len(s.batch) >= queueMost:
+	case len(s.pending) >= maxQueued:
 		err = ErrFull
 	default:
-		s.batch = append(s.batch, o)
-		s.wake.Signal()
+		s.pending = append(s.pending, o)
+		s.pendingCond.Signal()
 	}
 	s.mu.Unlock()
-	if err != nil && o.then != nil {
-		go o.then(0, err)
+	if err != nil && o.done != nil {
+		go o.done(0, err)
 	}
 }
 
-// guarded runs what may end its goroutine or panic where the engine gives up, and gives that as an error.
-func guarded(do func() error) error {
+// runIsolated calls run in a goroutine of its own, as the engine may panic or end the goroutine on a fatal error, and
+// returns that as an error.
+func runIsolated(run func() error) error {
 	result := make(chan error, 1)
 	go func() {
-		err := errors.New("the engine gave up")
+		err := errors.New("the storage engine failed")
 		defer func() {
 			if p := recover(); p != nil {
-				err = fmt.Errorf("the engine gave up: %v", p)
+				err = fmt.Errorf("the storage engine failed: %v", p)
 			}
 			result <- err
 		}()
-		err = do()
+		err = run()
 	}()
 	return <-result
 }
 
-// write commits what waits, batch after batch.
+// write commits the pending operations, batch after batch, until the store is closed.
 func (s *Store) write() {
 	defer close(s.done)
 	for {
 		s.mu.Lock()
-		for len(s.batch) == 0 && !s.ended {
-			s.wake.Wait()
+		for len(s.pending) == 0 && !s.closed {
+			s.pendingCond.Wait()
 		}
-		list := s.batch
-		s.batch = nil
-		ended := s.ended
+		list := s.pending
+		s.pending = nil
+		ended := s.closed
 		s.mu.Unlock()
 		if len(list) == 0 && ended {
 			return
@@ -279,21 +288,21 @@
 		err := s.commit(list)
 		s.Syncs++
 		for _, o := range list {
-			if o.then != nil {
-				o.then(time.Since(o.at), err)
+			if o.done != nil {
+				o.done(time.Since(o.enqueuedAt), err)
 			}
 		}
 	}
 }
 
-// commit makes a list durable. Danger: the engine panics or ends its goroutine where it can't, on a full disk for one;
-// the front serves on without.
+// commit makes a list of operations durable. The engine panics or ends its goroutine when it can't write, for example
+// on a full disk; this becomes an error, and the front continues to serve without the store.
 func (s *Store) commit(list []op) error {
-	if s.broken != nil {
-		return s.broken
+	if s.writeErr != nil {
+		return s.writeErr
 	}
-	engine := false // past the point where an error is the engine's own
-	err := guarded(func() error {
+	inEngine := false // an error from here on is the engine's own
+	err := runIsolated(func() error {
 		b := s.db.NewBatch()
 		for _, o := range list {
 			var err error
@@ -305,43 +314,43 @@
 			if o.value == nil {
 				err = b.Delete(o.key, nil)
 			} else {
-				err = b.Set(o.key, seal(o.value), nil)
+				err = b.Set(o.key, addChecksum(o.value), nil)
 			}
 			if err != nil {
 				return errors.Join(err, b.Close())
 			}
 		}
-		engine = true
+		inEngine = true
 		if err := b.Commit(pebble.Sync); err != nil {
 			return err
 		}
 		return b.Close()
 	})
-	if err != nil && engine {
-		s.broken = fmt.Errorf("store: %w", err)
+	if err != nil && inEngine {
+		s.writeErr = fmt.Errorf("store: %w", err)
 	}
 	return err
 }
 
-// Close writes what waits and closes the store.
+// Close writes the pending operations and closes the store.
 func (s *Store) Close() error {
 	s.mu.Lock()
-	s.ended = true
-	s.wake.Signal()
+	s.closed = true
+	s.pendingCond.Signal()
 	s.mu.Unlock()
 	<-s.done
-	if s.broken != nil {
-		return s.broken // its locks may be held for ever
+	if s.writeErr != nil {
+		return s.writeErr // the engine's locks may never be released
 	}
-	return errors.Join(guarded(s.db.Close), s.lock.Close())
+	return errors.Join(runIsolated(s.db.Close), s.lock.Close())
 }
 
-// silent keeps the store's own log lines out of the front's; a failure reaches the caller as an error.
-type silent struct{}
+// discardLogger keeps the engine's log lines out of the front's log; a failure is returned to the caller as an error.
+type discardLogger struct{}
 
-func (silent) Infof(string, ...interface{})  {}
-func (silent) Errorf(string, ...interface{}) {}
+func (discardLogger) Infof(string, ...interface{})  {}
+func (discardLogger) Errorf(string, ...interface{}) {}
 
-// Fatalf ends the engine's goroutine and not the front. What waits for it waits for ever; decide/recovery.Health then
-// takes the store for hanging.
-func (silent) Fatalf(string, ...interface{}) { runtime.Goexit() }
+// Fatalf ends the engine's goroutine and not the front. Goroutines that wait for it wait forever;
+// decide/recovery.StoreHealth then treats the store as hanging.
+func (discardLogger) Fatalf(string, ...interface{}) { runtime.Goexit() }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -18,10 +18,11 @@
 )
 
 func session(id uint64, rung int) *recovery.Session {
-	return &recovery.Session{Ask: policy.SessionSpec{ID: id, Title: 3, Viewer: id, Class: 1}, Server: 7, Rung: rung, Stage: recovery.Playing, Stream: fmt.Sprint("s", id), At: 5}
+	return &recovery.Session{Ask: policy.SessionSpec{ID: id, Title: 3, Viewer: id, Class: 1}, Server: 7, Rung: rung,
+		Stage: recovery.Playing, Stream: fmt.Sprint("s", id), At: 5}
 }
 
-func TestWhatWasWrittenIsThereAgain(t *testing.T) {
+func TestReopenedStoreHasWrittenRecords(t *testing.T) {
 	mem := vfs.NewMem()
 	s, st, err := Open("d", mem)
 	if err != nil || len(st.Sessions) != 0 || st.Alive != 0 {
@@ -32,7 +33,7 @@
 	s.Session(session(1, 4), nil)
 	s.Forget(2)
 	s.Forget(99)
-	s.Server(recovery.Server{ID: 7, Cold: 9})
+	s.PutServer(recovery.Server{ID: 7, Cold: 9})
 	s.Alive(12345)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -42,12 +43,13 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if len(st.Sessions) != 1 || !reflect.DeepEqual(st.Sessions[0], *session(1, 4)) || st.Alive != 12345 || len(st.Servers) != 1 || st.Servers[0].Cold != 9 || st.Damaged != 0 {
+	if len(st.Sessions) != 1 || !reflect.DeepEqual(st.Sessions[0], *session(1, 4)) || st.Alive != 12345 ||
+		len(st.Servers) != 1 || st.Servers[0].Cold != 9 || st.Damaged != 0 {
 		t.Fatalf("%+v", st)
 	}
 }
 
-// TestWritersShareSyncs: many set-ups that wait at a time cost few syncs.
+// TestWritersShareSyncs: many set-ups that wait at the same time must cost few syncs.
 func TestWritersShareSyncs(t *testing.T) {
 	s, _, err := Open("d", vfs.NewMem())
 	if err != nil {
@@ -69,9 +71,9 @@
 	}
 }
 
-func TestDamagedRecordsAreSkippedAndAnotherFormatIsRefused(t *testing.T) {
+func TestSkipsDamagedRecordsAndRejectsNewerFormat(t *testing.T) {
 	mem := vfs.NewMem()
-	db, err := pebble.Open("d", &pebble.Options{FS: mem, Logger: silent{}})
+	db, err := pebble.Open("d", &pebble.Options{FS: mem, Logger: discardLogger{}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,39 +82,39 @@
 			t.Fatal(err)
 		}
 	}
-	put([]byte(keyFormat), seal(binary.LittleEndian.AppendUint64(nil, 1))) // an older one
-	put(key(keySession, 1), []byte("short"))
-	put(key(keySession, 2), append(seal([]byte(`{}`)), 'x'))
-	put(key(keySession, 3), seal([]byte(`no json`)))
-	put(key(keySession, 4), seal([]byte(`{"Ask":{"ID":5}}`))) // another session's
-	put(key(keySession, 6), seal([]byte(`{"Ask":{"ID":6}}`)))
-	put(key('?', 1), seal([]byte(`{}`)))
+	put([]byte(keyFormat), addChecksum(binary.LittleEndian.AppendUint64(nil, 1))) // an older format
+	put(recordKey(keySession, 1), []byte("short"))
+	put(recordKey(keySession, 2), append(addChecksum([]byte(`{}`)), 'x'))
+	put(recordKey(keySession, 3), addChecksum([]byte(`no json`)))
+	put(recordKey(keySession, 4), addChecksum([]byte(`{"Ask":{"ID":5}}`))) // another session's
+	put(recordKey(keySession, 6), addChecksum([]byte(`{"Ask":{"ID":6}}`)))
+	put(recordKey('?', 1), addChecksum([]byte(`{}`)))
 	db.Close()
 	s, st, err := Open("d", mem)
 	if err != nil || st.Damaged != 4 || len(st.Sessions) != 1 {
 		t.Fatalf("%+v %v", st, err)
 	}
-	if v, ok, _ := s.get(keyFormat); !ok || binary.LittleEndian.Uint64(v) != format {
+	if v, ok, _ := s.get(keyFormat); !ok || binary.LittleEndian.Uint64(v) != formatVersion {
 		t.Error("the older format was not migrated")
 	}
-	s.db.Set([]byte(keyFormat), seal(binary.LittleEndian.AppendUint64(nil, format+1)), pebble.Sync)
+	s.db.Set([]byte(keyFormat), addChecksum(binary.LittleEndian.AppendUint64(nil, formatVersion+1)), pebble.Sync)
 	s.Close()
 	if _, _, err := Open("d", mem); err == nil {
 		t.Error("a newer format was opened")
 	}
 }
 
-// TestCrashAtEveryWriteAndSync stops the file system at each operation, with none, half or all of what was not synced
-// left, reopens, and checks: what was acknowledged is there, what was acknowledged as dropped is not, nothing is there
-// that was never written, and no record is damaged.
+// TestCrashAtEveryWriteAndSync stops the file system at each operation, with 0 to 100 % of the unsynced data left, and
+// reopens the store. Acknowledged records must be there, records whose deletion was acknowledged must not, there must be
+// no record that was never written, and none may be damaged.
 func TestCrashAtEveryWriteAndSync(t *testing.T) {
 	points := 0
 	for n := 1; ; n++ {
 		crashed := false
-		for _, power := range []int{0, 25, 50, 75, 100} {
+		for _, unsyncedPercent := range []int{0, 25, 50, 75, 100} {
 			fs := crashfs.New()
-			fs.FailFrom(n, power, uint64(n))
-			wrote, acked, dropped := run(fs)
+			fs.FailFrom(n, unsyncedPercent, uint64(n))
+			written, acknowledged, deleted := writeUntilFailure(fs)
 			after := fs.After()
 			if after == nil {
 				continue
@@ -121,30 +123,31 @@
 			points++
 			s, st, err := Open("d", after)
 			if err != nil {
-				if len(acked) > 0 { // a store that was just being made may be of no use, and is made anew
-					t.Fatalf("operation %d, %d%%: %v", n, power, err)
+				if len(acknowledged) > 0 { // a store that was still being created may be unusable and is created again
+					t.Fatalf("operation %d, %d%%: %v", n, unsyncedPercent, err)
 				}
 				continue
 			}
-			there := map[uint64]int{}
+			stored := map[uint64]int{}
 			for _, x := range st.Sessions {
-				there[x.Ask.ID] = x.Rung
-				if !wrote[x.Ask.ID][x.Rung] {
+				stored[x.Ask.ID] = x.Rung
+				if !written[x.Ask.ID][x.Rung] {
 					t.Fatalf("operation %d: session %d at rung %d was never written", n, x.Ask.ID, x.Rung)
 				}
 			}
-			for id, rung := range acked {
-				if got, ok := there[id]; !ok || got < rung {
-					t.Fatalf("operation %d, %d%%: session %d was acknowledged at rung %d, there is %d (%v)", n, power, id, rung, got, ok)
+			for id, rung := range acknowledged {
+				if got, ok := stored[id]; !ok || got < rung {
+					t.Fatalf("operation %d, %d%%: session %d was acknowledged at rung %d, stored is rung %d (%v)",
+						n, unsyncedPercent, id, rung, got, ok)
 				}
 			}
-			for id := range dropped {
-				if _, ok := there[id]; ok {
-					t.Fatalf("operation %d, %d%%: session %d came back", n, power, id)
+			for id := range deleted {
+				if _, ok := stored[id]; ok {
+					t.Fatalf("operation %d, %d%%: deleted session %d is there again", n, unsyncedPercent, id)
 				}
 			}
 			if st.Damaged > 0 {
-				t.Fatalf("operation %d, %d%%: %d records damaged", n, power, st.Damaged)
+				t.Fatalf("operation %d, %d%%: %d records damaged", n, unsyncedPercent, st.Damaged)
 			}
 			s.Close()
 		}
@@ -153,15 +156,15 @@
 		}
 	}
 	if points < 200 {
-		t.Errorf("%d points only", points)
+		t.Errorf("only %d crash points, want at least 200", points)
 	}
-	t.Log(points, "points")
+	t.Log(points, "crash points")
 }
 
-// run opens a store on a file system that will fail and writes until it does: sixteen sessions one by one, each raised
-// twice, every third dropped once the raise is acknowledged.
-func run(fs vfs.FS) (wrote map[uint64]map[int]bool, acked map[uint64]int, dropped map[uint64]bool) {
-	wrote, acked, dropped = map[uint64]map[int]bool{}, map[uint64]int{}, map[uint64]bool{}
+// writeUntilFailure opens a store on a file system that will fail and writes until it does: sixteen sessions one by one,
+// each raised by a rung twice, every third one deleted once its last rung is acknowledged.
+func writeUntilFailure(fs vfs.FS) (written map[uint64]map[int]bool, acknowledged map[uint64]int, deleted map[uint64]bool) {
+	written, acknowledged, deleted = map[uint64]map[int]bool{}, map[uint64]int{}, map[uint64]bool{}
 	s, _, err := Open("d", fs)
 	if err != nil {
 		return
@@ -173,35 +176,35 @@
 		select {
 		case err := <-done:
 			return err
-		case <-time.After(2 * time.Second): // the engine's goroutine ended
-			return errors.New("no word")
+		case <-time.After(2 * time.Second): // the engine's goroutine has ended
+			return errors.New("no acknowledgement")
 		}
 	}
 	for id := uint64(1); id <= 16; id++ {
-		wrote[id] = map[int]bool{}
+		written[id] = map[int]bool{}
 		for rung := range 3 {
-			wrote[id][rung] = true
+			written[id][rung] = true
 			if wait(func(then func(time.Duration, error)) { s.Session(session(id, rung), then) }) != nil {
 				return
 			}
-			acked[id] = rung
+			acknowledged[id] = rung
 		}
 		if id%3 == 0 {
-			delete(acked, id)
+			delete(acknowledged, id)
 			s.Forget(id)
 			if wait(func(then func(time.Duration, error)) { s.Session(session(1000+id, 0), then) }) != nil {
-				wrote[1000+id] = map[int]bool{0: true}
+				written[1000+id] = map[int]bool{0: true}
 				return
 			}
-			wrote[1000+id] = map[int]bool{0: true}
-			dropped[id] = true
+			written[1000+id] = map[int]bool{0: true}
+			deleted[id] = true
 		}
 	}
 	return
 }
 
-// TestAStoreThatAnotherHoldsIsLeftAlone: a front that starts while the one before it still runs must not take its files.
-func TestAStoreThatAnotherHoldsIsLeftAlone(t *testing.T) {
+// TestOpenRefusesLockedStore: a front that starts while its predecessor still runs must not use the same files.
+func TestOpenRefusesLockedStore(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, vfs.Default)
 	if err != nil {
