--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record is the form in which stand-ins write down what crossed their own sockets: JSON, one event a line,
-// one file a stand-in. internal/audit judges it.
+// Package record is the format in which stand-ins record what crossed their own sockets: JSON with one event per line
+// and one file per stand-in. internal/audit checks the records.
 package record
 
 import (
@@ -16,56 +16,58 @@
 	"time"
 )
 
-// What happened.
+// Kinds of events.
 const (
-	// Of a media server.
-	Start    = "start"    // its process started; Cold tells whether it is cold
-	Die      = "die"      // its process died; Text tells why
-	Setup    = "setup"    // a whole SETUP arrived
-	Answer   = "answer"   // the answer to a SETUP was written; Status; Lost: it was dropped on the way
-	Play     = "play"     // a stream began
-	Played   = "played"   // the answer to its PLAY was written; Lost as above
+	// Events of a media server.
+	Start    = "start"    // its process started; Cold: it is cold
+	Die      = "die"      // its process died; Text: the reason
+	Setup    = "setup"    // a complete SETUP was received
+	Answer   = "answer"   // the response to a SETUP was written; Status; Lost: it was dropped on the way
+	Play     = "play"     // a stream started
+	Played   = "played"   // the response to its PLAY was written; Lost as above
 	Rung     = "rung"     // a stream's rung was set
-	Teardown = "teardown" // a TEARDOWN arrived
+	Teardown = "teardown" // a TEARDOWN was received
 	End      = "end"      // a stream ended
-	ConnLost = "connlost" // a connection ended; what was pending on it is over
-	Segment  = "segment"  // a segment was asked for; Status 404: there is none
-	Share    = "share"    // the share of their rate that its streams get
-	// Of the list.
-	Told = "told" // a front was told of a server: Health, Started
-	// Of a player.
-	Want     = "want"     // a viewer comes for the first time; Worth, Length
-	Ask      = "ask"      // a request was written; Call names it
-	Reply    = "reply"    // an answer was read: Text is plays, refused, failed or error
-	Manifest = "manifest" // a media playlist was read: Call names its address, Value its sequence, Length its discontinuity sequence; Text: why it is none
-	Left     = "left"     // the player closed the connection or took the request back
-	Broken   = "broken"   // the connection was lost
-	// Of whoever works on machines, and of the relays between fronts.
-	WorkAsked   = "asked"   // work was asked for; Call is the command's key, Text the machines
-	WorkEnded   = "ended"   // it came to an end; Call is its number, Text how and why
-	TakenOut    = "out"     // a server was let go for work Call: it is whoever works on it's now
-	BroughtBack = "back"    // it was brought up again
+	ConnLost = "connlost" // a connection closed; requests pending on it have ended
+	Segment  = "segment"  // a segment was requested; Status 404: it does not exist
+	Share    = "share"    // the share of their rate that the server's streams get
+	// Events of the list service.
+	Told = "told" // a server was reported to a front: Health, StartedAt
+	// Events of a player.
+	Want  = "want"  // a viewer's first request; Worth, Length
+	Ask   = "ask"   // a request was written; Ref names it
+	Reply = "reply" // a reply was read; Text: plays, refused, failed or error
+	// A media playlist was read. Ref: its address; Value: its media sequence; Length: its discontinuity sequence;
+	// Text: why it is not a playlist.
+	Manifest = "manifest"
+	Left     = "left"   // the player closed the connection or cancelled the request
+	Broken   = "broken" // the connection was lost
+	// Events of upkeep work on machines, and of the relays between fronts.
+	WorkAsked   = "asked"   // work was requested; Ref: the command's key; Text: the machines
+	WorkEnded   = "ended"   // work ended; Ref: its number; Text: how and why
+	TakenOut    = "out"     // a server was released for work Ref: it belongs to whoever works on it
+	BroughtBack = "back"    // the server was started again
 	Deaf        = "deaf"    // a front was cut off from the others: it can't know what they agree on
-	Heard       = "heard"   // it no longer is
-	Sure        = "settled" // all is quiet: works are expected to have ended
-	// Of the day.
-	Rules    = "rules"    // the settings that the rules go by, in Text as JSON
+	Heard       = "heard"   // the front is connected to the others again
+	Sure        = "settled" // the fleet is idle: all work is expected to have ended
+	// Events of the scripted day.
+	Rules    = "rules"    // the settings that the audit's rules use; Text: JSON
 	FrontUp  = "frontup"  // a front's process was started
-	Killed   = "killed"   // and killed
-	Stopped  = "stopped"  // stood still from here
-	Resumed  = "resumed"  // to here
-	Leaving  = "leaving"  // was told to leave service
-	Trouble  = "trouble"  // a trouble began; Text names it
-	Finished = "finished" // all is over; what streams now is an orphan
+	Killed   = "killed"   // a front's process was killed
+	Stopped  = "stopped"  // a front's process was paused
+	Resumed  = "resumed"  // a paused front's process was resumed
+	Leaving  = "leaving"  // a front was told to leave service
+	Trouble  = "trouble"  // a fault started; Text: its name
+	Finished = "finished" // the day is over; a stream that still runs is orphaned
 )
 
-// Event is one line.
+// Event is one line of a record.
 type Event struct {
-	T       int64   `json:"t"` // wall clock, nanoseconds
+	T       int64   `json:"t"` // wall clock, nanoseconds since 1970
 	Who     string  `json:"who"`
 	What    string  `json:"what"`
 	Front   string  `json:"front,omitempty"`
-	Session string  `json:"session,omitempty"` // the number in it, without the front's name
+	Session string  `json:"session,omitempty"` // the number in its name, without the front's name
 	Attempt int     `json:"attempt,omitempty"`
 	Server  uint32  `json:"server,omitempty"`
 	Class   int     `json:"class,omitempty"`
@@ -86,32 +88,32 @@
 	Text    string  `json:"text,omitempty"`
 }
 
-// Key names an attempt.
+// AttemptKey returns a string that identifies the event's attempt.
 func (e *Event) Key() string { return fmt.Sprintf("%s/%s/%d", e.Front, e.Session, e.Attempt) }
 
-// Log takes events. The zero value and nil drop them; it is safe for many goroutines.
+// Log records events. The zero value and nil discard them; it is safe for concurrent use.
 type Log struct {
-	mu   sync.Mutex
-	w    *bufio.Writer
-	c    io.Closer
-	mem  []Event
-	keep bool
-	err  error
+	mu       sync.Mutex
+	writer   *bufio.Writer
+	closer   io.Closer
+	events   []Event
+	inMemory bool
+	err      error
 }
 
-// Memory makes a log that keeps events in memory.
-func Memory() *Log { return &Log{keep: true} }
+// NewMemory returns a log that keeps events in memory.
+func Memory() *Log { return &Log{inMemory: true} }
 
-// Create makes a log that writes to a file.
+// Create returns a log that writes to a file.
 func Create(path string) (*Log, error) {
 	f, err := os.Create(path)
 	if err != nil {
 		return nil, fmt.Errorf("record: %w", err)
 	}
-	return &Log{w: bufio.NewWriterSize(f, 1<<16), c: f}, nil
+	return &Log{writer: bufio.NewWriterSize(f, 1<<16), closer: f}, nil
 }
 
-// Add writes an event down; T is set to now unless given.
+// Add records an event; its time is set to now if it has none.
 func (l *Log) Add(e Event) {
 	if l == nil {
 		return
@@ -121,41 +123,42 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.keep {
-		l.mem = append(l.mem, e)
+	if l.inMemory {
+		l.events = append(l.events, e)
 	}
-	if l.w != nil && l.err == nil {
+	if l.writer != nil && l.err == nil {
 		b, err := json.Marshal(&e)
 		if err == nil {
-			_, err = l.w.Write(append(b, '\n'))
+			_, err = l.writer.Write(append(b, '\n'))
 		}
 		l.err = err
 	}
 }
 
-// Events gives what was kept in memory, in the order of time.
+// Events returns the events kept in memory, sorted by time.
 func (l *Log) Events() []Event {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return sorted(slices.Clone(l.mem))
+	return sortByTime(slices.Clone(l.events))
 }
 
-// Close ends the file.
+// Close flushes and closes the file and returns the first error of a write.
 func (l *Log) Close() error {
 	if l == nil {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.w == nil {
+	if l.writer == nil {
 		return nil
 	}
-	err := errors.Join(l.err, l.w.Flush(), l.c.Close())
-	l.w = nil // what comes later is dropped
+	err := errors.Join(l.err, l.writer.Flush(), l.closer.Close())
+	l.writer = nil // later events are discarded
 	return err
 }
 
-func sorted(list []Event) []Event {
+// sortByTime sorts events by time in place; the order of simultaneous events stays.
+func sortByTime(list []Event) []Event {
 	slices.SortStableFunc(list, func(a, b Event) int {
 		switch {
 		case a.T < b.T:
@@ -168,13 +171,13 @@
 	return list
 }
 
-// maxLine bounds a line that is read.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a line that Read accepts.
+const maxLineBytes = 1 << 20
 
-// Read reads a record of lines.
+// Read reads a record. name stands for the input in errors.
 func Read(name string, r io.Reader) (list []Event, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 1<<16), maxLine)
+	s.Buffer(make([]byte, 0, 1<<16), maxLineBytes)
 	for n := 1; s.Scan(); n++ {
 		if len(strings.TrimSpace(s.Text())) == 0 {
 			continue
@@ -191,7 +194,7 @@
 	return list, nil
 }
 
-// ReadDir reads all records of a directory (*.jsonl), in the order of time.
+// ReadDir reads all records (*.jsonl) of a directory, sorted by time.
 func ReadDir(dir string) ([]Event, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.jsonl"))
 	if err != nil || len(files) == 0 {
@@ -210,5 +213,5 @@
 		}
 		all = append(all, list...)
 	}
-	return sorted(all), nil
+	return sortByTime(all), nil
 }
