--- a/cmd/tealledge/fleet.go
+++ b/cmd/tealledge/fleet.go
@@ -90,7 +90,7 @@
 }
 
 func (c *upkeepAskCmd) Run(ctx context.Context) error {
-	request := node.Ask{Names: c.Machines, For: c.For, Note: c.Note, Key: c.Key}
+	request := node.WorkRequest{Names: c.Machines, WorkDuration: c.For, Note: c.Note, Key: c.Key}
 	if c.By != "" {
 		t, err := time.Parse(time.RFC3339, c.By)
 		if err != nil {
@@ -100,7 +100,7 @@
 			}
 			t = time.Now().Add(d)
 		}
-		request.By = t.UnixNano()
+		request.Deadline = t.UnixNano()
 	}
 	if request.Key == "" {
 		request.Key = uuid.NewString()
@@ -110,7 +110,7 @@
 
 // sendCommand sends a command and prints the number of its work.
 func (a *at) sendCommand(ctx context.Context, path string, body any, key string) error {
-	var answer ledger.Answer
+	var answer ledger.CommandResult
 	if err := a.request(ctx, "POST", path, body, &answer); err != nil {
 		return err
 	}
@@ -142,7 +142,7 @@
 			continue
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%v\t%s\n", work.ID, work.Phase, formatClock(work.Since),
-			strings.Join(work.Ask.Names, " "), time.Duration(work.Ask.For), reasonOf(&work))
+			strings.Join(work.Request.Names, " "), time.Duration(work.Request.WorkDuration), reasonOf(&work))
 	}
 	return w.Flush()
 }
@@ -158,14 +158,14 @@
 func formatClock(ns int64) string { return time.Unix(0, ns).Format("15:04:05") }
 
 // reasonOf returns why a work is in its phase.
-func reasonOf(work *node.Shown) string {
-	if work.Phase == ledger.Asked && work.Waits != nil {
-		return work.Waits.Limit + ": " + work.Waits.Why
+func reasonOf(work *node.WorkStatus) string {
+	if work.Phase == ledger.Requested && work.WaitReason != nil {
+		return work.WaitReason.Limit + ": " + work.WaitReason.Why
 	}
-	if work.Phase == ledger.Asked && work.Why == "" {
+	if work.Phase == ledger.Requested && work.Reason == "" {
 		return "the leader did not say"
 	}
-	return work.Why
+	return work.Reason
 }
 
 type upkeepShowCmd struct {
@@ -184,20 +184,20 @@
 	warnIfStale(&listing)
 	for _, work := range listing.Works {
 		fmt.Printf("work %d, %s since %s\n  machines  %s\n  asked     %s at %s for %v\n", work.ID, work.Phase,
-			formatClock(work.Since), strings.Join(work.Ask.Names, " "), work.From,
-			formatClock(work.Asked), time.Duration(work.Ask.For))
-		if work.Ask.By > 0 {
-			fmt.Printf("  by        %s\n", time.Unix(0, work.Ask.By).Format(time.RFC3339))
+			formatClock(work.Since), strings.Join(work.Request.Names, " "), work.From,
+			formatClock(work.RequestedAt), time.Duration(work.Request.WorkDuration))
+		if work.Request.Deadline > 0 {
+			fmt.Printf("  by        %s\n", time.Unix(0, work.Request.Deadline).Format(time.RFC3339))
 		}
-		if work.Until > 0 {
-			fmt.Printf("  until     %s, at the latest\n", formatClock(work.Until))
+		if work.Deadline > 0 {
+			fmt.Printf("  until     %s, at the latest\n", formatClock(work.Deadline))
 		}
-		if work.Ask.Note != "" {
-			fmt.Printf("  note      %s\n", work.Ask.Note)
+		if work.Request.Note != "" {
+			fmt.Printf("  note      %s\n", work.Request.Note)
 		}
 		fmt.Printf("  why       %s\n", reasonOf(&work))
-		if work.Waits != nil && len(work.Waits.Behind) > 0 {
-			fmt.Printf("  behind    %v\n", work.Waits.Behind)
+		if work.WaitReason != nil && len(work.WaitReason.Behind) > 0 {
+			fmt.Printf("  behind    %v\n", work.WaitReason.Behind)
 		}
 	}
 	return nil
@@ -210,7 +210,7 @@
 
 func (c *upkeepCancelCmd) Run(ctx context.Context) error {
 	key := uuid.NewString()
-	return c.sendCommand(ctx, "/upkeep/cancel", node.Order{ID: c.ID, Key: key}, key)
+	return c.sendCommand(ctx, "/upkeep/cancel", node.WorkCommand{ID: c.ID, Key: key}, key)
 }
 
 type upkeepDoneCmd struct {
@@ -220,7 +220,7 @@
 
 func (c *upkeepDoneCmd) Run(ctx context.Context) error {
 	key := uuid.NewString()
-	return c.sendCommand(ctx, "/upkeep/done", node.Order{ID: c.ID, Key: key}, key)
+	return c.sendCommand(ctx, "/upkeep/done", node.WorkCommand{ID: c.ID, Key: key}, key)
 }
 
 type fleetCmd struct{ at }
@@ -233,7 +233,7 @@
 	if c.JSON {
 		return printJSON(status)
 	}
-	lead, fresh := status.Lead, "fresh"
+	lead, fresh := status.Leader, "fresh"
 	if lead == "" {
 		lead = "nobody"
 	}
@@ -241,21 +241,21 @@
 		fresh = "STALE: machines are kept as last told, nothing is granted as far as this front knows"
 	}
 	fmt.Printf("%s of %s: %s leads, entry %d, heard %d ms ago, %s\n", status.Name, status.Cluster, lead, status.Index,
-		status.HeardMs, fresh)
+		status.LastContactMs, fresh)
 	switch {
 	case status.Broken:
 		fmt.Println("this voter is out of the fleet: its log says why; it serves on")
 	case status.Silent:
 		fmt.Println("this voter does not take part yet: too few others have told it that its disk is the newest")
 	}
-	if status.Newer > 0 {
+	if status.NewerFormat > 0 {
 		fmt.Printf("entries were agreed on in format %d, which this front does not know: it grants nothing\n",
-			status.Newer)
+			status.NewerFormat)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FRONT\tHERE\tVOTES\tZONE\tLIFE")
-	for _, front := range status.Here {
-		fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%d\n", front.Name, front.Here, front.Voter, front.Zone, front.Life)
+	for _, front := range status.Fronts {
+		fmt.Fprintf(w, "%s\t%v\t%v\t%d\t%d\n", front.Name, front.Alive, front.Voter, front.Zone, front.Incarnation)
 	}
 	return w.Flush()
 }
--- a/cmd/tealledge/fleetday.go
+++ b/cmd/tealledge/fleetday.go
@@ -19,7 +19,7 @@
 }
 
 func (c *fleetDayCmd) Run(ctx context.Context) error {
-	script, err := day.Parse("fleet-day", rig.Site)
+	script, err := day.Parse("fleet-day", rig.DayScript)
 	if err != nil {
 		return err
 	}
@@ -30,13 +30,13 @@
 	} else if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 		return err
 	}
-	faultList := rig.Random(c.Seed, c.Faults, script.Fronts, script.Servers)
+	faultList := rig.RandomScript(c.Seed, c.Faults, script.Fronts, script.Servers)
 	if c.Script != "" {
 		text, err := os.ReadFile(c.Script)
 		if err != nil {
 			return err
 		}
-		if faultList, err = rig.Read(c.Script, string(text), script.Fronts, script.Servers); err != nil {
+		if faultList, err = rig.ReadScript(c.Script, string(text), script.Fronts, script.Servers); err != nil {
 			return err
 		}
 	}
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	rig.Write(f, faultList)
+	rig.WriteScript(f, faultList)
 	if err := f.Close(); err != nil {
 		return err
 	}
@@ -59,12 +59,12 @@
 		return err
 	}
 	defer testRig.Close()
-	if !testRig.Whole(ctx, time.Minute) {
+	if !testRig.WaitUntilHealthy(ctx, time.Minute) {
 		return fmt.Errorf("no fleet within a minute: see the logs in %s", c.Dir)
 	}
 	viewerCtx, stopViewers := context.WithCancel(ctx)
 	defer stopViewers()
-	waitViewers := testRig.Viewers(viewerCtx, time.Hour)
+	waitViewers := testRig.StartViewers(viewerCtx, time.Hour)
 	faults, err := testRig.Play(ctx, faultList)
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 	if err := waitViewers(); err != nil {
 		return err
 	}
-	testRig.AllSeen(ctx)
+	testRig.WaitForWorks(ctx)
 	report, err := testRig.Judge(ctx, testRig.Rules())
 	if err != nil {
 		return err
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -46,7 +46,7 @@
 // Event makes the record that carries the rules.
 func (r Rules) Event() record.Event {
 	b, _ := json.Marshal(r)
-	return record.Event{Who: "day", What: record.Rules, Text: string(b)}
+	return record.Event{Source: "day", Kind: record.AuditRules, Text: string(b)}
 }
 
 // The rules by name, in the order of the brief.
@@ -154,7 +154,7 @@
 	j.report.Checked, j.report.Replies = map[string]int{}, map[string]int{}
 	found := false
 	for _, e := range events {
-		if e.What == record.Rules {
+		if e.Kind == record.AuditRules {
 			if err := json.Unmarshal([]byte(e.Text), &j.rules); err != nil {
 				return nil, fmt.Errorf("the record's rules: %w", err)
 			}
@@ -175,7 +175,7 @@
 	j.budget()
 	j.orphans()
 	j.manifests()
-	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return int(min(max(a.Event.T-b.Event.T, -1), 1)) })
+	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return int(min(max(a.Event.At-b.Event.At, -1), 1)) })
 	j.worth()
 	j.troubles()
 	return &j.report, nil
@@ -183,26 +183,26 @@
 
 // read books one event.
 func (j *judge) read(e *record.Event) {
-	switch e.What {
-	case record.Ask:
-		j.calls[e.Call] = &call{ask: *e}
-		j.asks[e.Front] = append(j.asks[e.Front], e.T)
+	switch e.Kind {
+	case record.RequestSent:
+		j.calls[e.Ref] = &call{ask: *e}
+		j.asks[e.Front] = append(j.asks[e.Front], e.At)
 		j.report.Asks++
-	case record.Reply:
-		if c := j.calls[e.Call]; c != nil {
+	case record.ReplyReceived:
+		if c := j.calls[e.Ref]; c != nil {
 			c.replies = append(c.replies, *e)
 			if len(c.replies) == 1 {
 				j.report.Replies[e.Text]++
-				j.report.Open = append(j.report.Open, time.Duration(e.T-c.ask.T))
+				j.report.Open = append(j.report.Open, time.Duration(e.At-c.ask.At))
 			}
 		}
-	case record.Left, record.Broken:
-		if c := j.calls[e.Call]; c != nil && c.ended == nil {
+	case record.PlayerLeft, record.PlayerConnLost:
+		if c := j.calls[e.Ref]; c != nil && c.ended == nil {
 			c.ended = e
 		}
-	case record.Setup:
+	case record.SetupReceived:
 		a := &attempt{Event: *e}
-		j.attempts[e.Key()] = a
+		j.attempts[e.AttemptKey()] = a
 		j.order = append(j.order, a)
 		j.pipes[pipeKey(e)] = a
 		id := e.Front + "/" + e.Session
@@ -211,66 +211,66 @@
 		if e.Attempt > 0 {
 			j.report.Further++
 		}
-	case record.Answer:
-		if a := j.attempts[e.Key()]; a != nil && !e.Lost && a.answered == 0 {
-			a.answered, a.status = e.T, e.Status
+	case record.SetupAnswered:
+		if a := j.attempts[e.AttemptKey()]; a != nil && !e.Lost && a.answered == 0 {
+			a.answered, a.status = e.At, e.Status
 			if e.Status != 200 {
-				a.end(e.T)
+				a.end(e.At)
 			}
 		}
-	case record.Play:
-		if a := j.attempts[e.Key()]; a != nil {
+	case record.StreamStarted:
+		if a := j.attempts[e.AttemptKey()]; a != nil {
 			a.stream = true
 		}
-	case record.Played:
-		if a := j.attempts[e.Key()]; a != nil && !e.Lost {
+	case record.PlayAnswered:
+		if a := j.attempts[e.AttemptKey()]; a != nil && !e.Lost {
 			a.told = true
 		}
-	case record.Teardown:
-		a := j.attempts[e.Key()]
+	case record.TeardownReceived:
+		a := j.attempts[e.AttemptKey()]
 		if e.Session == "" {
 			a = j.pipes[pipeKey(e)]
 		}
 		if a != nil {
-			a.end(e.T)
+			a.end(e.At)
 		}
-	case record.End:
-		if a := j.attempts[e.Key()]; a != nil {
-			a.end(e.T)
+	case record.StreamEnded:
+		if a := j.attempts[e.AttemptKey()]; a != nil {
+			a.end(e.At)
 			a.stream = false
 		}
-	case record.ConnLost:
+	case record.ServerConnEnded:
 		for _, a := range j.order {
 			// A stream whose PLAY's answer reached the front may live on over a new connection; whatever else was out is over
 			// for the front, and what it left at the server ends there by itself.
 			if a.Server == e.Server && a.Front == e.Front && !(a.stream && a.told && a.answered > 0) {
-				a.end(e.T)
+				a.end(e.At)
 			}
 		}
-	case record.Die:
+	case record.ServerDied:
 		for _, a := range j.order {
 			if a.Server == e.Server {
-				a.end(e.T)
+				a.end(e.At)
 				a.stream = false
 			}
 		}
-	case record.Killed:
-		j.outages[e.Front] = append(j.outages[e.Front], span{from: e.T, to: 1 << 62, killed: true})
+	case record.FrontKilled:
+		j.outages[e.Front] = append(j.outages[e.Front], span{from: e.At, to: 1 << 62, killed: true})
 		for _, a := range j.order {
 			if a.Front == e.Front {
-				a.end(e.T)
+				a.end(e.At)
 			}
 		}
-	case record.Stopped:
-		j.outages[e.Front] = append(j.outages[e.Front], span{from: e.T, to: 1 << 62})
-	case record.FrontUp, record.Resumed:
+	case record.FrontPaused:
+		j.outages[e.Front] = append(j.outages[e.Front], span{from: e.At, to: 1 << 62})
+	case record.FrontStarted, record.FrontResumed:
 		if list := j.outages[e.Front]; len(list) > 0 && list[len(list)-1].to == 1<<62 {
-			list[len(list)-1].to = e.T
+			list[len(list)-1].to = e.At
 		}
-	case record.Leaving:
-		j.leaving[e.Front] = e.T
-	case record.Finished:
-		j.finished = e.T
+	case record.FrontDraining:
+		j.leaving[e.Front] = e.At
+	case record.DayFinished:
+		j.finished = e.At
 	}
 }
 
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -12,43 +12,43 @@
 // front that had begun to leave and closed before it read them. Time in which a front stood still does not count.
 func (j *judge) answers() {
 	for _, e := range j.events {
-		if e.What != record.Ask {
+		if e.Kind != record.RequestSent {
 			continue
 		}
-		c := j.calls[e.Call]
-		if c.ask.T != e.T {
+		c := j.calls[e.Ref]
+		if c.ask.At != e.At {
 			continue
 		}
 		j.report.Checked[RuleAnswer]++
 		wait := j.class(e.Class).Deadline
-		if e.Wait > 0 {
-			wait = min(wait, time.Duration(e.Wait))
+		if e.Timeout > 0 {
+			wait = min(wait, time.Duration(e.Timeout))
 		}
-		limit := e.T + int64(wait+j.rules.AnswerGrace)
+		limit := e.At + int64(wait+j.rules.AnswerGrace)
 		if len(c.replies) > 1 {
-			j.broken(RuleAnswer, c.replies[1], "a second answer to %s", e.Call)
+			j.broken(RuleAnswer, c.replies[1], "a second answer to %s", e.Ref)
 		}
 		if len(c.replies) > 0 {
-			still, _ := j.paused(e.Front, e.T, c.replies[0].T)
-			if late := time.Duration(c.replies[0].T-limit) - still; late > 0 {
-				j.broken(RuleAnswer, c.replies[0], "answer to %s came %v late", e.Call, late)
+			still, _ := j.paused(e.Front, e.At, c.replies[0].At)
+			if late := time.Duration(c.replies[0].At-limit) - still; late > 0 {
+				j.broken(RuleAnswer, c.replies[0], "answer to %s came %v late", e.Ref, late)
 			}
 			continue
 		}
-		until := j.events[len(j.events)-1].T
+		until := j.events[len(j.events)-1].At
 		if c.ended != nil {
-			until = c.ended.T
+			until = c.ended.At
 		}
-		_, killed := j.paused(e.Front, e.T-int64(j.rules.Skew), until+int64(j.rules.Skew))
+		_, killed := j.paused(e.Front, e.At-int64(j.rules.Skew), until+int64(j.rules.Skew))
 		at, leaving := j.leaving[e.Front]
 		switch {
-		case killed, c.ended != nil && c.ended.What == record.Left, leaving && e.T >= at && c.ended != nil:
+		case killed, c.ended != nil && c.ended.Kind == record.PlayerLeft, leaving && e.At >= at && c.ended != nil:
 		case c.ended != nil:
-			j.broken(RuleAnswer, *c.ended, "the connection of %s was closed without an answer", e.Call)
+			j.broken(RuleAnswer, *c.ended, "the connection of %s was closed without an answer", e.Ref)
 		default:
-			still, _ := j.paused(e.Front, e.T, until)
+			still, _ := j.paused(e.Front, e.At, until)
 			if until-int64(still) > limit {
-				j.broken(RuleAnswer, e, "no answer to %s", e.Call)
+				j.broken(RuleAnswer, e, "no answer to %s", e.Ref)
 			}
 		}
 	}
@@ -65,28 +65,28 @@
 	for _, a := range j.order {
 		j.report.Checked[RuleOnce]++
 		for _, b := range j.sessions[a.Front+"/"+a.Session] {
-			if b == a || b.T > a.T || b.T == a.T && b.Attempt >= a.Attempt {
+			if b == a || b.At > a.At || b.At == a.At && b.Attempt >= a.Attempt {
 				continue
 			}
 			if b.Attempt == a.Attempt {
-				j.broken(RuleOnce, a.Event, "attempt %s arrived twice", a.Key())
+				j.broken(RuleOnce, a.Event, "attempt %s arrived twice", a.AttemptKey())
 			}
-			if b.ends == 0 || b.ends-a.T > int64(j.rules.Skew) {
-				j.broken(RuleOnce, a.Event, "attempt %s arrived while %s was out at server %d", a.Key(), b.Key(), b.Server)
+			if b.ends == 0 || b.ends-a.At > int64(j.rules.Skew) {
+				j.broken(RuleOnce, a.Event, "attempt %s arrived while %s was out at server %d", a.AttemptKey(), b.AttemptKey(), b.Server)
 			}
-			if j.class(a.Class).Paid && !b.neverRan(a.T) {
-				j.broken(RuleOnce, a.Event, "paid set-up %s again, though %s may have run", a.Key(), b.Key())
+			if j.class(a.Class).Paid && !b.neverRan(a.At) {
+				j.broken(RuleOnce, a.Event, "paid set-up %s again, though %s may have run", a.AttemptKey(), b.AttemptKey())
 			}
 		}
 	}
 	for _, e := range j.events {
-		if e.What != record.Reply || e.Text != "refused" || !j.class(e.Class).Paid || e.Session == "" {
+		if e.Kind != record.ReplyReceived || e.Text != "refused" || !j.class(e.Class).Paid || e.Session == "" {
 			continue
 		}
 		j.report.Checked[RuleOnce]++
 		for _, b := range j.sessions[e.Front+"/"+e.Session] {
-			if !b.neverRan(e.T) {
-				j.broken(RuleOnce, e, "paid session %s refused, though %s may have run", e.Session, b.Key())
+			if !b.neverRan(e.At) {
+				j.broken(RuleOnce, e, "paid session %s refused, though %s may have run", e.Session, b.AttemptKey())
 			}
 		}
 	}
@@ -101,27 +101,27 @@
 	}
 	told := map[pair]record.Event{}
 	for _, e := range j.events {
-		switch e.What {
-		case record.Told:
+		switch e.Kind {
+		case record.ServerListed:
 			p := pair{e.Front, e.Server}
 			if was, ok := told[p]; ok && was.Health != "ready" && e.Health != "ready" {
 				continue // the first word counts
 			}
 			told[p] = e
-		case record.Killed:
+		case record.FrontKilled:
 			for p := range told {
 				if p.front == e.Front {
 					delete(told, p)
 				}
 			}
-		case record.Setup:
+		case record.SetupReceived:
 			j.report.Checked[RuleDrain]++
 			t, ok := told[pair{e.Front, e.Server}]
 			if !ok || t.Health == "ready" {
 				continue
 			}
-			still, _ := j.paused(e.Front, t.T, e.T)
-			if after := time.Duration(e.T-t.T) - still; after > j.rules.DrainGrace+j.rules.Skew {
+			still, _ := j.paused(e.Front, t.At, e.At)
+			if after := time.Duration(e.At-t.At) - still; after > j.rules.DrainGrace+j.rules.Skew {
 				j.broken(RuleDrain, e, "set-up at server %d, %v after the front was told that it is %s", e.Server, after, t.Health)
 			}
 		}
@@ -138,25 +138,25 @@
 	}
 	servers := map[uint32]*state{}
 	for _, e := range j.events {
-		switch e.What {
-		case record.Start:
+		switch e.Kind {
+		case record.ServerStarted:
 			delete(servers, e.Server)
 			if e.Cold {
-				servers[e.Server] = &state{from: e.T, slots: e.Slots}
+				servers[e.Server] = &state{from: e.At, slots: e.Slots}
 			}
-		case record.Die:
+		case record.ServerDied:
 			if e.Text == "pushed over while cold" {
 				j.broken(RuleCold, e, "server %d was pushed over", e.Server)
 			}
-		case record.Setup:
+		case record.SetupReceived:
 			s := servers[e.Server]
-			if s == nil || e.T-s.from > int64(j.rules.ColdSpan) || j.rules.ColdSpan <= 0 {
+			if s == nil || e.At-s.from > int64(j.rules.ColdSpan) || j.rules.ColdSpan <= 0 {
 				continue
 			}
 			j.report.Checked[RuleCold]++
-			s.sent = append(s.sent, e.T)
-			s.sent = slices.DeleteFunc(s.sent, func(t int64) bool { return e.T-t > int64(j.rules.FallSpan) })
-			warm := j.rules.ColdFrom + (1-j.rules.ColdFrom)*float64(e.T-s.from)/float64(j.rules.ColdSpan)
+			s.sent = append(s.sent, e.At)
+			s.sent = slices.DeleteFunc(s.sent, func(t int64) bool { return e.At-t > int64(j.rules.FallSpan) })
+			warm := j.rules.ColdFrom + (1-j.rules.ColdFrom)*float64(e.At-s.from)/float64(j.rules.ColdSpan)
 			most := s.slots/j.rules.ColdSpan.Seconds()*warm*j.rules.FallTimes*j.rules.FallSpan.Seconds() + 2 // slack for chance
 			if float64(len(s.sent)) > most {
 				j.broken(RuleCold, e, "%d set-ups within %v at server %d, which takes %.1f then", len(s.sent), j.rules.FallSpan, e.Server, most)
@@ -174,21 +174,21 @@
 	}
 	held := map[seat][]*attempt{}
 	for _, e := range j.events {
-		switch e.What {
-		case record.Setup, record.Rung, record.Play:
+		switch e.Kind {
+		case record.SetupReceived, record.RungSet, record.StreamStarted:
 			j.report.Checked[RuleTerms]++
 			if floor := j.class(e.Class).Floor; e.Rung < floor {
 				j.broken(RuleTerms, e, "rung %d, under the floor %d of class %s", e.Rung, floor, j.class(e.Class).Name)
 			}
 		}
 		seats := j.class(e.Class).Seats
-		if e.What != record.Setup || seats == 0 {
+		if e.Kind != record.SetupReceived || seats == 0 {
 			continue
 		}
 		k := seat{e.Front, e.Title, e.Class}
-		a := j.attempts[e.Key()]
+		a := j.attempts[e.AttemptKey()]
 		list := slices.DeleteFunc(held[k], func(o *attempt) bool {
-			return o.ends != 0 && o.ends-int64(j.rules.Skew) <= e.T || o.Session == e.Session
+			return o.ends != 0 && o.ends-int64(j.rules.Skew) <= e.At || o.Session == e.Session
 		})
 		held[k] = append(list, a)
 		if len(held[k]) > seats {
@@ -210,12 +210,12 @@
 			continue
 		}
 		j.report.Checked[RuleBudget]++
-		from := a.T - int64(j.rules.BudgetSpan)
+		from := a.At - int64(j.rules.BudgetSpan)
 		list := slices.DeleteFunc(further[a.Front], func(t int64) bool { return t <= from+int64(j.rules.Skew) })
-		further[a.Front] = append(list, a.T)
+		further[a.Front] = append(list, a.At)
 		taken := 0
 		for _, t := range j.asks[a.Front] {
-			if t > from-int64(j.rules.Skew) && t <= a.T {
+			if t > from-int64(j.rules.Skew) && t <= a.At {
 				taken++
 			}
 		}
@@ -234,7 +234,7 @@
 	for _, a := range j.order {
 		j.report.Checked[RuleOrphans]++
 		if a.stream {
-			j.broken(RuleOrphans, a.Event, "stream %s still plays at server %d when all is over", a.Key(), a.Server)
+			j.broken(RuleOrphans, a.Event, "stream %s still plays at server %d when all is over", a.AttemptKey(), a.Server)
 		}
 	}
 }
@@ -257,22 +257,22 @@
 	last := map[string]record.Event{}
 	for _, e := range j.events {
 		h := holder{e.Server, e.Viewer, e.Title}
-		switch e.What {
-		case record.Play:
-			s := &span{e.T, 1 << 62}
+		switch e.Kind {
+		case record.StreamStarted:
+			s := &span{e.At, 1 << 62}
 			held[h] = append(held[h], s)
-			running[e.Key()] = s
-		case record.End:
-			if s := running[e.Key()]; s != nil {
-				s.to = e.T
+			running[e.AttemptKey()] = s
+		case record.StreamEnded:
+			if s := running[e.AttemptKey()]; s != nil {
+				s.to = e.At
 			}
 		}
 	}
 	for _, e := range j.events {
-		switch e.What {
-		case record.Manifest:
+		switch e.Kind {
+		case record.PlaylistRead:
 			j.report.Checked[RuleList]++
-			was, seen := last[e.Call]
+			was, seen := last[e.Ref]
 			switch {
 			case e.Text != "":
 				j.broken(RuleList, e, "a playlist that is none: %s", e.Text)
@@ -280,15 +280,15 @@
 			case seen && (e.Value < was.Value || e.Length < was.Length):
 				j.broken(RuleList, e, "a playlist went back: sequence %.0f after %.0f, discontinuity %.0f after %.0f", e.Value, was.Value, e.Length, was.Length)
 			}
-			last[e.Call] = e
-		case record.Segment:
+			last[e.Ref] = e
+		case record.SegmentRequested:
 			j.report.Checked[RuleList]++
 			if e.Status == 404 {
 				j.broken(RuleList, e, "a segment that does not exist: %s of %s", e.Text, e.Title)
 			}
 			ok := false
 			for _, s := range held[holder{e.Server, e.Viewer, e.Title}] {
-				ok = ok || e.T >= s.from-int64(j.rules.Skew) && e.T <= s.to+told
+				ok = ok || e.At >= s.from-int64(j.rules.Skew) && e.At <= s.to+told
 			}
 			if !ok {
 				j.broken(RuleList, e, "a segment at server %d, which does not hold the viewer's session", e.Server)
--- a/internal/audit/upkeep.go
+++ b/internal/audit/upkeep.go
@@ -50,22 +50,22 @@
 	rack := func(s uint32) int { return int(s-1) % max(u.Cells, 1) % max(u.Racks, 1) } // stand-ins fill the cells in order
 	zone := func(s uint32) int { return rack(s) % max(u.Zones, 1) }
 	for _, e := range events {
-		switch e.What {
-		case record.WorkAsked:
-			asked[e.Call] = true
+		switch e.Kind {
+		case record.WorkRequested:
+			asked[e.Ref] = true
 		case record.WorkEnded:
-			ended[e.Call] = true
+			ended[e.Ref] = true
 			checked[RuleEnded]++
 			how, why, _ := strings.Cut(e.Text, ":")
 			if how != "done" && how != "cancelled" && (how != "refused" || strings.TrimSpace(why) == "") {
 				say(RuleEnded, e, "neither done nor cancelled nor refused with a reason")
 			}
-		case record.Deaf:
-			deaf[e.Front] = e.T
-		case record.Heard:
+		case record.FrontIsolated:
+			deaf[e.Front] = e.At
+		case record.FrontRejoined:
 			delete(deaf, e.Front)
-			healed[e.Front] = e.T
-		case record.TakenOut:
+			healed[e.Front] = e.At
+		case record.ServerTakenOut:
 			checked[RuleOut]++
 			now := map[uint32]bool{e.Server: true}
 			for s, o := range out {
@@ -74,7 +74,7 @@
 				}
 			}
 			for s, at := range failed {
-				if e.T-at > int64(noticed) {
+				if e.At-at > int64(noticed) {
 					now[s] = true
 				}
 			}
@@ -93,43 +93,43 @@
 			if o := out[e.Server]; o != nil && o.until == 0 {
 				say(RuleOut, e, "it is out already, for work "+o.call)
 			}
-			out[e.Server] = &outMachine{since: e.T, call: e.Call}
-		case record.BroughtBack:
+			out[e.Server] = &outMachine{since: e.At, call: e.Ref}
+		case record.ServerReturned:
 			if o := out[e.Server]; o != nil {
-				o.until = e.T
+				o.until = e.At
 			}
-		case record.Die:
+		case record.ServerDied:
 			if o := out[e.Server]; o == nil || o.until != 0 {
-				failed[e.Server] = e.T
+				failed[e.Server] = e.At
 			}
-		case record.Start:
+		case record.ServerStarted:
 			delete(failed, e.Server)
-		case record.Setup:
+		case record.SetupReceived:
 			o := out[e.Server]
-			if o == nil || o.until != 0 || e.T < o.since+int64(u.Grace) {
+			if o == nil || o.until != 0 || e.At < o.since+int64(u.Grace) {
 				continue
 			}
 			checked[RuleFree]++
-			if _, cut := deaf[e.Front]; !cut && e.T > healed[e.Front]+int64(10*time.Second) {
+			if _, cut := deaf[e.Front]; !cut && e.At > healed[e.Front]+int64(10*time.Second) {
 				say(RuleFree, e, "a set-up from a front that could have known")
 			}
-		case record.End:
+		case record.StreamEnded:
 			o := out[e.Server]
 			if o == nil || o.until != 0 || e.Text != "killed" {
 				continue
 			}
 			checked[RuleLost]++
-			if _, cut := deaf[e.Front]; !cut && e.T > healed[e.Front]+int64(10*time.Second) {
+			if _, cut := deaf[e.Front]; !cut && e.At > healed[e.Front]+int64(10*time.Second) {
 				say(RuleLost, e, "a stream was cut by the work, though others had room")
 			}
-		case record.Sure:
+		case record.FleetSettled:
 			if len(ended) < len(asked) {
 				say(RuleEnded, e, "works are open still")
 			}
 		}
 	}
 	checked[RuleEnded] += len(asked)
-	slices.SortStableFunc(broken, func(a, b Violation) int { return int(a.Event.T - b.Event.T) })
+	slices.SortStableFunc(broken, func(a, b Violation) int { return int(a.Event.At - b.Event.At) })
 	return broken, checked
 }
 
--- a/internal/audit/worth.go
+++ b/internal/audit/worth.go
@@ -20,7 +20,7 @@
 	viewers := map[string]viewer{}
 	asked, earned := 0.0, 0.0
 	for _, e := range j.events {
-		if e.What == record.Want {
+		if e.Kind == record.ViewerArrived {
 			viewers[e.Viewer] = viewer{e.Value, e.Text != ""}
 			if e.Text == "" {
 				asked += e.Value * e.Length * j.rung(e.Top)
@@ -31,7 +31,7 @@
 	for _, c := range j.calls {
 		if len(c.replies) > 0 && c.replies[0].Text == "plays" {
 			r := c.replies[0]
-			inTime[r.Front+"/"+r.Session] = time.Duration(r.T-c.ask.T) <= j.class(c.ask.Class).Aim
+			inTime[r.Front+"/"+r.Session] = time.Duration(r.At-c.ask.At) <= j.class(c.ask.Class).Aim
 		}
 	}
 	type stream struct {
@@ -62,39 +62,39 @@
 	}
 	servers := map[string]uint32{}
 	for _, e := range j.events {
-		switch e.What {
-		case record.Reply:
+		switch e.Kind {
+		case record.ReplyReceived:
 			if e.Text == "plays" {
-				session[e.Front+"#"+e.Call] = e.Front + "/" + e.Session
+				session[e.Front+"#"+e.Ref] = e.Front + "/" + e.Session
 			}
-		case record.Broken, record.Left: // the player has given it up, whatever its server still sends
-			if key := newest[session[e.Front+"#"+e.Call]]; key != "" {
-				stop(key, servers[key], e.T)
+		case record.PlayerConnLost, record.PlayerLeft: // the player has given it up, whatever its server still sends
+			if key := newest[session[e.Front+"#"+e.Ref]]; key != "" {
+				stop(key, servers[key], e.At)
 			}
-		case record.Play:
+		case record.StreamStarted:
 			if old := newest["viewer "+e.Viewer]; old != "" {
-				stop(old, servers[old], e.T)
+				stop(old, servers[old], e.At)
 			}
-			newest["viewer "+e.Viewer], newest[e.Front+"/"+e.Session], servers[e.Key()] = e.Key(), e.Key(), e.Server
+			newest["viewer "+e.Viewer], newest[e.Front+"/"+e.Session], servers[e.AttemptKey()] = e.AttemptKey(), e.AttemptKey(), e.Server
 			if v, ok := viewers[e.Viewer]; ok && !v.bad && inTime[e.Front+"/"+e.Session] {
-				s := &stream{e.T, e.Rung, v}
-				playing[e.Key()] = s
+				s := &stream{e.At, e.Rung, v}
+				playing[e.AttemptKey()] = s
 				if at[e.Server] == nil {
 					at[e.Server] = map[string]*stream{}
 				}
-				at[e.Server][e.Key()] = s
+				at[e.Server][e.AttemptKey()] = s
 			}
-		case record.Rung:
-			if s := playing[e.Key()]; s != nil {
-				settle(s, e.Server, e.T)
+		case record.RungSet:
+			if s := playing[e.AttemptKey()]; s != nil {
+				settle(s, e.Server, e.At)
 				s.rung = e.Rung
 				earned -= s.v.worth * j.rules.ChangeCost
 			}
-		case record.End:
-			stop(e.Key(), e.Server, e.T)
-		case record.Share:
+		case record.StreamEnded:
+			stop(e.AttemptKey(), e.Server, e.At)
+		case record.RateShare:
 			for _, s := range at[e.Server] {
-				settle(s, e.Server, e.T)
+				settle(s, e.Server, e.At)
 			}
 			share[e.Server] = e.Value
 		}
@@ -114,21 +114,21 @@
 // troubles gathers what happened while each trouble lasted. The record gives its seconds as Length.
 func (j *judge) troubles() {
 	for _, e := range j.events {
-		if e.What != record.Trouble {
+		if e.Kind != record.FaultStarted {
 			continue
 		}
 		t := Trouble{Name: e.Text}
-		from, to := e.T, e.T+int64(e.Length*float64(time.Second))
+		from, to := e.At, e.At+int64(e.Length*float64(time.Second))
 		var took []time.Duration
 		for _, c := range j.calls {
-			if c.ask.T < from || c.ask.T >= to {
+			if c.ask.At < from || c.ask.At >= to {
 				continue
 			}
 			t.Asks++
 			if len(c.replies) == 0 {
 				continue
 			}
-			took = append(took, time.Duration(c.replies[0].T-c.ask.T))
+			took = append(took, time.Duration(c.replies[0].At-c.ask.At))
 			switch c.replies[0].Text {
 			case "plays":
 				t.Plays++
@@ -139,7 +139,7 @@
 			}
 		}
 		for _, v := range j.report.Violations {
-			if v.Event.T >= from && v.Event.T < to {
+			if v.Event.At >= from && v.Event.At < to {
 				t.Broken++
 			}
 		}
--- a/internal/catalogue/bench_test.go
+++ b/internal/catalogue/bench_test.go
@@ -21,10 +21,10 @@
 
 type trie struct{ c *Catalogue }
 
-func (k trie) get(name string) *Title { t, _ := k.c.Now().Get(name); return t }
+func (k trie) get(name string) *Title { t, _ := k.c.Current().Get(name); return t }
 func (k trie) update(list []*Title) {
-	v := k.c.Now()
-	next := &Version{Mark: Mark{Number: v.Number + 1}, tree: v.tree}
+	v := k.c.Current()
+	next := &Version{VersionID: VersionID{Number: v.Number + 1}, tree: v.tree}
 	for _, t := range list {
 		next.tree, _ = next.tree.with(t)
 	}
@@ -171,7 +171,7 @@
 	}
 	b.ResetTimer()
 	for range b.N {
-		if got, err := dir.Load(); err != nil || got.Mark != v.Mark {
+		if got, err := dir.Load(); err != nil || got.VersionID != v.VersionID {
 			b.Fatal(err)
 		}
 	}
--- a/internal/catalogue/catalogue.go
+++ b/internal/catalogue/catalogue.go
@@ -39,11 +39,11 @@
 }
 
 // TitleNumber returns the title's number for the decision module: the same in every version and process.
-func Number(name string) uint64 { return xxhash.Sum64String(name) | 1 }
+func TitleNumber(name string) uint64 { return xxhash.Sum64String(name) | 1 }
 
 // EligibleHolders returns the holders in the form that the decision module takes: the servers that hold every rung from
 // the floor up to some rung. A server that holds only higher rungs can't be lowered to the floor and is left out.
-func (t *Title) Ask(floor int) []policy.Holder {
+func (t *Title) EligibleHolders(floor int) []policy.Holder {
 	out := make([]policy.Holder, 0, len(t.Holders))
 	for _, h := range t.Holders {
 		if top := floor + bits.TrailingZeros32(^(h.Rungs >> floor)) - 1; top >= floor {
@@ -88,11 +88,11 @@
 }
 
 // VersionID identifies a version by its number and the digest of its content.
-type Mark struct{ Number, Digest uint64 }
+type VersionID struct{ Number, Digest uint64 }
 
 // Version is an immutable state of the catalogue.
 type Version struct {
-	Mark
+	VersionID
 	tree tree
 }
 
@@ -107,7 +107,7 @@
 
 // Build returns a version with the given titles. It returns an error if one of them is invalid or occurs twice.
 func Build(number uint64, titles func(yield func(*Title) bool)) (*Version, error) {
-	v := &Version{Mark: Mark{Number: number}, tree: tree{root: &node{}}}
+	v := &Version{VersionID: VersionID{Number: number}, tree: tree{root: &node{}}}
 	var invalid error
 	titles(func(t *Title) bool {
 		if invalid = t.validate(); invalid == nil && v.tree.size >= MaxTitles {
@@ -132,7 +132,7 @@
 
 // Delta is a change from one version to another.
 type Delta struct {
-	From, To Mark
+	From, To VersionID
 	Put      []*Title // new titles and replacements
 	Remove   []string
 }
@@ -151,16 +151,16 @@
 			d.From.Number, d.To.Number, v.Number, err)
 	}
 	switch {
-	case d.To == v.Mark || d.To.Number < v.Number:
+	case d.To == v.VersionID || d.To.Number < v.Number:
 		return fail(ErrAlreadyApplied)
-	case d.From != v.Mark:
+	case d.From != v.VersionID:
 		return fail(ErrBaseMismatch)
 	case d.To.Number <= d.From.Number:
 		return fail(ErrResultMismatch)
 	case len(d.Put)+len(d.Remove) > MaxChanges:
 		return fail(fmt.Errorf("%d changes, the limit is %d", len(d.Put)+len(d.Remove), MaxChanges))
 	}
-	next := &Version{Mark: Mark{d.To.Number, v.Digest}, tree: v.tree}
+	next := &Version{VersionID: VersionID{d.To.Number, v.Digest}, tree: v.tree}
 	var old *Title
 	for _, name := range d.Remove {
 		if next.tree, old = next.tree.without(name); old == nil {
@@ -185,7 +185,7 @@
 
 // Diff returns the delta from one version to a later one, sorted by name.
 func Diff(from, to *Version) *Delta {
-	d := &Delta{From: from.Mark, To: to.Mark}
+	d := &Delta{From: from.VersionID, To: to.VersionID}
 	to.All(func(t *Title) bool {
 		if o, ok := from.Get(t.Name); !ok || o != t && o.digest() != t.digest() {
 			d.Put = append(d.Put, t)
@@ -217,27 +217,27 @@
 // follow are kept until it arrives, at most maxPending of them.
 type Catalogue struct {
 	current atomic.Pointer[Version]
-	mu      sync.Mutex      // serializes updates
-	pending map[Mark]*Delta // by the version that they apply to
+	mu      sync.Mutex           // serializes updates
+	pending map[VersionID]*Delta // by the version that they apply to
 }
 
 const maxPending = 64
 
 // New returns a catalogue that starts with the given version.
 func New(v *Version) *Catalogue {
-	c := &Catalogue{pending: map[Mark]*Delta{}}
+	c := &Catalogue{pending: map[VersionID]*Delta{}}
 	c.current.Store(v)
 	return c
 }
 
 // Current returns the most recent version, which stays valid for as long as it is referenced.
-func (c *Catalogue) Now() *Version { return c.current.Load() }
+func (c *Catalogue) Current() *Version { return c.current.Load() }
 
 // Replace replaces the whole catalogue. It returns an error if the current version is newer.
 func (c *Catalogue) Replace(v *Version) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if old := c.Now(); v.Number < old.Number {
+	if old := c.Current(); v.Number < old.Number {
 		return fmt.Errorf("catalogue version %d is older than the current version %d", v.Number, old.Number)
 	}
 	c.current.Store(v)
@@ -249,15 +249,15 @@
 func (c *Catalogue) ApplyDelta(d *Delta) (behind bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	next, err := c.Now().Apply(d)
+	next, err := c.Current().Apply(d)
 	switch {
 	case errors.Is(err, ErrAlreadyApplied):
 		return false, nil
-	case errors.Is(err, ErrBaseMismatch) && d.From.Number >= c.Now().Number:
+	case errors.Is(err, ErrBaseMismatch) && d.From.Number >= c.Current().Number:
 		if len(c.pending) >= maxPending {
 			clear(c.pending) // the full catalogue is needed anyway
 		}
-		if d.From.Number > c.Now().Number {
+		if d.From.Number > c.Current().Number {
 			c.pending[d.From] = d
 		}
 		return true, nil
@@ -271,17 +271,17 @@
 // applyPending applies the pending deltas that follow the current version and removes those that are too old.
 func (c *Catalogue) applyPending(err error) error {
 	for {
-		v := c.Now()
+		v := c.Current()
 		for from := range c.pending {
 			if from.Number < v.Number {
 				delete(c.pending, from)
 			}
 		}
-		d := c.pending[v.Mark]
+		d := c.pending[v.VersionID]
 		if d == nil {
 			return err
 		}
-		delete(c.pending, v.Mark)
+		delete(c.pending, v.VersionID)
 		next, applyErr := v.Apply(d)
 		if applyErr != nil {
 			return errors.Join(err, applyErr)
--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -171,7 +171,7 @@
 	if x, _ := v1.Get("title-1"); v1.Len() != 2 || len(x.Holders) != 1 {
 		t.Error("the old version has changed")
 	}
-	if next, err := v1.Apply(good); err != nil || next.Mark != v2.Mark {
+	if next, err := v1.Apply(good); err != nil || next.VersionID != v2.VersionID {
 		t.Error(err)
 	}
 	if _, err := Build(1, func(y func(*Title) bool) { _ = y(title(1, 1)) && y(title(1, 2)) }); err == nil {
@@ -207,18 +207,18 @@
 				t.Fatal(err)
 			}
 		}
-		if c.Now().Mark != newest.Mark || behind || len(c.pending) > 0 {
-			t.Fatalf("seed %d: at version %d, %d deltas pending", seed, c.Now().Number, len(c.pending))
+		if c.Current().VersionID != newest.VersionID || behind || len(c.pending) > 0 {
+			t.Fatalf("seed %d: at version %d, %d deltas pending", seed, c.Current().Number, len(c.pending))
 		}
 	}
 	c := New(versions[0])
 	if behind, err := c.ApplyDelta(deltas[5]); !behind || err != nil {
 		t.Error("a gap is not reported", err)
 	}
-	if err := c.Replace(versions[5]); err != nil || c.Now().Number != 7 {
-		t.Error("a delta pending for the full version was not applied", c.Now().Number, err)
+	if err := c.Replace(versions[5]); err != nil || c.Current().Number != 7 {
+		t.Error("a delta pending for the full version was not applied", c.Current().Number, err)
 	}
-	if err := c.Replace(versions[0]); err == nil || c.Now().Number != 7 {
+	if err := c.Replace(versions[0]); err == nil || c.Current().Number != 7 {
 		t.Error("an older version replaced the newer one")
 	}
 }
@@ -226,14 +226,14 @@
 func TestEligibleHoldersHoldAllRungsFromFloor(t *testing.T) {
 	x := &Title{Name: "x", Holders: []Holding{{1, 0b1111}, {2, 0b0011}, {3, 0b1110}, {4, 0b1101}}}
 	for floor, want := range map[int]string{0: "[{1 3} {2 1} {4 0}]", 1: "[{1 3} {2 1} {3 3}]", 3: "[{1 3} {3 3} {4 3}]"} {
-		if got := fmt.Sprint(x.Ask(floor)); got != want {
+		if got := fmt.Sprint(x.EligibleHolders(floor)); got != want {
 			t.Errorf("floor %d: got %s, want %s", floor, got, want)
 		}
 	}
-	if got := (&Title{Name: "y", Holders: []Holding{{1, 1<<32 - 1}}}).Ask(0); got[0] != (policy.Holder{Server: 1, Top: 31}) {
+	if got := (&Title{Name: "y", Holders: []Holding{{1, 1<<32 - 1}}}).EligibleHolders(0); got[0] != (policy.Holder{Server: 1, Top: 31}) {
 		t.Error(got)
 	}
-	if x := (&Title{Name: "z"}).Ask(0); x == nil || len(x) != 0 {
+	if x := (&Title{Name: "z"}).EligibleHolders(0); x == nil || len(x) != 0 {
 		t.Error("a title without holders must give an empty list, not nil")
 	}
 }
@@ -255,7 +255,7 @@
 		go func() {
 			defer wg.Done()
 			for !stop.Load() {
-				v := c.Now()
+				v := c.Current()
 				for i := range 200 {
 					if x, ok := v.Get(fmt.Sprintf("title-%d", i)); !ok || x.Holders[0].Server != uint32(v.Number) {
 						t.Error("a reader saw a mixture of two versions")
@@ -266,7 +266,7 @@
 		}()
 	}
 	for n := uint64(2); n < 60; n++ {
-		if _, err := c.ApplyDelta(Diff(c.Now(), version(n))); err != nil {
+		if _, err := c.ApplyDelta(Diff(c.Current(), version(n))); err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/catalogue/file.go
+++ b/internal/catalogue/file.go
@@ -226,7 +226,7 @@
 	if header[4] > MaxChanges {
 		return nil, r.errorf("%d changes, the limit is %d", header[4], MaxChanges)
 	}
-	d := &Delta{From: Mark{header[0], header[1]}, To: Mark{header[2], header[3]}}
+	d := &Delta{From: VersionID{header[0], header[1]}, To: VersionID{header[2], header[3]}}
 	err = r.readRecords(header[4], func(t *Title) error { d.Put = append(d.Put, t); return t.validate() },
 		func(name string) error { d.Remove = append(d.Remove, name); return nil })
 	if err != nil {
@@ -257,7 +257,7 @@
 
 // Poll applies new files. changed reports whether the catalogue has changed. An error leaves the catalogue unchanged and
 // is returned only once for as long as it stays the same.
-func (d *Dir) Look(c *Catalogue) (changed bool, err error) {
+func (d *Dir) Poll(c *Catalogue) (changed bool, err error) {
 	defer func() {
 		text := ""
 		if err != nil {
@@ -269,7 +269,7 @@
 		d.lastError = text
 	}()
 	for range maxDeltasPerPoll {
-		v := c.Now()
+		v := c.Current()
 		f, err := os.Open(filepath.Join(d.Path, strconv.FormatUint(v.Number, 10)+".delta"))
 		if errors.Is(err, os.ErrNotExist) {
 			return d.loadNewer(c, changed)
@@ -282,7 +282,7 @@
 		if err == nil {
 			_, err = c.ApplyDelta(delta)
 		}
-		if err == nil && c.Now() == v {
+		if err == nil && c.Current() == v {
 			err = fmt.Errorf("%s: delta does not apply to version %d with digest %x", f.Name(), v.Number, v.Digest)
 		}
 		if err != nil { // a newer whole version may supersede the delta
@@ -309,7 +309,7 @@
 	}
 	defer f.Close()
 	header, err := newReader(f.Name(), io.LimitReader(f, maxLineBytes)).readHeader("catalogue", 3)
-	if err != nil || header[0] <= c.Now().Number {
+	if err != nil || header[0] <= c.Current().Number {
 		return changed, err
 	}
 	v, err := d.Load()
--- a/internal/catalogue/file_test.go
+++ b/internal/catalogue/file_test.go
@@ -21,7 +21,7 @@
 func TestReadReturnsWrittenVersionAndDelta(t *testing.T) {
 	v := build(t, 7, title(1, 1, 2), &Title{Name: "a \"b\"\nc ü"}, title(2, 4294967295))
 	got, err := Read("x", strings.NewReader(text(t, v.Write)))
-	if err != nil || got.Mark != v.Mark || got.Len() != 3 {
+	if err != nil || got.VersionID != v.VersionID || got.Len() != 3 {
 		t.Fatal(err)
 	}
 	next := build(t, 8, title(1, 2), title(3, 9))
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if after, err := got.Apply(d); err != nil || after.Mark != next.Mark {
+	if after, err := got.Apply(d); err != nil || after.VersionID != next.VersionID {
 		t.Error(err)
 	}
 }
@@ -78,8 +78,8 @@
 	c := New(v)
 	poll := func(changed, wantError bool, number uint64) {
 		t.Helper()
-		if got, err := dir.Look(c); got != changed || (err != nil) != wantError || c.Now().Number != number {
-			t.Fatalf("changed %v, %v, version %d", got, err, c.Now().Number)
+		if got, err := dir.Poll(c); got != changed || (err != nil) != wantError || c.Current().Number != number {
+			t.Fatalf("changed %v, %v, version %d", got, err, c.Current().Number)
 		}
 	}
 	poll(false, false, 1)
@@ -99,8 +99,8 @@
 	poll(true, false, 4)          // whose error was returned before
 	deliver("full.cat", v2.Write) // an older version
 	poll(false, false, 4)
-	if c.Now().Names()[0] != "title-4" {
-		t.Error(c.Now().Names())
+	if c.Current().Names()[0] != "title-4" {
+		t.Error(c.Current().Names())
 	}
 }
 
@@ -111,7 +111,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if v, err := Read("x", bytes.NewReader(b)); err == nil {
 			again, err := Read("x", strings.NewReader(text(t, v.Write)))
-			if err != nil || again.Mark != v.Mark {
+			if err != nil || again.VersionID != v.VersionID {
 				t.Fatal("writing and reading again gives another version", err)
 			}
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -32,29 +32,29 @@
 
 // Front holds the settings of one front process.
 type Front struct {
-	Name         string
-	Listen       string
-	Consul       string // address of the list service; "": ListFile is used
-	Service      string // name of the service at the list service
-	ListFile     string // file with the server list; "": ConsulAddress is used
-	CatalogueDir string // directory that the catalogue is delivered to; "": the titles of the settings are used
-	StateDir     string // directory for stored state, such as the most recent server list; "": nothing is stored
-	NoRecover    bool   // sessions are not restored after a restart; for comparison
-	LogLevel     string
-	Baseline     string // baseline policy that replaces the decision module; "": none
-	Fronts, Me   int
+	Name               string
+	Listen             string
+	ConsulAddress      string // address of the list service; "": ListFile is used
+	ConsulService      string // name of the service at the list service
+	ListFile           string // file with the server list; "": ConsulAddress is used
+	CatalogueDir       string // directory that the catalogue is delivered to; "": the titles of the settings are used
+	StateDir           string // directory for stored state, such as the most recent server list; "": nothing is stored
+	NoRecover          bool   // sessions are not restored after a restart; for comparison
+	LogLevel           string
+	Baseline           string // baseline policy that replaces the decision module; "": none
+	Fronts, FrontIndex int
 
 	// Settings of the forms timing, limits and hls.
-	AnswerMargin, LastLine, MovedFor, DrainLimit, Idle, Ping, WriteWait time.Duration
-	KeepAlive, Stall, ProbeWait                                         time.Duration
-	Queue, Message, OpenPerConnection, Connections, WriteBuffer         int
-	ResumeFor, HandshakeLine                                            time.Duration
-	Open, OpenPerTenant                                                 int
-	Handshakes                                                          int    // handshakes per second
-	NoGate                                                              bool   // the rate limiter is off; for comparison
-	HLSListen                                                           string // "": HLS is off
-	HLSKeys                                                             []string
-	OriginWait, TokenFor                                                time.Duration
+	AnswerMargin, FailsafeMargin, MoveTokenTTL, DrainTimeout, IdleTimeout, PingInterval, WriteTimeout time.Duration
+	KeepAliveInterval, StallTimeout, ProbeTimeout                                                     time.Duration
+	MaxQueuedEvents, MaxMessageBytes, MaxOpenPerConnection, MaxConnections, MaxWriteBufferBytes       int
+	ResumeWindow, MaxHandshakeDelay                                                                   time.Duration
+	MaxOpen, MaxOpenPerTenant                                                                         int
+	HandshakesPerSecond                                                                               int    // handshakes per second
+	NoRateLimiter                                                                                     bool   // the rate limiter is off; for comparison
+	HLSListen                                                                                         string // "": HLS is off
+	HLSKeys                                                                                           []string
+	OriginTimeout, TokenTTL                                                                           time.Duration
 }
 
 // Title is a title and the cells that hold it: Copies consecutive cells from Home.
@@ -73,9 +73,9 @@
 
 // Locate returns the placement of a title for a class, from the catalogue if there is one, else from Titles. It
 // returns false for an unknown title.
-func (c *Config) Place(name string, class int) (placement Placement, ok bool) {
+func (c *Config) Locate(name string, class int) (placement Placement, ok bool) {
 	if c.Catalogue != nil {
-		title, ok := c.Catalogue.Now().Get(name)
+		title, ok := c.Catalogue.Current().Get(name)
 		if !ok {
 			return placement, false
 		}
@@ -83,7 +83,7 @@
 		if class >= 0 && class < len(c.Service.Classes) {
 			floor = c.Service.Classes[class].Floor
 		}
-		return Placement{Number: catalogue.Number(name), Holders: title.Ask(floor), Name: name}, true
+		return Placement{Number: catalogue.TitleNumber(name), Holders: title.EligibleHolders(floor), Name: name}, true
 	}
 	index, ok := c.titleIndex[name]
 	if !ok {
@@ -100,12 +100,12 @@
 
 // defaults returns the values of settings that a file may omit.
 func defaults() Front {
-	return Front{Listen: "127.0.0.1:0", Service: "media", LogLevel: "info", Fronts: 1, AnswerMargin: 60 * time.Millisecond,
-		LastLine: 30 * time.Millisecond, MovedFor: 30 * time.Second, DrainLimit: 8 * time.Second, Idle: 90 * time.Second,
-		Ping: 30 * time.Second, WriteWait: 2 * time.Second, KeepAlive: 15 * time.Second, Stall: 6 * time.Second,
-		ProbeWait: 250 * time.Millisecond, Queue: 8192, Message: 64 << 10, OpenPerConnection: 64,
-		Connections: 20_000, WriteBuffer: 256 << 10, ResumeFor: 5 * time.Second, HandshakeLine: 2 * time.Second, Open: 20_000,
-		OriginWait: 600 * time.Millisecond, TokenFor: 6 * time.Hour, OpenPerTenant: 10_000, Handshakes: 1000}
+	return Front{Listen: "127.0.0.1:0", ConsulService: "media", LogLevel: "info", Fronts: 1, AnswerMargin: 60 * time.Millisecond,
+		FailsafeMargin: 30 * time.Millisecond, MoveTokenTTL: 30 * time.Second, DrainTimeout: 8 * time.Second, IdleTimeout: 90 * time.Second,
+		PingInterval: 30 * time.Second, WriteTimeout: 2 * time.Second, KeepAliveInterval: 15 * time.Second, StallTimeout: 6 * time.Second,
+		ProbeTimeout: 250 * time.Millisecond, MaxQueuedEvents: 8192, MaxMessageBytes: 64 << 10, MaxOpenPerConnection: 64,
+		MaxConnections: 20_000, MaxWriteBufferBytes: 256 << 10, ResumeWindow: 5 * time.Second, MaxHandshakeDelay: 2 * time.Second, MaxOpen: 20_000,
+		OriginTimeout: 600 * time.Millisecond, TokenTTL: 6 * time.Hour, MaxOpenPerTenant: 10_000, HandshakesPerSecond: 1000}
 }
 
 // Load reads a settings file. The error joins all mistakes found, each with its position.
@@ -156,12 +156,12 @@
 		"recover":   func(n *sexp.Node) { front.NoRecover = r.Choice(n, "yes", "no") == "no" },
 		"log":       func(n *sexp.Node) { front.LogLevel = r.Choice(n, "debug", "info", "warn", "error") },
 		"fleet":     func(n *sexp.Node) { front.Fronts = r.Int(n, 1, 100_000) },
-		"me":        func(n *sexp.Node) { front.Me = r.Int(n, 0, 100_000) },
+		"me":        func(n *sexp.Node) { front.FrontIndex = r.Int(n, 0, 100_000) },
 		"baseline":  func(n *sexp.Node) { front.Baseline = r.Choice(n, "random", "fewest") },
 		"list": func(n *sexp.Node) {
 			r.Fields(n, nil, map[string]func(*sexp.Node){
-				"consul":  func(n *sexp.Node) { front.Consul = r.Text(n); sources++ },
-				"service": func(n *sexp.Node) { front.Service = r.Text(n) },
+				"consul":  func(n *sexp.Node) { front.ConsulAddress = r.Text(n); sources++ },
+				"service": func(n *sexp.Node) { front.ConsulService = r.Text(n) },
 				"file":    func(n *sexp.Node) { front.ListFile = r.Text(n); sources++ },
 			})
 			if sources != 1 {
@@ -171,8 +171,8 @@
 		"hls": func(n *sexp.Node) {
 			r.Fields(n, []string{"listen", "keys"}, map[string]func(*sexp.Node){
 				"listen":      func(n *sexp.Node) { front.HLSListen = r.Address(n) },
-				"origin-wait": func(n *sexp.Node) { front.OriginWait = r.Span(n, 10*time.Millisecond, 10*time.Second) },
-				"token-for":   func(n *sexp.Node) { front.TokenFor = r.Span(n, time.Second, 7*24*time.Hour) },
+				"origin-wait": func(n *sexp.Node) { front.OriginTimeout = r.Duration(n, 10*time.Millisecond, 10*time.Second) },
+				"token-for":   func(n *sexp.Node) { front.TokenTTL = r.Duration(n, time.Second, 7*24*time.Hour) },
 				"keys": func(n *sexp.Node) { // the first key signs, all keys verify
 					for _, k := range n.Args() {
 						if b, err := hex.DecodeString(k.Text); err != nil || len(b) < 16 {
@@ -188,21 +188,21 @@
 		},
 		"timing": func(n *sexp.Node) {
 			duration := func(target *time.Duration, minValue, maxValue time.Duration) func(*sexp.Node) {
-				return func(n *sexp.Node) { *target = r.Span(n, minValue, maxValue) }
+				return func(n *sexp.Node) { *target = r.Duration(n, minValue, maxValue) }
 			}
 			r.Fields(n, nil, map[string]func(*sexp.Node){
 				"answer-margin":  duration(&front.AnswerMargin, time.Millisecond, time.Second),
-				"last-line":      duration(&front.LastLine, time.Millisecond, time.Second),
-				"moved-for":      duration(&front.MovedFor, time.Second, time.Hour),
-				"drain-limit":    duration(&front.DrainLimit, 0, 10*time.Minute),
-				"idle":           duration(&front.Idle, time.Second, 24*time.Hour),
-				"ping":           duration(&front.Ping, 100*time.Millisecond, 24*time.Hour),
-				"write-wait":     duration(&front.WriteWait, 10*time.Millisecond, time.Minute),
-				"keep-alive":     duration(&front.KeepAlive, 100*time.Millisecond, time.Hour),
-				"stall":          duration(&front.Stall, 100*time.Millisecond, time.Minute),
-				"probe-wait":     duration(&front.ProbeWait, 10*time.Millisecond, 10*time.Second),
-				"resume-for":     duration(&front.ResumeFor, 0, 10*time.Minute),
-				"handshake-line": duration(&front.HandshakeLine, 0, time.Minute),
+				"last-line":      duration(&front.FailsafeMargin, time.Millisecond, time.Second),
+				"moved-for":      duration(&front.MoveTokenTTL, time.Second, time.Hour),
+				"drain-limit":    duration(&front.DrainTimeout, 0, 10*time.Minute),
+				"idle":           duration(&front.IdleTimeout, time.Second, 24*time.Hour),
+				"ping":           duration(&front.PingInterval, 100*time.Millisecond, 24*time.Hour),
+				"write-wait":     duration(&front.WriteTimeout, 10*time.Millisecond, time.Minute),
+				"keep-alive":     duration(&front.KeepAliveInterval, 100*time.Millisecond, time.Hour),
+				"stall":          duration(&front.StallTimeout, 100*time.Millisecond, time.Minute),
+				"probe-wait":     duration(&front.ProbeTimeout, 10*time.Millisecond, 10*time.Second),
+				"resume-for":     duration(&front.ResumeWindow, 0, 10*time.Minute),
+				"handshake-line": duration(&front.MaxHandshakeDelay, 0, time.Minute),
 			})
 		},
 		"limits": func(n *sexp.Node) {
@@ -210,20 +210,20 @@
 				return func(n *sexp.Node) { *target = r.Int(n, minValue, maxValue) }
 			}
 			r.Fields(n, nil, map[string]func(*sexp.Node){
-				"queue":               integer(&front.Queue, 16, 1<<20),
-				"message-bytes":       integer(&front.Message, 256, 16<<20),
-				"open-per-connection": integer(&front.OpenPerConnection, 1, 100_000),
-				"connections":         integer(&front.Connections, 1, 1<<20),
-				"write-buffer":        integer(&front.WriteBuffer, 4096, 64<<20),
-				"open":                integer(&front.Open, 1, 1<<20),
-				"open-per-tenant":     integer(&front.OpenPerTenant, 1, 1<<20),
-				"handshakes":          integer(&front.Handshakes, 1, 1<<20),
-				"gate":                func(n *sexp.Node) { front.NoGate = !r.Flag(n) },
+				"queue":               integer(&front.MaxQueuedEvents, 16, 1<<20),
+				"message-bytes":       integer(&front.MaxMessageBytes, 256, 16<<20),
+				"open-per-connection": integer(&front.MaxOpenPerConnection, 1, 100_000),
+				"connections":         integer(&front.MaxConnections, 1, 1<<20),
+				"write-buffer":        integer(&front.MaxWriteBufferBytes, 4096, 64<<20),
+				"open":                integer(&front.MaxOpen, 1, 1<<20),
+				"open-per-tenant":     integer(&front.MaxOpenPerTenant, 1, 1<<20),
+				"handshakes":          integer(&front.HandshakesPerSecond, 1, 1<<20),
+				"gate":                func(n *sexp.Node) { front.NoRateLimiter = !r.Flag(n) },
 			})
 		},
 	})
-	if front.LastLine >= front.AnswerMargin {
-		r.Fail(n, "timing: last-line (%v) must be less than answer-margin (%v)", front.LastLine, front.AnswerMargin)
+	if front.FailsafeMargin >= front.AnswerMargin {
+		r.Fail(n, "timing: last-line (%v) must be less than answer-margin (%v)", front.FailsafeMargin, front.AnswerMargin)
 	}
 }
 
@@ -250,7 +250,7 @@
 // checkConsistency checks conditions between settings after the whole file has been read.
 func (c *Config) checkConsistency(r *Reader, root *sexp.Node) {
 	settings := &c.Service
-	settings.Fronts, settings.FrontIndex = c.Front.Fronts, c.Front.Me
+	settings.Fronts, settings.FrontIndex = c.Front.Fronts, c.Front.FrontIndex
 	if settings.FrontIndex >= settings.Fronts {
 		r.Fail(root, "front: me (%d) must be less than fleet (%d)", settings.FrontIndex, settings.Fronts)
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -17,12 +17,12 @@
 	Cluster, Listen, Advertise, Control string
 	Keys                                [][]byte
 	Join                                []string          // NAME=ADDRESS of other fronts
-	Via                                 map[string]string // addresses by front name that replace the advertised ones
+	AddressOverrides                    map[string]string // addresses by front name that replace the advertised ones
 	Voters                              []string
 	Limits                              upkeep.Limits
-	Times                               upkeep.Timeouts
-	Stale                               time.Duration
-	Skew                                time.Duration         // offset of the fleet's clock; set by tests, not by a settings file
+	Timeouts                            upkeep.Timeouts
+	StaleAfter                          time.Duration
+	ClockSkew                           time.Duration         // offset of the fleet's clock; set by tests, not by a settings file
 	nodes                               map[string]*sexp.Node // forms by name, for positions of errors found after reading
 	voterZones                          []string              // zones of Voters, in the same order
 }
@@ -35,12 +35,12 @@
 func (c *Config) readFleet(r *Reader, n *sexp.Node) {
 	fleet := &c.Fleet
 	fleet.nodes = map[string]*sexp.Node{"fleet": n}
-	fleet.Via = map[string]string{}
+	fleet.AddressOverrides = map[string]string{}
 	fleet.Limits = upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1, Holders: 1, Margin: 0.2, Paid: 20,
 		Patience: upkeep.Time(10 * time.Minute)}
-	fleet.Times = upkeep.Timeouts{AckTimeout: upkeep.Time(10 * time.Second), DrainTimeout: upkeep.Time(10 * time.Minute),
+	fleet.Timeouts = upkeep.Timeouts{AckTimeout: upkeep.Time(10 * time.Second), DrainTimeout: upkeep.Time(10 * time.Minute),
 		ReturnTimeout: upkeep.Time(30 * time.Minute)}
-	fleet.Stale = 15 * time.Second
+	fleet.StaleAfter = 15 * time.Second
 	recordNode := func(name string, read func(*sexp.Node)) func(*sexp.Node) {
 		return func(n *sexp.Node) { fleet.nodes[name] = n; read(n) }
 	}
@@ -72,7 +72,9 @@
 		"join": func(n *sexp.Node) {
 			fleet.readFronts(r, n, func(name, addr string) { fleet.Join = append(fleet.Join, name+"="+addr) })
 		},
-		"via": func(n *sexp.Node) { fleet.readFronts(r, n, func(name, addr string) { fleet.Via[name] = addr }) },
+		"via": func(n *sexp.Node) {
+			fleet.readFronts(r, n, func(name, addr string) { fleet.AddressOverrides[name] = addr })
+		},
 		"voters": recordNode("voters", func(n *sexp.Node) {
 			r.readNamed(n, "voter", &fleet.Voters, func(fields *sexp.Node) {
 				zone := ""
@@ -109,12 +111,12 @@
 }
 
 func (f *Fleet) readUpkeep(r *Reader, n *sexp.Node) {
-	limits, timeouts := &f.Limits, &f.Times
+	limits, timeouts := &f.Limits, &f.Timeouts
 	integer := func(target *int, minValue, maxValue int) func(*sexp.Node) {
 		return func(n *sexp.Node) { *target = r.Int(n, minValue, maxValue) }
 	}
 	duration := func(target *upkeep.Time, minValue, maxValue time.Duration) func(*sexp.Node) {
-		return func(n *sexp.Node) { *target = upkeep.Time(r.Span(n, minValue, maxValue)) }
+		return func(n *sexp.Node) { *target = upkeep.Time(r.Duration(n, minValue, maxValue)) }
 	}
 	r.Fields(n, nil, map[string]func(*sexp.Node){
 		"rack":     integer(&limits.Rack, 0, 100_000),
@@ -124,13 +126,13 @@
 		"fronts":   integer(&limits.Fronts, 0, 100_000),
 		"holders":  integer(&limits.Holders, 0, 1000),
 		"paid":     integer(&limits.Paid, 0, 1e6),
-		"margin":   func(n *sexp.Node) { limits.Margin = r.Num(n, 0, 10) },
+		"margin":   func(n *sexp.Node) { limits.Margin = r.Float(n, 0, 10) },
 		"patience": duration(&limits.Patience, 0, 30*24*time.Hour),
 		"hear":     duration(&timeouts.AckTimeout, time.Second, 10*time.Minute),
 		"drain":    duration(&timeouts.DrainTimeout, 0, 24*time.Hour),
 		"late":     duration(&timeouts.ReturnTimeout, time.Second, 30*24*time.Hour),
 		"back":     duration(&timeouts.WarmUpTime, 0, time.Hour),
-		"stale":    func(n *sexp.Node) { f.Stale = r.Span(n, 6*time.Second, 10*time.Minute) },
+		"stale":    func(n *sexp.Node) { f.StaleAfter = r.Duration(n, 6*time.Second, 10*time.Minute) },
 	})
 }
 
@@ -180,10 +182,10 @@
 	case limits.Rack > limits.Zone || limits.Zone > limits.Whole:
 		r.Fail(node, "upkeep: rack %d, zone %d, whole %d: none may exceed the next", limits.Rack, limits.Zone, limits.Whole)
 	}
-	if warmup := c.Service.WarmupTime; f.Times.WarmUpTime == 0 {
-		f.Times.WarmUpTime = max(warmup, upkeep.Time(time.Second))
-	} else if f.Times.WarmUpTime < warmup {
+	if warmup := c.Service.WarmupTime; f.Timeouts.WarmUpTime == 0 {
+		f.Timeouts.WarmUpTime = max(warmup, upkeep.Time(time.Second))
+	} else if f.Timeouts.WarmUpTime < warmup {
 		r.Fail(node, "upkeep: back %v is less than the warm-up time of a cold server, %v",
-			time.Duration(f.Times.WarmUpTime), time.Duration(warmup))
+			time.Duration(f.Timeouts.WarmUpTime), time.Duration(warmup))
 	}
 }
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -122,7 +122,7 @@
 }
 
 // Float reads a number from minValue to maxValue.
-func (r *Reader) Num(n *sexp.Node, minValue, maxValue float64) float64 {
+func (r *Reader) Float(n *sexp.Node, minValue, maxValue float64) float64 {
 	text, ok := r.argument(n)
 	if !ok {
 		return minValue
@@ -140,7 +140,7 @@
 }
 
 // Duration reads a duration such as 250ms, 1.5s or 2m, from minValue to maxValue.
-func (r *Reader) Span(n *sexp.Node, minValue, maxValue time.Duration) time.Duration {
+func (r *Reader) Duration(n *sexp.Node, minValue, maxValue time.Duration) time.Duration {
 	text, ok := r.argument(n)
 	if !ok {
 		return minValue
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -13,10 +13,10 @@
 	settings.Racks, settings.Cells, settings.ExtraViewerCost, settings.MaxAttempts,
 		settings.StallCost, settings.RetryAfter = 1, 1, 1, 3, 5, true
 	number := func(target *float64, minValue, maxValue float64) func(*sexp.Node) {
-		return func(n *sexp.Node) { *target = r.Num(n, minValue, maxValue) }
+		return func(n *sexp.Node) { *target = r.Float(n, minValue, maxValue) }
 	}
 	duration := func(target *policy.Time, maxValue time.Duration) func(*sexp.Node) {
-		return func(n *sexp.Node) { *target = policy.Time(r.Span(n, 0, maxValue)) }
+		return func(n *sexp.Node) { *target = policy.Time(r.Duration(n, 0, maxValue)) }
 	}
 	boolean := func(target *bool) func(*sexp.Node) { return func(n *sexp.Node) { *target = r.Flag(n) } }
 	r.Fields(n, []string{"ladder", "classes", "cells", "weight-kb", "rack-kb"}, map[string]func(*sexp.Node){
@@ -126,11 +126,11 @@
 	r.readNamed(n, "class", &c.Classes, func(fields *sexp.Node) {
 		class := policy.Class{Worth: 1, Scale: 1, Top: -1}
 		r.Fields(fields, []string{"aim", "deadline"}, map[string]func(*sexp.Node){
-			"aim":      func(n *sexp.Node) { class.SetupTarget = policy.Time(r.Span(n, time.Millisecond, time.Minute)) },
-			"deadline": func(n *sexp.Node) { class.Deadline = policy.Time(r.Span(n, time.Millisecond, 10*time.Minute)) },
+			"aim":      func(n *sexp.Node) { class.SetupTarget = policy.Time(r.Duration(n, time.Millisecond, time.Minute)) },
+			"deadline": func(n *sexp.Node) { class.Deadline = policy.Time(r.Duration(n, time.Millisecond, 10*time.Minute)) },
 			"effect":   func(n *sexp.Node) { class.Paid = r.Choice(n, "safe", "paid") == "paid" },
-			"worth":    func(n *sexp.Node) { class.Worth = r.Num(n, 0, 1e6) },
-			"scale":    func(n *sexp.Node) { class.Scale = r.Num(n, 0.001, 1000) },
+			"worth":    func(n *sexp.Node) { class.Worth = r.Float(n, 0, 1e6) },
+			"scale":    func(n *sexp.Node) { class.Scale = r.Float(n, 0.001, 1000) },
 			"floor":    func(n *sexp.Node) { class.Floor = r.Int(n, 0, 63) },
 			"top":      func(n *sexp.Node) { class.Top = r.Int(n, 0, 63) },
 			"seats":    func(n *sexp.Node) { class.Seats = r.Int(n, 0, 1e9) },
@@ -147,7 +147,7 @@
 	r.readNamed(n, "tenant", &c.Tenants, func(fields *sexp.Node) {
 		var tenant policy.Tenant
 		r.Fields(fields, nil, map[string]func(*sexp.Node){
-			"per-second": func(n *sexp.Node) { tenant.PerSecond = r.Num(n, 0, 1e9) },
+			"per-second": func(n *sexp.Node) { tenant.PerSecond = r.Float(n, 0, 1e9) },
 		})
 		c.Service.Tenants = append(c.Service.Tenants, tenant)
 	})
@@ -157,7 +157,7 @@
 	r.readNamed(n, "kind", &c.Kinds, func(fields *sexp.Node) {
 		slots := 1.0
 		r.Fields(fields, []string{"slots"}, map[string]func(*sexp.Node){
-			"slots": func(n *sexp.Node) { slots = r.Num(n, 1, 1e9) },
+			"slots": func(n *sexp.Node) { slots = r.Float(n, 1, 1e9) },
 		})
 		c.Service.KindSlots = append(c.Service.KindSlots, slots)
 	})
--- a/internal/day/fronts_test.go
+++ b/internal/day/fronts_test.go
@@ -93,9 +93,9 @@
 	w := open(t, "1")
 	wait := w.load(t, 100, 3500*time.Millisecond, 40)
 	time.Sleep(700 * time.Millisecond)
-	w.fronts[0].signal(syscall.SIGSTOP, record.Stopped)
+	w.fronts[0].signal(syscall.SIGSTOP, record.FrontPaused)
 	time.Sleep(2 * time.Second)
-	w.fronts[0].signal(syscall.SIGCONT, record.Resumed)
+	w.fronts[0].signal(syscall.SIGCONT, record.FrontResumed)
 	r := wait()
 	if r.Kinds["broken"] > 0 || r.Kinds["plays"] < 200 {
 		t.Errorf("%v", r.Kinds)
--- a/internal/day/hands.go
+++ b/internal/day/hands.go
@@ -18,10 +18,10 @@
 func (w *world) Start(n int) error { return w.fronts[n].start() }
 
 // Stop has a front stand still, and Continue go on.
-func (w *world) Stop(n int) { w.fronts[n].signal(syscall.SIGSTOP, record.Stopped) }
+func (w *world) Stop(n int) { w.fronts[n].signal(syscall.SIGSTOP, record.FrontPaused) }
 
 // Continue see Stop.
-func (w *world) Continue(n int) { w.fronts[n].signal(syscall.SIGCONT, record.Resumed) }
+func (w *world) Continue(n int) { w.fronts[n].signal(syscall.SIGCONT, record.FrontResumed) }
 
 // Control is where a front takes commands for its fleet.
 func (w *world) Control(n int) string {
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -81,7 +81,7 @@
 		p.w.mu.Lock()
 		p.addr = addr
 		p.w.mu.Unlock()
-		p.w.rec.Add(record.Event{Who: "day", What: record.FrontUp, Front: p.name})
+		p.w.rec.Add(record.Event{Source: "day", Kind: record.FrontStarted, Front: p.name})
 		return nil
 	case <-p.exited:
 		said, _ := os.ReadFile(log.Name())
@@ -92,7 +92,7 @@
 }
 
 func (p *process) kill() {
-	p.w.rec.Add(record.Event{Who: "day", What: record.Killed, Front: p.name})
+	p.w.rec.Add(record.Event{Source: "day", Kind: record.FrontKilled, Front: p.name})
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	p.cmd.Process.Kill()
 	<-p.exited
@@ -100,12 +100,12 @@
 
 func (p *process) signal(s os.Signal, what string) {
 	if s == syscall.SIGSTOP { // written down before it acts, and its end after
-		p.w.rec.Add(record.Event{Who: "day", What: what, Front: p.name})
+		p.w.rec.Add(record.Event{Source: "day", Kind: what, Front: p.name})
 		p.cmd.Process.Signal(s)
 		return
 	}
 	p.cmd.Process.Signal(s)
-	p.w.rec.Add(record.Event{Who: "day", What: what, Front: p.name})
+	p.w.rec.Add(record.Event{Source: "day", Kind: what, Front: p.name})
 }
 
 // Leave has all fronts leave service.
@@ -114,7 +114,7 @@
 // leave tells all fronts to leave service and waits for them, in bounded time.
 func (w *world) leave() {
 	for _, p := range w.fronts {
-		w.rec.Add(record.Event{Who: "day", What: record.Leaving, Front: p.name})
+		w.rec.Add(record.Event{Source: "day", Kind: record.FrontDraining, Front: p.name})
 		p.cmd.Process.Signal(syscall.SIGTERM)
 	}
 	for _, p := range w.fronts {
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -195,7 +195,7 @@
 	if err := sleep(ctx, w.s.Keep+500*time.Millisecond); err != nil {
 		return nil, err
 	}
-	w.rec.Add(record.Event{Who: "day", What: record.Finished})
+	w.rec.Add(record.Event{Source: "day", Kind: record.DayFinished})
 	w.Close()
 	events, err := record.ReadDir(w.o.Dir)
 	if err != nil {
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -159,13 +159,13 @@
 
 func (s *Script) day(r *config.Reader, n *sexp.Node) {
 	num := func(to *float64, least, most float64) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = r.Num(n, least, most) }
+		return func(n *sexp.Node) { *to = r.Float(n, least, most) }
 	}
 	whole := func(to *int, least, most int) func(*sexp.Node) {
 		return func(n *sexp.Node) { *to = r.Int(n, least, most) }
 	}
 	span := func(to *time.Duration, most time.Duration) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = r.Span(n, 0, most) }
+		return func(n *sexp.Node) { *to = r.Duration(n, 0, most) }
 	}
 	plain := &sexp.Node{Pos: n.Pos, IsList: true, List: n.List[:1:1]}
 	for _, f := range n.Args() {
@@ -192,7 +192,7 @@
 				return
 			}
 			one := func(i int) time.Duration {
-				return r.Span(&sexp.Node{Pos: n.Pos, IsList: true, List: []*sexp.Node{n.List[0], n.List[i]}}, 0, time.Hour)
+				return r.Duration(&sexp.Node{Pos: n.Pos, IsList: true, List: []*sexp.Node{n.List[0], n.List[i]}}, 0, time.Hour)
 			}
 			s.Shortest, s.Longest = one(1), one(2)
 		},
@@ -235,7 +235,7 @@
 	}
 	f := n.List[2]
 	t := Trouble{Kind: f.Head(), Servers: 1, Part: 0.5, Times: 2, For: 5 * time.Second, Lag: 2 * time.Second, Notice: time.Second, Network: "tcp6"}
-	t.At = r.Span(&sexp.Node{Pos: n.Pos, IsList: true, List: n.List[:2]}, 0, time.Hour)
+	t.At = r.Duration(&sexp.Node{Pos: n.Pos, IsList: true, List: n.List[:2]}, 0, time.Hour)
 	if Kinds[t.Kind] == "" {
 		r.Fail(f, "no trouble %q", t.Kind)
 		return
@@ -244,12 +244,12 @@
 		"servers": func(n *sexp.Node) { t.Servers = r.Int(n, 1, 200) },
 		"front":   func(n *sexp.Node) { t.Front = r.Int(n, 0, 15) },
 		"rack":    func(n *sexp.Node) { t.Rack = r.Int(n, 0, 100) },
-		"for":     func(n *sexp.Node) { t.For = r.Span(n, 0, time.Hour) },
-		"lag":     func(n *sexp.Node) { t.Lag = r.Span(n, 0, time.Minute) },
-		"notice":  func(n *sexp.Node) { t.Notice = r.Span(n, 0, time.Minute) },
+		"for":     func(n *sexp.Node) { t.For = r.Duration(n, 0, time.Hour) },
+		"lag":     func(n *sexp.Node) { t.Lag = r.Duration(n, 0, time.Minute) },
+		"notice":  func(n *sexp.Node) { t.Notice = r.Duration(n, 0, time.Minute) },
 		"network": func(n *sexp.Node) { t.Network = r.Choice(n, "tcp", "tcp6", "unix") },
-		"part":    func(n *sexp.Node) { t.Part = r.Num(n, 0, 1) },
-		"times":   func(n *sexp.Node) { t.Times = r.Num(n, 1, 100) },
+		"part":    func(n *sexp.Node) { t.Part = r.Float(n, 0, 1) },
+		"times":   func(n *sexp.Node) { t.Times = r.Float(n, 1, 100) },
 	})
 	s.Troubles = append(s.Troubles, t)
 }
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -13,7 +13,7 @@
 
 // trouble plays one trouble from its begin to its end. It mends what it did also if the day is cut short.
 func (w *world) trouble(ctx context.Context, t Trouble) {
-	w.rec.Add(record.Event{Who: "day", What: record.Trouble, Text: fmt.Sprintf("%v %s", t.At, t.Kind), Length: t.For.Seconds()})
+	w.rec.Add(record.Event{Source: "day", Kind: record.FaultStarted, Text: fmt.Sprintf("%v %s", t.At, t.Kind), Length: t.For.Seconds()})
 	wait := func(d time.Duration) { sleep(ctx, d) }
 	fault := func(set func(f *mediasim.Faults)) {
 		for _, m := range w.take(t.Servers) {
@@ -83,9 +83,9 @@
 		}
 	case "stop-front":
 		p := w.fronts[t.Front]
-		p.signal(syscall.SIGSTOP, record.Stopped)
+		p.signal(syscall.SIGSTOP, record.FrontPaused)
 		wait(t.For)
-		p.signal(syscall.SIGCONT, record.Resumed)
+		p.signal(syscall.SIGCONT, record.FrontResumed)
 	default: // burst and hot-title are in the arrivals
 		wait(t.For)
 	}
--- a/internal/explore/attempts/servers.go
+++ b/internal/explore/attempts/servers.go
@@ -101,7 +101,7 @@
 			s.streams[w.streams] = x
 			l.pipes = append(l.pipes, piped{m.Get("Pipelined-Requests"), w.streams})
 			l.plays++
-			reply.Set("Session", strconv.FormatUint(w.streams, 10))
+			reply.AddHeader("Session", strconv.FormatUint(w.streams, 10))
 		}
 		if status == rtsp.StatusNotEnoughBandwidth {
 			w.watch.Attempts[r.n].Never = true // the one answer that proves it
@@ -118,7 +118,7 @@
 			reply.Status = rtsp.StatusSessionNotFound
 		}
 		if m.Method == rtsp.GetParameter && m.Session() == "" {
-			reply.Set("Content-Type", "text/parameters")
+			reply.AddHeader("Content-Type", "text/parameters")
 			reply.Body = []byte("link: " + strconv.FormatFloat(load, 'g', -1, 64) + "\r\n")
 		}
 	}
@@ -147,7 +147,7 @@
 	for i := len(l.pipes) - 1; i >= 0; i-- {
 		if _, ok := s.streams[l.pipes[i].stream]; ok {
 			m := &rtsp.Message{Method: rtsp.SetParameter, URI: "rtsp://f/", CSeq: 1, Body: []byte("share: 0.5\r\n")}
-			m.Set("Session", strconv.FormatUint(l.pipes[i].stream, 10))
+			m.AddHeader("Session", strconv.FormatUint(l.pipes[i].stream, 10))
 			w.desk.Received(w.now, l.server, l.id, m)
 			w.settle()
 			return
--- a/internal/explore/attempts/starts.go
+++ b/internal/explore/attempts/starts.go
@@ -117,7 +117,7 @@
 	if len(events) == 0 {
 		return cfg, nil, fmt.Errorf("an empty record")
 	}
-	until := events[0].T + int64(at)
+	until := events[0].At + int64(at)
 	type session struct {
 		key   string
 		class int
@@ -127,7 +127,7 @@
 	fronts := map[string]map[string]*session{}
 	draining := map[uint32]bool{}
 	for _, e := range events {
-		if e.T > until {
+		if e.At > until {
 			break
 		}
 		list := fronts[e.Front]
@@ -135,22 +135,22 @@
 			list = map[string]*session{}
 			fronts[e.Front] = list
 		}
-		switch e.What {
-		case record.Setup:
-			list[e.Session] = &session{e.Key(), e.Class, 0, e.T}
-		case record.Answer:
+		switch e.Kind {
+		case record.SetupReceived:
+			list[e.Session] = &session{e.AttemptKey(), e.Class, 0, e.At}
+		case record.SetupAnswered:
 			if s := list[e.Session]; s != nil && e.Status == 200 {
 				s.stage = 1
 			} else if s != nil {
 				delete(list, e.Session)
 			}
-		case record.Play:
+		case record.StreamStarted:
 			if s := list[e.Session]; s != nil {
 				s.stage = 2
 			}
-		case record.Teardown, record.End:
+		case record.TeardownReceived, record.StreamEnded:
 			delete(list, e.Session)
-		case record.Told:
+		case record.ServerListed:
 			draining[e.Server] = e.Health == "draining"
 		}
 	}
--- a/internal/explore/attempts/starts_test.go
+++ b/internal/explore/attempts/starts_test.go
@@ -34,13 +34,13 @@
 func TestARecordedDayBecomesAStart(t *testing.T) {
 	sec := func(s float64) int64 { return 1e18 + int64(s*1e9) }
 	events := []record.Event{
-		{T: sec(0), What: record.Told, Server: 2, Health: "draining"},
-		{T: sec(0.1), What: record.Setup, Front: "f1", Session: "1", Class: 0},
-		{T: sec(0.2), What: record.Answer, Front: "f1", Session: "1", Status: 200},
-		{T: sec(0.3), What: record.Play, Front: "f1", Session: "1"},
-		{T: sec(0.4), What: record.Setup, Front: "f1", Session: "2", Class: 2},
-		{T: sec(0.5), What: record.Setup, Front: "f2", Session: "9", Class: 1},
-		{T: sec(2.0), What: record.Teardown, Front: "f1", Session: "1"},
+		{At: sec(0), Kind: record.ServerListed, Server: 2, Health: "draining"},
+		{At: sec(0.1), Kind: record.SetupReceived, Front: "f1", Session: "1", Class: 0},
+		{At: sec(0.2), Kind: record.SetupAnswered, Front: "f1", Session: "1", Status: 200},
+		{At: sec(0.3), Kind: record.StreamStarted, Front: "f1", Session: "1"},
+		{At: sec(0.4), Kind: record.SetupReceived, Front: "f1", Session: "2", Class: 2},
+		{At: sec(0.5), Kind: record.SetupReceived, Front: "f2", Session: "9", Class: 1},
+		{At: sec(2.0), Kind: record.TeardownReceived, Front: "f1", Session: "1"},
 	}
 	cfg, labels, err := FromRecord(events, time.Second, Config{Servers: 2, Drains: 1, Losses: 1, Waits: 1})
 	if err != nil {
--- a/internal/fleet/core/core.go
+++ b/internal/fleet/core/core.go
@@ -32,22 +32,22 @@
 
 // Config holds the settings of a Core.
 type Config struct {
-	Me      string
-	Zone    int
-	Cluster string   // the fleet's name
-	Voters  []string // names of the fronts that vote, the same on every front
-	Limits  upkeep.Limits
-	Times   upkeep.Timeouts
+	Name     string
+	Zone     int
+	Cluster  string   // the fleet's name
+	Voters   []string // names of the fronts that vote, the same on every front
+	Limits   upkeep.Limits
+	Timeouts upkeep.Timeouts
 	// StaleTimeout is the age from which a front's report of its sessions is replaced by its recent maxima.
-	Stale  Time
-	RackKB float64
-	Draw   func() uint64 // returns a random number
-	Log    raft.Logger
+	StaleAfter Time
+	RackKB     float64
+	Random     func() uint64 // returns a random number
+	Log        raft.Logger
 }
 
 // Intervals and limits of the protocol between fronts.
 const (
-	TickEvery            = 100 * millisecond // interval at which Tick is to be called
+	TickInterval         = 100 * millisecond // interval at which Tick is to be called
 	planInterval         = 500 * millisecond
 	reportInterval       = 5 * second        // a front reports its sessions by server to the leader
 	urgentReportInterval = 500 * millisecond // minimum between reports after a change that work may wait for
@@ -79,12 +79,12 @@
 type Server struct {
 	ID         uint32
 	Rack, Zone int
-	KB         float64
+	LinkKB     float64
 	Ready      bool
 }
 
 // ServerLoad is the load of one front's sessions on one server.
-type Standing struct {
+type ServerLoad struct {
 	Sessions int
 	KB       float64
 	Paid     int
@@ -107,7 +107,7 @@
 
 	servers    []Server
 	groups     [][]uint32
-	ownLoad    map[uint32]Standing
+	ownLoad    map[uint32]ServerLoad
 	startedAt  int64
 	seq        uint64
 	reportedAt Time
@@ -134,54 +134,54 @@
 type (
 	// Write stores data on disk, synced before the effects after it are carried out. Nil and zero parts stay unchanged.
 	Write struct {
-		Wipe     bool // first deletes everything but the incarnations
-		Identity *quorum.Identity
-		Lives    quorum.Lives
-		Hard     *pb.HardState
-		Snap     *pb.Snapshot
-		Entries  []*pb.Entry
-		First    uint64 // entries before it are deleted; 0: none
-		State    []byte // a follower's state, for its next start
+		Wipe         bool // first deletes everything but the incarnations
+		Identity     *quorum.Identity
+		Incarnations quorum.Incarnations
+		Hard         *pb.HardState
+		Snap         *pb.Snapshot
+		Entries      []*pb.Entry
+		FirstIndex   uint64 // entries before it are deleted; 0: none
+		State        []byte // a follower's state, for its next start
 	}
 	// Send sends a message to a member, best effort: it may be reordered or lost. Large messages use a stream.
 	Send struct {
-		To string
-		B  []byte
+		To   string
+		Data []byte
 	}
 	// AnnounceMeta announces a new Meta to all other members.
-	Tell struct{ Meta Meta }
+	AnnounceMeta struct{ Meta Meta }
 	// Reservations lists the servers and fronts that take no new sessions, by the work that reserves each, and the
 	// servers that count as just started, with the time they came back.
-	Keeps struct {
-		Servers  map[uint32]uint64
-		Until    map[uint32]Time // sessions there are to have moved or ended by then
-		Fronts   map[string]uint64
-		Returned map[uint32]Time
+	Reservations struct {
+		Servers   map[uint32]uint64
+		Deadlines map[uint32]Time // sessions there are to have moved or ended by then
+		Fronts    map[string]uint64
+		Returned  map[uint32]Time
 	}
 	// Reply carries the result of a command.
 	Reply struct {
 		Handle uint64
-		Answer ledger.Answer
+		Result ledger.CommandResult
 	}
 	// PhaseChanged reports a committed change of phase, for the log.
-	Changed struct{ Change ledger.Change }
+	PhaseChanged struct{ Change ledger.Change }
 	// LogMessage is a message for the log.
-	Note struct{ Text string }
+	LogMessage struct{ Text string }
 )
 
 // StoredState is the data that the shell read from disk.
-type Start struct {
-	Identity quorum.Identity
-	Lives    quorum.Lives
-	Disk     *quorum.Disk
-	State    []byte // a follower's state
+type StoredState struct {
+	Identity     quorum.Identity
+	Incarnations quorum.Incarnations
+	Disk         *quorum.Disk
+	State        []byte // a follower's state
 }
 
 // New returns the Core of a front.
-func New(now Time, cfg Config, start Start) (*Core, error) {
-	c := &Core{cfg: cfg, now: now, state: ledger.New(), members: map[string]Member{}, leftAt: map[string]Time{}, ownLoad: map[uint32]Standing{},
+func New(now Time, cfg Config, start StoredState) (*Core, error) {
+	c := &Core{cfg: cfg, now: now, state: ledger.New(), members: map[string]Member{}, leftAt: map[string]Time{}, ownLoad: map[uint32]ServerLoad{},
 		commands: map[string]*command{}, leader: leaderState{reports: map[string]*report{}, failedAt: map[uint32]Time{}}}
-	if slices.Contains(cfg.Voters, cfg.Me) {
+	if slices.Contains(cfg.Voters, cfg.Name) {
 		if err := c.startVoter(start); err != nil {
 			return nil, err
 		}
@@ -194,7 +194,7 @@
 }
 
 // TakeEffects returns the effects since the last call.
-func (c *Core) Take() []Effect {
+func (c *Core) TakeEffects() []Effect {
 	out := c.effects
 	c.effects = nil
 	return out
@@ -202,7 +202,7 @@
 
 func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
-func (c *Core) log(text string) { c.emit(Note{text}) }
+func (c *Core) log(text string) { c.emit(LogMessage{text}) }
 
 // State returns this front's copy of the replicated state. The caller must not change it.
 func (c *Core) State() *ledger.State { return c.state }
@@ -211,7 +211,7 @@
 func (c *Core) Fresh() bool { return c.lastContactAt > 0 && c.now-c.lastContactAt < freshWindow }
 
 // Leader returns the name of the leader, empty if unknown.
-func (c *Core) Lead() string { return c.leaderName }
+func (c *Core) Leader() string { return c.leaderName }
 
 // Tick advances the time; it is to be called every TickInterval.
 func (c *Core) Tick(now Time) {
@@ -230,7 +230,7 @@
 }
 
 // SetMembers replaces the member list.
-func (c *Core) Members(now Time, list []Member) {
+func (c *Core) SetMembers(now Time, list []Member) {
 	c.now = max(c.now, now)
 	previous := c.members
 	c.members = make(map[string]Member, len(list))
@@ -260,7 +260,7 @@
 func (c *Core) AliveFronts() int {
 	n := 1
 	for _, m := range c.members {
-		if m.Alive && m.Name != c.cfg.Me {
+		if m.Alive && m.Name != c.cfg.Name {
 			n++
 		}
 	}
@@ -268,14 +268,14 @@
 }
 
 // SetServers replaces this front's server list, sorted by ID, and the sets of servers that hold titles together.
-func (c *Core) Servers(now Time, list []Server, groups [][]uint32) {
+func (c *Core) SetServers(now Time, list []Server, groups [][]uint32) {
 	c.now = max(c.now, now)
 	c.servers, c.groups = list, groups
 	c.updateFailedServers()
 }
 
 // SetOwnLoad replaces the load of this front's sessions, by server.
-func (c *Core) Mine(now Time, load map[uint32]Standing) {
+func (c *Core) SetOwnLoad(now Time, load map[uint32]ServerLoad) {
 	c.now = max(c.now, now)
 	reserved, _ := c.state.Reserved()
 	for id := range reserved {
@@ -305,7 +305,7 @@
 const MaxMessageBytes = 8 << 20
 
 func (c *Core) send(to string, kind byte, b []byte) {
-	if to == c.cfg.Me || to == "" {
+	if to == c.cfg.Name || to == "" {
 		return
 	}
 	c.Stats.Sent++
--- a/internal/fleet/core/core_test.go
+++ b/internal/fleet/core/core_test.go
@@ -22,13 +22,13 @@
 func newTestCore(t testing.TB, me string) *Core {
 	t.Helper()
 	n := uint64(0)
-	c, err := New(1, Config{Me: me, Cluster: "t", Voters: []string{"a", "b", "c"}, Draw: func() uint64 { n++; return n }, Log: silentLogger{}}, Start{})
+	c, err := New(1, Config{Name: me, Cluster: "t", Voters: []string{"a", "b", "c"}, Random: func() uint64 { n++; return n }, Log: silentLogger{}}, StoredState{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Members(2, []Member{{Name: "b", Alive: true}, {Name: "c", Alive: true}, {Name: "x", Alive: true}})
+	c.SetMembers(2, []Member{{Name: "b", Alive: true}, {Name: "c", Alive: true}, {Name: "x", Alive: true}})
 	c.Tick(3)
-	c.Take()
+	c.TakeEffects()
 	return c
 }
 
@@ -41,9 +41,9 @@
 	f.Fuzz(func(t *testing.T, from string, b []byte) {
 		for _, me := range []string{"a", "x"} {
 			c := newTestCore(t, me)
-			c.Message(4, from, b)
+			c.Receive(4, from, b)
 			c.Tick(int64(second))
-			c.Take()
+			c.TakeEffects()
 			if len(c.State().Works) > 0 && (me == "a" || from != "b") {
 				t.Fatal("a single message created work")
 			}
@@ -56,7 +56,7 @@
 	c := newTestCore(t, "a")
 	for _, kind := range []ledger.Kind{ledger.KindGrant, ledger.KindAdvance, ledger.KindRefuse} {
 		b, _ := ledger.Entry{Kind: kind, ID: 3, Key: "k"}.Encode()
-		c.Message(5, "x", append([]byte{msgCommand}, b...))
+		c.Receive(5, "x", append([]byte{msgCommand}, b...))
 	}
 	if c.Stats.Strangers != 3 {
 		t.Fatalf("%+v", c.Stats)
@@ -65,7 +65,7 @@
 
 func TestResolveRejectsUnknownNames(t *testing.T) {
 	c := newTestCore(t, "a")
-	c.Servers(4, []Server{{ID: 1, Rack: 0}, {ID: 2, Rack: 1, Zone: 1}, {ID: 3, Rack: 1, Zone: 1}}, nil)
+	c.SetServers(4, []Server{{ID: 1, Rack: 0}, {ID: 2, Rack: 1, Zone: 1}, {ID: 3, Rack: 1, Zone: 1}}, nil)
 	a, err := c.Resolve([]string{"3", "rack:1", "front:x", "server:1"})
 	if err != nil || len(a.Servers) != 3 || a.Servers[0] != (ledger.Place{Server: 1}) || len(a.Fronts) != 1 {
 		t.Fatalf("%+v %v", a, err)
@@ -83,8 +83,8 @@
 // Messages that are empty or longer than MaxMessageBytes are counted and not parsed.
 func TestRejectsOversizedAndEmptyMessages(t *testing.T) {
 	c := newTestCore(t, "a")
-	c.Message(5, "x", make([]byte, MaxMessageBytes+1))
-	c.Message(5, "x", nil)
+	c.Receive(5, "x", make([]byte, MaxMessageBytes+1))
+	c.Receive(5, "x", nil)
 	if c.Stats.Unreadable != 2 || c.Stats.LastBad == "" {
 		t.Fatalf("%+v", c.Stats)
 	}
--- a/internal/fleet/core/follow.go
+++ b/internal/fleet/core/follow.go
@@ -30,7 +30,7 @@
 func (c *Core) apply(index uint64, data []byte) {
 	changes := c.state.Apply(index, data)
 	for _, x := range changes {
-		c.emit(Changed{x})
+		c.emit(PhaseChanged{x})
 	}
 	c.replyToCommands()
 	if len(changes) == 0 {
@@ -49,10 +49,10 @@
 	servers, fronts := c.state.Reserved()
 	for _, w := range c.state.Works {
 		if w.Phase.Reserved() && c.expired(w) {
-			for _, p := range w.Ask.Servers {
+			for _, p := range w.Request.Servers {
 				delete(servers, p.Server)
 			}
-			for _, f := range w.Ask.Fronts {
+			for _, f := range w.Request.Fronts {
 				delete(fronts, f)
 			}
 		}
@@ -61,27 +61,27 @@
 	for id, work := range servers {
 		switch w := c.state.Work(work); w.Phase {
 		case ledger.Granted: // draining starts by w.Deadline at the latest
-			deadlines[id] = w.Until + c.cfg.Times.DrainTimeout
+			deadlines[id] = w.Deadline + c.cfg.Timeouts.DrainTimeout
 		case ledger.Draining:
-			deadlines[id] = w.Until
+			deadlines[id] = w.Deadline
 		default:
 			deadlines[id] = w.Since
 		}
 	}
-	c.emit(Keeps{Servers: servers, Until: deadlines, Fronts: fronts, Returned: c.state.Returned()})
+	c.emit(Reservations{Servers: servers, Deadlines: deadlines, Fronts: fronts, Returned: c.state.Returned()})
 }
 
 // expired reports whether work has exceeded its maximum duration on a front that is out of contact and received no end
 // of it. Without this rule a front that is permanently partitioned would never use the machines again. The cost: a
 // machine whose work takes longer than requested gets requests from partitioned fronts, at the rate for cold servers.
 func (c *Core) expired(w *ledger.Work) bool {
-	return !c.Fresh() && w.Phase.Reserved() && c.now > w.Since+c.cfg.Times.MaxDuration(w.Ask.For)
+	return !c.Fresh() && w.Phase.Reserved() && c.now > w.Since+c.cfg.Timeouts.MaxDuration(w.Request.WorkDuration)
 }
 
 // checkExpired logs work that expired within the last tick and emits the reservations without it.
 func (c *Core) checkExpired() {
 	for _, w := range c.state.Works {
-		if deadline := w.Since + c.cfg.Times.MaxDuration(w.Ask.For); w.Phase.Reserved() && c.now > deadline && c.now <= deadline+TickEvery && c.expired(w) {
+		if deadline := w.Since + c.cfg.Timeouts.MaxDuration(w.Request.WorkDuration); w.Phase.Reserved() && c.now > deadline && c.now <= deadline+TickInterval && c.expired(w) {
 			c.log(fmt.Sprintf("work %d has expired: its end was not reported", w.ID))
 			c.emitReservations()
 		}
@@ -112,7 +112,7 @@
 	n := len(c.cfg.Voters)
 	for range n {
 		c.follower.voterTurn++
-		if name := c.cfg.Voters[c.follower.voterTurn%n]; name != c.cfg.Me && c.members[name].Alive {
+		if name := c.cfg.Voters[c.follower.voterTurn%n]; name != c.cfg.Name && c.members[name].Alive {
 			return name
 		}
 	}
@@ -182,11 +182,11 @@
 	}
 	var voters []string
 	for _, name := range c.cfg.Voters {
-		if name == c.cfg.Me || c.members[name].Alive {
+		if name == c.cfg.Name || c.members[name].Alive {
 			voters = append(voters, name)
 		}
 	}
-	share := slices.Index(voters, c.cfg.Me)
+	share := slices.Index(voters, c.cfg.Name)
 	for name := range v.acks {
 		if !c.members[name].Alive {
 			delete(v.acks, name)
--- a/internal/fleet/core/lead.go
+++ b/internal/fleet/core/lead.go
@@ -33,11 +33,11 @@
 		if w.Phase == ledger.Granted || w.Phase == ledger.Draining {
 			if reason := upkeep.ExceededLimit(c.cfg.Limits, fleet, requests, w.ID); reason != "" {
 				c.leader.stepProposedAt[w.ID] = c.now
-				c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, PrevPhase: w.Phase, NextPhase: ledger.Asked, Reason: "taken back: " + reason})
+				c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, PrevPhase: w.Phase, NextPhase: ledger.Requested, Reason: "taken back: " + reason})
 				continue
 			}
 		}
-		to, until, reason, ok := c.cfg.Times.Next(c.now, c.progress(w))
+		to, until, reason, ok := c.cfg.Timeouts.Next(c.now, c.progress(w))
 		if !ok {
 			continue
 		}
@@ -59,7 +59,7 @@
 				continue
 			}
 			c.leader.proposedBasis, c.leader.proposedAt = c.state.LastGrant, c.now
-			c.propose(ledger.Entry{Kind: ledger.KindGrant, ID: a.ID, Basis: c.state.LastGrant, Deadline: c.now + c.cfg.Times.AckTimeout, Reason: "within every limit"})
+			c.propose(ledger.Entry{Kind: ledger.KindGrant, ID: a.ID, Basis: c.state.LastGrant, Deadline: c.now + c.cfg.Timeouts.AckTimeout, Reason: "within every limit"})
 		}
 	}
 }
@@ -73,9 +73,9 @@
 		if w.Phase.Ended() {
 			continue
 		}
-		request := upkeep.Request{ID: w.ID, RequestedAt: w.Asked, Deadline: w.Ask.By, WorkDuration: w.Ask.For, Fronts: w.Ask.Fronts, Granted: w.Phase.CountsAsOut(),
+		request := upkeep.Request{ID: w.ID, RequestedAt: w.RequestedAt, Deadline: w.Request.Deadline, WorkDuration: w.Request.WorkDuration, Fronts: w.Request.Fronts, Granted: w.Phase.CountsAsOut(),
 			Drained: w.Phase == ledger.Out || w.Phase == ledger.Back}
-		for _, p := range w.Ask.Servers {
+		for _, p := range w.Request.Servers {
 			request.Servers = append(request.Servers, p.Server)
 		}
 		list = append(list, request)
@@ -85,7 +85,7 @@
 
 // propose proposes an entry of this leader. An entry that is lost is proposed again by plan.
 func (c *Core) propose(e ledger.Entry) {
-	e.At, e.From = c.now, c.cfg.Me
+	e.At, e.From = c.now, c.cfg.Name
 	b, err := e.Encode()
 	if err == nil {
 		err = c.voter.node.Propose(b)
@@ -97,9 +97,9 @@
 }
 
 // WaitReason returns the decision on waiting work; ok is false on a front that is not the leader.
-func (c *Core) Why(id uint64) (upkeep.Answer, bool) {
+func (c *Core) WaitReason(id uint64) (upkeep.Answer, bool) {
 	a, ok := c.leader.answers[id]
-	return a, ok && c.leaderName == c.cfg.Me
+	return a, ok && c.leaderName == c.cfg.Name
 }
 
 // ---- Commands ----
@@ -116,7 +116,7 @@
 // the same command may be sent again, here or to another front.
 func (c *Core) Command(now Time, handle uint64, e ledger.Entry) {
 	c.now = max(c.now, now)
-	e.At, e.From = c.now, c.cfg.Me
+	e.At, e.From = c.now, c.cfg.Name
 	data, err := e.Encode()
 	switch {
 	case e.Key == "":
@@ -127,7 +127,7 @@
 		err = errors.New("this command is already in flight")
 	}
 	if err != nil {
-		c.emit(Reply{handle, ledger.Answer{Err: err.Error()}})
+		c.emit(Reply{handle, ledger.CommandResult{Err: err.Error()}})
 		return
 	}
 	if a, done := c.state.Keys[e.Key]; done {
@@ -144,7 +144,7 @@
 		switch {
 		case c.now >= pending.deadline:
 			delete(c.commands, key)
-			c.emit(Reply{pending.handle, ledger.Answer{Err: ErrUnknown}})
+			c.emit(Reply{pending.handle, ledger.CommandResult{Err: ErrUnknown}})
 		case c.now-pending.sentAt >= retryInterval || pending.sentAt == 0:
 			pending.sentAt = c.now
 			if c.voter != nil {
@@ -177,7 +177,7 @@
 		c.countBad(&c.Stats.Unreadable, from, err)
 	case c.voter == nil, newer && len(b) > ledger.MaxEntryBytes:
 		c.countBad(&c.Stats.Misplaced, from, errors.New("command sent to a front that is not a voter, or too long"))
-	case !newer && (e.Key == "" || e.Kind != ledger.KindAsk && e.Kind != ledger.KindCancel && e.Kind != ledger.KindDone):
+	case !newer && (e.Key == "" || e.Kind != ledger.KindRequest && e.Kind != ledger.KindCancel && e.Kind != ledger.KindDone):
 		c.countBad(&c.Stats.Strangers, from, fmt.Errorf("a follower must not propose %q", e.Kind)) // only the leader may grant
 	default:
 		if _, done := c.state.Keys[e.Key]; !done {
@@ -199,7 +199,7 @@
 // ---- Received messages ----
 
 // Receive handles a message from a member.
-func (c *Core) Message(now Time, from string, b []byte) {
+func (c *Core) Receive(now Time, from string, b []byte) {
 	c.now = max(c.now, now)
 	c.Stats.Received++
 	c.Stats.ReceivedBytes += uint64(len(b))
--- a/internal/fleet/core/names.go
+++ b/internal/fleet/core/names.go
@@ -21,7 +21,7 @@
 )
 
 // Resolve returns a request for the machines with the given names: server:ID (or ID alone), rack:NUMBER, front:NAME.
-func (c *Core) Resolve(names []string) (a ledger.Ask, err error) {
+func (c *Core) Resolve(names []string) (a ledger.Request, err error) {
 	if len(names) == 0 || len(names) > maxNames {
 		return a, fmt.Errorf("%d machines named, want 1 to %d", len(names), maxNames)
 	}
@@ -39,7 +39,7 @@
 		}
 		switch kind {
 		case "front":
-			if _, known := c.members[rest]; !known && rest != c.cfg.Me {
+			if _, known := c.members[rest]; !known && rest != c.cfg.Name {
 				if _, gone := c.leftAt[rest]; !gone {
 					return a, fmt.Errorf("no front %q is a member or was one recently", rest)
 				}
@@ -80,9 +80,9 @@
 }
 
 // RequestWaitReasons requests from the leader why work waits. WaitReasons returns its reply.
-func (c *Core) AskWhy(now Time) {
+func (c *Core) RequestWaitReasons(now Time) {
 	c.now = max(c.now, now)
-	if c.leaderName != c.cfg.Me {
+	if c.leaderName != c.cfg.Name {
 		c.send(c.leaderName, msgWaitRequest, nil)
 		return
 	}
@@ -90,13 +90,13 @@
 }
 
 // WaitReasons returns the most recent reply of the leader and when it was received.
-func (c *Core) Whys() (map[uint64]upkeep.Answer, Time) { return c.waitReasons, c.waitReasonsAt }
+func (c *Core) WaitReasons() (map[uint64]upkeep.Answer, Time) { return c.waitReasons, c.waitReasonsAt }
 
 // waitingAnswers returns the decisions on all waiting work.
 func (c *Core) waitingAnswers() map[uint64]upkeep.Answer {
 	list := map[uint64]upkeep.Answer{}
 	for id, a := range c.leader.answers {
-		if w := c.state.Work(id); w != nil && w.Phase == ledger.Asked {
+		if w := c.state.Work(id); w != nil && w.Phase == ledger.Requested {
 			list[id] = a
 		}
 	}
@@ -104,7 +104,7 @@
 }
 
 func (c *Core) receiveWaitRequest(from string) {
-	if c.leaderName != c.cfg.Me {
+	if c.leaderName != c.cfg.Name {
 		return
 	}
 	reply := waitReply{At: c.now}
@@ -129,36 +129,36 @@
 
 // Status is the state of a front in its fleet.
 type Status struct {
-	Name      string        `json:"name"`
-	Cluster   string        `json:"cluster"`
-	Lead      string        `json:"lead"`
-	Fresh     bool          `json:"fresh"`
-	HeardMs   Time          `json:"heard_ms"` // since contact with a voter or a majority; -1: never
-	Index     uint64        `json:"index"`
-	Voter     bool          `json:"voter"`
-	Silent    bool          `json:"silent"` // a voter that does not take part in elections yet
-	Broken    bool          `json:"broken"`
-	Voters    int           `json:"voters"` // in the record
-	Here      []FrontStatus `json:"here"`
-	OpenWorks int           `json:"open"`  // work that has not ended
-	Newer     int           `json:"newer"` // the newest unsupported format of an entry; 0: none
-	Stats     Stats         `json:"stats"`
+	Name          string        `json:"name"`
+	Cluster       string        `json:"cluster"`
+	Leader        string        `json:"lead"`
+	Fresh         bool          `json:"fresh"`
+	LastContactMs Time          `json:"heard_ms"` // since contact with a voter or a majority; -1: never
+	Index         uint64        `json:"index"`
+	Voter         bool          `json:"voter"`
+	Silent        bool          `json:"silent"` // a voter that does not take part in elections yet
+	Broken        bool          `json:"broken"`
+	Voters        int           `json:"voters"` // in the record
+	Fronts        []FrontStatus `json:"here"`
+	OpenWorks     int           `json:"open"`  // work that has not ended
+	NewerFormat   int           `json:"newer"` // the newest unsupported format of an entry; 0: none
+	Stats         Stats         `json:"stats"`
 }
 
 // FrontStatus is a front that is a member or was one recently.
 type FrontStatus struct {
-	Name  string `json:"name"`
-	Zone  int    `json:"zone"`
-	Voter bool   `json:"voter"`
-	Here  bool   `json:"here"`
-	Life  uint64 `json:"life,omitempty"`
+	Name        string `json:"name"`
+	Zone        int    `json:"zone"`
+	Voter       bool   `json:"voter"`
+	Alive       bool   `json:"here"`
+	Incarnation uint64 `json:"life,omitempty"`
 }
 
 // Status returns the state of this front.
 func (c *Core) Status() Status {
-	s := Status{Name: c.cfg.Me, Cluster: c.state.Cluster, Lead: c.leaderName, Fresh: c.Fresh(), HeardMs: -1, Index: c.state.Index, Newer: c.state.Newer, Stats: c.Stats}
+	s := Status{Name: c.cfg.Name, Cluster: c.state.Cluster, Leader: c.leaderName, Fresh: c.Fresh(), LastContactMs: -1, Index: c.state.Index, NewerFormat: c.state.NewerFormat, Stats: c.Stats}
 	if c.lastContactAt > 0 {
-		s.HeardMs = (c.now - c.lastContactAt) / millisecond
+		s.LastContactMs = (c.now - c.lastContactAt) / millisecond
 	}
 	if c.voter != nil {
 		s.Voter, s.Silent, s.Broken = true, c.voter.node.Silent(), c.voter.broken
@@ -171,20 +171,20 @@
 	}
 	here, gone := c.fronts()
 	for _, name := range here {
-		h := FrontStatus{Name: name, Zone: c.members[name].Meta.Zone, Voter: slices.Contains(c.cfg.Voters, name), Here: true}
+		h := FrontStatus{Name: name, Zone: c.members[name].Meta.Zone, Voter: slices.Contains(c.cfg.Voters, name), Alive: true}
 		if id := c.members[name].Meta.Identity; id != nil {
-			h.Life = id.Life
+			h.Incarnation = id.Incarnation
 		}
-		if name == c.cfg.Me {
+		if name == c.cfg.Name {
 			h.Zone = c.cfg.Zone
 			if c.voter != nil {
-				h.Life = c.voter.identity.Life
+				h.Incarnation = c.voter.identity.Incarnation
 			}
 		}
-		s.Here = append(s.Here, h)
+		s.Fronts = append(s.Fronts, h)
 	}
 	for _, name := range gone {
-		s.Here = append(s.Here, FrontStatus{Name: name, Voter: slices.Contains(c.cfg.Voters, name)})
+		s.Fronts = append(s.Fronts, FrontStatus{Name: name, Voter: slices.Contains(c.cfg.Voters, name)})
 	}
 	return s
 }
--- a/internal/fleet/core/parts.go
+++ b/internal/fleet/core/parts.go
@@ -15,12 +15,12 @@
 
 // report is one front's report of its sessions.
 type report struct {
-	StartedAt  int64               `json:"l"` // when its process started: reports of a later process replace those of an earlier one
-	Seq        uint64              `json:"n"`
-	Applied    uint64              `json:"a"`
-	Servers    map[uint32]Standing `json:"s,omitempty"`
+	StartedAt  int64                 `json:"l"` // when its process started: reports of a later process replace those of an earlier one
+	Seq        uint64                `json:"n"`
+	Applied    uint64                `json:"a"`
+	Servers    map[uint32]ServerLoad `json:"s,omitempty"`
 	receivedAt Time
-	maxLoad    map[uint32]Standing // recent maxima by server, used once the front stops reporting
+	maxLoad    map[uint32]ServerLoad // recent maxima by server, used once the front stops reporting
 }
 
 // maxReportServers limits the servers in one report.
@@ -33,21 +33,21 @@
 		interval = urgentReportInterval
 	}
 	if c.reportedAt == 0 {
-		c.reportedAt = c.now - Time(c.cfg.Draw()%uint64(reportInterval)) // random phase: fronts that start together do not report together
+		c.reportedAt = c.now - Time(c.cfg.Random()%uint64(reportInterval)) // random phase: fronts that start together do not report together
 	}
 	if c.now-c.reportedAt < interval {
 		return
 	}
 	c.reportedAt, c.reportSoon = c.now, false
 	c.seq++
-	r := report{StartedAt: c.processStart(), Seq: c.seq, Applied: c.state.Index, Servers: map[uint32]Standing{}}
+	r := report{StartedAt: c.processStart(), Seq: c.seq, Applied: c.state.Index, Servers: map[uint32]ServerLoad{}}
 	for id, s := range c.ownLoad {
-		if s != (Standing{}) && len(r.Servers) < maxReportServers {
+		if s != (ServerLoad{}) && len(r.Servers) < maxReportServers {
 			r.Servers[id] = s
 		}
 	}
-	if c.leaderName == c.cfg.Me {
-		c.storeReport(c.cfg.Me, r)
+	if c.leaderName == c.cfg.Name {
+		c.storeReport(c.cfg.Name, r)
 	} else if c.leaderName != "" {
 		c.sendJSON(c.leaderName, msgReport, r)
 	}
@@ -82,15 +82,15 @@
 	if previous != nil && (r.StartedAt < previous.StartedAt || r.StartedAt == previous.StartedAt && r.Seq <= previous.Seq) {
 		return // reordered: a later report was received before
 	}
-	r.receivedAt, r.maxLoad = c.now, map[uint32]Standing{}
-	if previous != nil && c.now-previous.receivedAt < c.cfg.Stale {
+	r.receivedAt, r.maxLoad = c.now, map[uint32]ServerLoad{}
+	if previous != nil && c.now-previous.receivedAt < c.cfg.StaleAfter {
 		for id, s := range previous.Servers {
 			r.maxLoad[id] = s
 		}
 	}
 	for id, s := range r.Servers {
 		peak := r.maxLoad[id]
-		r.maxLoad[id] = Standing{max(peak.Sessions, s.Sessions), max(peak.KB, s.KB), max(peak.Paid, s.Paid)}
+		r.maxLoad[id] = ServerLoad{max(peak.Sessions, s.Sessions), max(peak.KB, s.KB), max(peak.Paid, s.Paid)}
 	}
 	c.leader.reports[from] = &r
 }
@@ -125,9 +125,9 @@
 
 // fronts returns the names of the live fronts, this one included, and of those that left recently.
 func (c *Core) fronts() (here, gone []string) {
-	here = []string{c.cfg.Me}
+	here = []string{c.cfg.Name}
 	for name, m := range c.members {
-		if m.Alive && name != c.cfg.Me {
+		if m.Alive && name != c.cfg.Name {
 			here = append(here, name)
 		}
 	}
@@ -142,11 +142,11 @@
 func (c *Core) fleetState() *upkeep.Fleet {
 	fleet := &upkeep.Fleet{RackKB: c.cfg.RackKB, Groups: c.groups}
 	here, gone := c.fronts()
-	total := map[uint32]Standing{}
-	sum := func(from map[uint32]Standing) {
+	total := map[uint32]ServerLoad{}
+	sum := func(from map[uint32]ServerLoad) {
 		for id, s := range from {
 			t := total[id]
-			total[id] = Standing{t.Sessions + s.Sessions, t.KB + s.KB, t.Paid + s.Paid}
+			total[id] = ServerLoad{t.Sessions + s.Sessions, t.KB + s.KB, t.Paid + s.Paid}
 		}
 	}
 	var silent []string
@@ -154,7 +154,7 @@
 		switch p := c.leader.reports[name]; {
 		case p == nil:
 			silent = append(silent, name)
-		case c.now-p.receivedAt >= c.cfg.Stale:
+		case c.now-p.receivedAt >= c.cfg.StaleAfter:
 			sum(p.maxLoad)
 		default:
 			sum(p.Servers)
@@ -175,13 +175,13 @@
 		_, failed := c.leader.failedAt[s.ID]
 		listed[s.ID] = true
 		t := total[s.ID]
-		fleet.Servers = append(fleet.Servers, upkeep.Server{ID: s.ID, Rack: s.Rack, Zone: s.Zone, LinkKB: s.KB, NeededKB: t.KB, Paid: t.Paid, Failed: failed})
+		fleet.Servers = append(fleet.Servers, upkeep.Server{ID: s.ID, Rack: s.Rack, Zone: s.Zone, LinkKB: s.LinkKB, NeededKB: t.KB, Paid: t.Paid, Failed: failed})
 	}
 	for _, work := range c.state.Works { // servers that are out may have left the list: they count with the rack and zone they had
 		if !work.Phase.CountsAsOut() {
 			continue
 		}
-		for _, p := range work.Ask.Servers {
+		for _, p := range work.Request.Servers {
 			if !listed[p.Server] {
 				listed[p.Server] = true
 				fleet.Servers = append(fleet.Servers, upkeep.Server{ID: p.Server, Rack: p.Rack, Zone: p.Zone, NeededKB: total[p.Server].KB, Paid: total[p.Server].Paid})
@@ -195,13 +195,13 @@
 
 // holdReason returns why no work may be granted at all, empty if it may.
 func (c *Core) holdReason() string {
-	if c.state.Newer > ledger.Format {
-		return fmt.Sprintf("entries were agreed on in format %d, this front knows %d", c.state.Newer, ledger.Format)
+	if c.state.NewerFormat > ledger.Format {
+		return fmt.Sprintf("entries were agreed on in format %d, this front knows %d", c.state.NewerFormat, ledger.Format)
 	}
 	oldest := Time(0)
 	for _, w := range c.state.Works {
-		if w.Phase.CountsAsOut() && (oldest == 0 || w.Asked < oldest) {
-			oldest = w.Asked
+		if w.Phase.CountsAsOut() && (oldest == 0 || w.RequestedAt < oldest) {
+			oldest = w.RequestedAt
 		}
 	}
 	if oldest == 0 {
@@ -225,7 +225,7 @@
 
 // progress returns the progress of granted work.
 func (c *Core) progress(w *ledger.Work) upkeep.Progress {
-	progress := upkeep.Progress{Since: w.Since, WorkDuration: w.Ask.For}
+	progress := upkeep.Progress{Since: w.Since, WorkDuration: w.Request.WorkDuration}
 	switch w.Phase {
 	case ledger.Draining:
 		progress.Step = upkeep.Draining
@@ -236,11 +236,11 @@
 	}
 	here, gone := c.fronts()
 	count := func(p *report) {
-		for _, s := range w.Ask.Servers {
+		for _, s := range w.Request.Servers {
 			progress.RemainingSessions += p.Servers[s.Server].Sessions
 		}
 	}
-	for _, name := range w.Ask.Fronts { // all sessions of a front that is to go out, on any server
+	for _, name := range w.Request.Fronts { // all sessions of a front that is to go out, on any server
 		if p := c.leader.reports[name]; p != nil && !c.hasLeft(name) {
 			for _, s := range p.Servers {
 				progress.RemainingSessions += s.Sessions
@@ -252,7 +252,7 @@
 		if p == nil || p.Applied < w.Fence {
 			progress.Unacknowledged = append(progress.Unacknowledged, name)
 		}
-		if p == nil || p.Applied < w.Fence || c.now-p.receivedAt >= c.cfg.Stale {
+		if p == nil || p.Applied < w.Fence || c.now-p.receivedAt >= c.cfg.StaleAfter {
 			progress.Unreported = append(progress.Unreported, name)
 		}
 		if p != nil {
--- a/internal/fleet/core/voters.go
+++ b/internal/fleet/core/voters.go
@@ -18,7 +18,7 @@
 // voter is the state of a front that votes.
 type voter struct {
 	identity     quorum.Identity
-	incarnations quorum.Lives
+	incarnations quorum.Incarnations
 	node         *quorum.Node
 	formed       bool // this voter holds the record
 	// confirmed holds the voters that replied that they know no later incarnation of this disk; this voter takes part
@@ -39,10 +39,10 @@
 }
 
 // startVoter starts a voter on the data found on disk.
-func (c *Core) startVoter(start Start) error {
-	v := &voter{incarnations: start.Lives, confirmed: map[string]bool{}, replacedAt: map[uint64]Time{}, acks: map[string]ack{}}
+func (c *Core) startVoter(start StoredState) error {
+	v := &voter{incarnations: start.Incarnations, confirmed: map[string]bool{}, replacedAt: map[uint64]Time{}, acks: map[string]ack{}}
 	if v.incarnations == nil {
-		v.incarnations = quorum.Lives{}
+		v.incarnations = quorum.Incarnations{}
 	}
 	c.voter = v
 	disk := start.Disk
@@ -51,8 +51,8 @@
 			return errors.New("fleet: the disk holds a record but no voter identity")
 		}
 		disk = nil
-	} else if c.voterName(start.Identity.ID) != c.cfg.Me {
-		return fmt.Errorf("fleet: the disk belongs to voter %q, this is %q", c.voterName(start.Identity.ID), c.cfg.Me)
+	} else if c.voterName(start.Identity.ID) != c.cfg.Name {
+		return fmt.Errorf("fleet: the disk belongs to voter %q, this is %q", c.voterName(start.Identity.ID), c.cfg.Name)
 	}
 	return c.startIncarnation(start.Identity, disk)
 }
@@ -60,7 +60,7 @@
 // startIncarnation starts a new incarnation of this voter on the record that its disk holds.
 func (c *Core) startIncarnation(stored quorum.Identity, disk *quorum.Disk) error {
 	v := c.voter
-	v.identity = stored.NextIncarnation(func() uint64 { return voterID(c.cfg.Me, c.cfg.Draw()) })
+	v.identity = stored.NextIncarnation(func() uint64 { return voterID(c.cfg.Name, c.cfg.Random()) })
 	id := v.identity
 	c.emit(Write{Identity: &id})
 	if err := c.load(disk); err != nil {
@@ -95,7 +95,7 @@
 		id := v.identity
 		m.Identity, m.Formed = &id, v.formed
 	}
-	c.emit(Tell{m})
+	c.emit(AnnounceMeta{m})
 }
 
 // recordIncarnations records the incarnations that the other voters announce.
@@ -105,7 +105,7 @@
 		return
 	}
 	for _, name := range c.cfg.Voters {
-		if m, ok := c.members[name]; ok && name != c.cfg.Me && m.Meta.Identity != nil {
+		if m, ok := c.members[name]; ok && name != c.cfg.Name && m.Meta.Identity != nil {
 			c.recordIncarnation(*m.Meta.Identity, name)
 		}
 	}
@@ -119,11 +119,11 @@
 	}
 	changed, stale := c.voter.incarnations.Record(identity)
 	if changed {
-		incarnations := quorum.Lives{}
+		incarnations := quorum.Incarnations{}
 		for id, x := range c.voter.incarnations {
 			incarnations[id] = x
 		}
-		c.emit(Write{Lives: incarnations})
+		c.emit(Write{Incarnations: incarnations})
 	}
 	return stale
 }
@@ -131,7 +131,7 @@
 // otherVoters returns the names of all voters but this one.
 func (c *Core) otherVoters() (list []string) {
 	for _, name := range c.cfg.Voters {
-		if name != c.cfg.Me {
+		if name != c.cfg.Name {
 			list = append(list, name)
 		}
 	}
@@ -184,7 +184,7 @@
 	v := c.voter
 	if v.node.Silent() && len(v.confirmed) >= len(c.cfg.Voters)/2 {
 		v.node.SetSilent(false)
-		c.log(fmt.Sprintf("takes part as voter %x, life %d", v.identity.ID, v.identity.Life))
+		c.log(fmt.Sprintf("takes part as voter %x, life %d", v.identity.ID, v.identity.Incarnation))
 	}
 }
 
@@ -193,7 +193,7 @@
 // records.
 func (c *Core) formRecord() {
 	v := c.voter
-	if c.cfg.Voters[0] != c.cfg.Me || len(v.confirmed) < len(c.cfg.Voters)-1 {
+	if c.cfg.Voters[0] != c.cfg.Name || len(v.confirmed) < len(c.cfg.Voters)-1 {
 		return
 	}
 	ids := []uint64{v.identity.ID}
@@ -205,7 +205,7 @@
 		ids = append(ids, m.Meta.Identity.ID)
 	}
 	first := ledger.New()
-	first.Cluster = fmt.Sprintf("%s-%016x", c.cfg.Cluster, c.cfg.Draw())
+	first.Cluster = fmt.Sprintf("%s-%016x", c.cfg.Cluster, c.cfg.Random())
 	state, err := first.Snapshot()
 	if err != nil {
 		return
@@ -224,7 +224,7 @@
 func (c *Core) replaceVoters(status quorum.Status) {
 	for _, name := range c.cfg.Voters {
 		member := c.members[name]
-		if name == c.cfg.Me || !member.Alive || member.Meta.Identity == nil || member.Meta.Formed && slices.Contains(status.Voters, member.Meta.Identity.ID) {
+		if name == c.cfg.Name || !member.Alive || member.Meta.Identity == nil || member.Meta.Formed && slices.Contains(status.Voters, member.Meta.Identity.ID) {
 			continue
 		}
 		id := member.Meta.Identity.ID
@@ -313,7 +313,7 @@
 		if snap, first, err := v.node.Compact(c.state.Index, c.state.Snapshot); err != nil {
 			c.log("snapshot failed: " + err.Error())
 		} else if snap != nil {
-			c.emit(Write{Snap: snap, First: first})
+			c.emit(Write{Snap: snap, FirstIndex: first})
 		}
 	}
 }
--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -41,7 +41,7 @@
 type Disk struct{ db *pebble.DB }
 
 // Open opens or creates a disk in a directory and reads what it holds.
-func Open(dir string, fs vfs.FS) (d *Disk, start core.Start, err error) {
+func Open(dir string, fs vfs.FS) (d *Disk, start core.StoredState, err error) {
 	if err := fs.MkdirAll(dir, 0o700); err != nil {
 		return nil, start, fmt.Errorf("fleet's disk: %w", err)
 	}
@@ -62,7 +62,7 @@
 }
 
 // load reads all that is stored.
-func (d *Disk) load() (s core.Start, err error) {
+func (d *Disk) load() (s core.StoredState, err error) {
 	if v, ok, err := d.get(keyFormat); err != nil {
 		return s, err
 	} else if ok && (len(v) != 1 || v[0] > format) {
@@ -71,7 +71,7 @@
 	if err := d.getJSON(keyIdentity, &s.Identity); err != nil {
 		return s, err
 	}
-	if err := d.getJSON(keyLives, &s.Lives); err != nil {
+	if err := d.getJSON(keyLives, &s.Incarnations); err != nil {
 		return s, err
 	}
 	if s.State, _, err = d.get(keyState); err != nil {
@@ -146,8 +146,8 @@
 			v, err := json.Marshal(w.Identity)
 			set(keyIdentity, v, err)
 		}
-		if w.Lives != nil {
-			v, err := json.Marshal(w.Lives)
+		if w.Incarnations != nil {
+			v, err := json.Marshal(w.Incarnations)
 			set(keyLives, v, err)
 		}
 		if w.Hard != nil {
@@ -157,12 +157,12 @@
 		if w.Snap != nil {
 			v, err := proto.Marshal(w.Snap)
 			set(keySnap, v, err)
-			if w.First == 0 { // the leader's snapshot replaces the whole log
+			if w.FirstIndex == 0 { // the leader's snapshot replaces the whole log
 				deleteRange(keyEntry(0), []byte("e0"))
 			}
 		}
-		if w.First > 0 {
-			deleteRange(keyEntry(0), keyEntry(w.First))
+		if w.FirstIndex > 0 {
+			deleteRange(keyEntry(0), keyEntry(w.FirstIndex))
 		}
 		if len(w.Entries) > 0 { // new entries replace all from the first of them on
 			deleteRange(keyEntry(w.Entries[0].GetIndex()), []byte("e0"))
--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/disk/disk_test.go
@@ -39,12 +39,12 @@
 		first, last uint64
 		term        uint64 // of the last entry
 	}{
-		{core.Write{Identity: &quorum.Identity{ID: 7, Life: 1}, Hard: hardState(1, 7), Entries: entries(1, 1, 9)}, 1, 9, 1},
+		{core.Write{Identity: &quorum.Identity{ID: 7, Incarnation: 1}, Hard: hardState(1, 7), Entries: entries(1, 1, 9)}, 1, 9, 1},
 		{core.Write{Hard: hardState(2, 8), Entries: entries(2, 5, 6)}, 1, 6, 2},
-		{core.Write{Snap: snapshot(4), First: 3}, 3, 6, 2},
+		{core.Write{Snap: snapshot(4), FirstIndex: 3}, 3, 6, 2},
 		{core.Write{Snap: snapshot(20)}, 0, 0, 0},
 		{core.Write{Entries: entries(3, 21, 22)}, 21, 22, 3},
-		{core.Write{Lives: quorum.Lives{9: {ID: 9, Life: 2}}, State: []byte("x")}, 21, 22, 3},
+		{core.Write{Incarnations: quorum.Incarnations{9: {ID: 9, Incarnation: 2}}, State: []byte("x")}, 21, 22, 3},
 	} {
 		if err := d.Write(c.w); err != nil {
 			t.Fatal(err)
@@ -61,14 +61,14 @@
 			t.Fatalf("%+v: %v", c, e)
 		}
 	}
-	if start.Disk.Hard.GetVote() != 8 || start.Identity.ID != 7 || start.Lives[9].Life != 2 || string(start.State) != "x" {
+	if start.Disk.Hard.GetVote() != 8 || start.Identity.ID != 7 || start.Incarnations[9].Incarnation != 2 || string(start.State) != "x" {
 		t.Fatalf("%+v", start)
 	}
 	if err := d.Write(core.Write{Wipe: true}); err != nil {
 		t.Fatal(err)
 	}
 	d.Close()
-	if d, start, err = Open("d", fs); err != nil || !start.Disk.Empty() || start.Identity.ID != 0 || start.Lives[9].Life != 2 {
+	if d, start, err = Open("d", fs); err != nil || !start.Disk.Empty() || start.Identity.ID != 0 || start.Incarnations[9].Incarnation != 2 {
 		t.Fatal(start, err)
 	}
 	d.Close()
@@ -91,7 +91,7 @@
 			}
 			d.Close()
 		}
-		after := fs.After()
+		after := fs.AfterCrash()
 		if after == nil {
 			break
 		}
--- a/internal/fleet/fleetsim/degraded_test.go
+++ b/internal/fleet/fleetsim/degraded_test.go
@@ -16,17 +16,17 @@
 	f := newSmallFleet(t, 9)
 	a := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 	f.waitForPhase(t, a, ledger.Out, 20*Second)
-	f.Command(f.Fronts[3], ledger.Entry{V: ledger.Format + 1, Kind: "future", Key: "z"})
+	f.Command(f.Fronts[3], ledger.Entry{Format: ledger.Format + 1, Kind: "future", Key: "z"})
 	f.Run(5 * Second)
 	b := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("b", 12))).ID
 	f.waitForAnswer(t, f.Command(f.Fronts[4], ledger.Entry{Kind: ledger.KindDone, Key: "d", ID: a}))
 	f.waitForPhase(t, a, ledger.Done, 20*Second)
 	f.Run(5 * Second)
-	if why, _ := f.Leader().Core.Why(b); f.phase(b) != ledger.Asked || why.Limit != "held" {
+	if why, _ := f.Leader().Core.WaitReason(b); f.phase(b) != ledger.Requested || why.Limit != "held" {
 		t.Errorf("%s, %+v", f.phase(b), why)
 	}
 	for _, x := range f.Fronts {
-		if x.Core.State().Newer != ledger.Format+1 {
+		if x.Core.State().NewerFormat != ledger.Format+1 {
 			t.Errorf("%s did not record the newer format", x.Name)
 		}
 	}
@@ -45,7 +45,7 @@
 	f.Run(Second)
 	b := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("b", 5))).ID
 	f.Run(3 * Second)
-	if why, _ := f.Leader().Core.Why(b); f.phase(b) != ledger.Asked || why.Limit != "held" {
+	if why, _ := f.Leader().Core.WaitReason(b); f.phase(b) != ledger.Requested || why.Limit != "held" {
 		t.Errorf("%s, %+v", f.phase(b), why)
 	}
 	f.Servers(serverList(12, 3), nil)
@@ -57,16 +57,16 @@
 // withdrawn before the machine is touched, and given again when the failed server is back.
 func TestGrantIsWithdrawnWhenRackFails(t *testing.T) {
 	f := newSmallFleet(t, 12)
-	f.Fronts[1].Sessions = map[uint32]core.Standing{1: {Sessions: 1, KB: 100}}
+	f.Fronts[1].Sessions = map[uint32]core.ServerLoad{1: {Sessions: 1, KB: 100}}
 	a := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 	f.waitForPhase(t, a, ledger.Draining, 20*Second)
 	servers := serverList(12, 3)
 	servers[1].Ready = false
 	f.Servers(servers, nil)
-	f.waitForPhase(t, a, ledger.Asked, 3*Second)
-	f.Fronts[1].Sessions = map[uint32]core.Standing{}
+	f.waitForPhase(t, a, ledger.Requested, 3*Second)
+	f.Fronts[1].Sessions = map[uint32]core.ServerLoad{}
 	f.Run(10 * Second)
-	if why, _ := f.Leader().Core.Why(a); f.phase(a) != ledger.Asked || why.Limit != "rack" ||
+	if why, _ := f.Leader().Core.WaitReason(a); f.phase(a) != ledger.Requested || why.Limit != "rack" ||
 		f.Fronts[4].KeptServers[1] != 0 {
 		t.Errorf("%s, %+v, kept %v", f.phase(a), why, f.Fronts[4].KeptServers)
 	}
@@ -79,8 +79,8 @@
 // servers they play.
 func TestFrontDrainsBeforeItGoesOut(t *testing.T) {
 	f := newSmallFleet(t, 13)
-	f.Fronts[3].Sessions = map[uint32]core.Standing{1: {Sessions: 1, KB: 100}}
-	e := ledger.Entry{Kind: ledger.KindAsk, Key: "a", Ask: &ledger.Ask{Names: []string{"front:f004"}, Fronts: []string{"f004"}, For: 20 * Second}}
+	f.Fronts[3].Sessions = map[uint32]core.ServerLoad{1: {Sessions: 1, KB: 100}}
+	e := ledger.Entry{Kind: ledger.KindRequest, Key: "a", Request: &ledger.Request{Names: []string{"front:f004"}, Fronts: []string{"f004"}, WorkDuration: 20 * Second}}
 	f.Run(6 * Second)
 	a := f.waitForAnswer(t, f.Command(f.Fronts[0], e)).ID
 	f.waitForPhase(t, a, ledger.Draining, 20*Second)
@@ -88,7 +88,7 @@
 	if f.phase(a) != ledger.Draining || f.Fronts[3].KeptFronts["f004"] != a {
 		t.Errorf("%s, kept %v", f.phase(a), f.Fronts[3].KeptFronts)
 	}
-	f.Fronts[3].Sessions = map[uint32]core.Standing{}
+	f.Fronts[3].Sessions = map[uint32]core.ServerLoad{}
 	f.waitForPhase(t, a, ledger.Out, 10*Second)
 	f.checkErrors(t)
 }
--- a/internal/fleet/fleetsim/disk.go
+++ b/internal/fleet/fleetsim/disk.go
@@ -16,8 +16,8 @@
 	if w.Identity != nil {
 		d.Identity = *w.Identity
 	}
-	if w.Lives != nil {
-		d.Lives = w.Lives
+	if w.Incarnations != nil {
+		d.Lives = w.Incarnations
 	}
 	if w.Hard != nil {
 		d.Disk.Hard = w.Hard
@@ -27,7 +27,7 @@
 	}
 	if w.Snap != nil {
 		d.Disk.Snap = w.Snap
-		if w.First == 0 {
+		if w.FirstIndex == 0 {
 			d.Disk.Entries = nil
 		}
 	}
@@ -36,7 +36,7 @@
 		d.Disk.Entries = slices.DeleteFunc(slices.Clone(d.Disk.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= first })
 		d.Disk.Entries = append(d.Disk.Entries, w.Entries...)
 	}
-	if w.First > 0 {
-		d.Disk.Entries = slices.DeleteFunc(slices.Clone(d.Disk.Entries), func(e *pb.Entry) bool { return e.GetIndex() < w.First })
+	if w.FirstIndex > 0 {
+		d.Disk.Entries = slices.DeleteFunc(slices.Clone(d.Disk.Entries), func(e *pb.Entry) bool { return e.GetIndex() < w.FirstIndex })
 	}
 }
--- a/internal/fleet/fleetsim/fleetsim.go
+++ b/internal/fleet/fleetsim/fleetsim.go
@@ -44,13 +44,13 @@
 	Name          string
 	Core          *core.Core // nil: its process is not running
 	Disk          *Disk
-	ClockSkew     Time                     // added to its clock
-	Stopped       bool                     // its process is stopped: nothing runs, and messages are queued
-	KeptServers   map[uint32]uint64        // servers to keep free, each with its work
-	KeptFronts    map[string]uint64        // fronts to keep free, each with its work
-	Returned      map[uint32]Time          // when servers came back from work
-	Sessions      map[uint32]core.Standing // sessions that this front has, by server
-	queued        [][2]any                 // sender and content of each message that came while the process was stopped
+	ClockSkew     Time                       // added to its clock
+	Stopped       bool                       // its process is stopped: nothing runs, and messages are queued
+	KeptServers   map[uint32]uint64          // servers to keep free, each with its work
+	KeptFronts    map[string]uint64          // fronts to keep free, each with its work
+	Returned      map[uint32]Time            // when servers came back from work
+	Sessions      map[uint32]core.ServerLoad // sessions that this front has, by server
+	queued        [][2]any                   // sender and content of each message that came while the process was stopped
 	meta          core.Meta
 	comparedIndex uint64 // index of the state that was compared most recently
 	Sent          uint64 // bytes
@@ -61,7 +61,7 @@
 // Disk holds what a front has written.
 type Disk struct {
 	Identity quorum.Identity
-	Lives    quorum.Lives
+	Lives    quorum.Incarnations
 	Disk     quorum.Disk
 	State    []byte
 }
@@ -69,7 +69,7 @@
 // Copy gives a copy, for restoring an older state later.
 func (d *Disk) Copy() *Disk {
 	c := *d
-	c.Lives = quorum.Lives{}
+	c.Lives = quorum.Incarnations{}
 	for k, v := range d.Lives {
 		c.Lives[k] = v
 	}
@@ -84,7 +84,7 @@
 	Fronts         []*Front
 	ByName         map[string]*Front
 	Blocked        func(from, to string) bool // messages from one front to another are dropped
-	Replies        map[uint64]ledger.Answer
+	Replies        map[uint64]ledger.CommandResult
 	Changes        []ledger.Change // each as the first front that applied it reported it
 	GrantLearnedAt map[uint64]map[string]Time
 	Errors         []string // violated invariants; must stay empty
@@ -130,17 +130,17 @@
 		cfg.SuspectTimeout = 3 * Second
 	}
 	f := &Fleet{Config: cfg, Now: 1_700_000_000 * Second, ByName: map[string]*Front{},
-		Replies: map[uint64]ledger.Answer{}, rng: rand.New(rand.NewSource(cfg.Seed)),
+		Replies: map[uint64]ledger.CommandResult{}, rng: rand.New(rand.NewSource(cfg.Seed)),
 		digests: map[uint64][]byte{}, seenChanges: map[string]bool{}, lastReachable: map[[2]string]Time{},
 		GrantLearnedAt: map[uint64]map[string]Time{}, lossyPaths: map[[2]string]bool{}}
 	for i := range cfg.Fronts {
-		x := &Front{Name: fmt.Sprintf("f%03d", i+1), Disk: &Disk{}, Sessions: map[uint32]core.Standing{}}
+		x := &Front{Name: fmt.Sprintf("f%03d", i+1), Disk: &Disk{}, Sessions: map[uint32]core.ServerLoad{}}
 		f.Fronts = append(f.Fronts, x)
 		f.ByName[x.Name] = x
 	}
 	for _, x := range f.Fronts {
 		f.Start(x)
-		f.scheduleAt(f.Now+f.rng.Int63n(core.TickEvery), func() { f.tick(x) })
+		f.scheduleAt(f.Now+f.rng.Int63n(core.TickInterval), func() { f.tick(x) })
 	}
 	f.scheduleAt(f.Now, f.updateMembers)
 	return f
@@ -190,15 +190,15 @@
 	d := x.Disk
 	disk := &quorum.Disk{Hard: d.Disk.Hard, Snap: d.Disk.Snap, Entries: slices.Clone(d.Disk.Entries)}
 	lives := d.Copy().Lives
-	c, err := core.New(f.Now+x.ClockSkew, core.Config{Me: x.Name, Cluster: "sim", Voters: f.voters(),
-		Limits: f.Config.Limits, Times: f.Config.Timeouts, Stale: 15 * Second, Draw: f.rng.Uint64, Log: &raft.DefaultLogger{Logger: discardLogger()}},
-		core.Start{Identity: d.Identity, Lives: lives, Disk: disk, State: d.State})
+	c, err := core.New(f.Now+x.ClockSkew, core.Config{Name: x.Name, Cluster: "sim", Voters: f.voters(),
+		Limits: f.Config.Limits, Timeouts: f.Config.Timeouts, StaleAfter: 15 * Second, Random: f.rng.Uint64, Log: &raft.DefaultLogger{Logger: discardLogger()}},
+		core.StoredState{Identity: d.Identity, Incarnations: lives, Disk: disk, State: d.State})
 	if err != nil {
 		f.Errors = append(f.Errors, x.Name+": "+err.Error())
 		return
 	}
 	x.Core, x.queued, x.Stopped = c, nil, false
-	c.Servers(f.Now+x.ClockSkew, f.servers, f.groups)
+	c.SetServers(f.Now+x.ClockSkew, f.servers, f.groups)
 	f.applyEffects(x)
 }
 
@@ -210,17 +210,17 @@
 	f.servers, f.groups = list, groups
 	for _, x := range f.Fronts {
 		if x.Core != nil {
-			x.Core.Servers(f.Now+x.ClockSkew, list, groups)
+			x.Core.SetServers(f.Now+x.ClockSkew, list, groups)
 		}
 	}
 }
 
 func (f *Fleet) tick(x *Front) {
-	f.scheduleAt(f.Now+core.TickEvery, func() { f.tick(x) })
+	f.scheduleAt(f.Now+core.TickInterval, func() { f.tick(x) })
 	if x.Core == nil || x.Stopped {
 		return
 	}
-	x.Core.Mine(f.Now+x.ClockSkew, x.Sessions)
+	x.Core.SetOwnLoad(f.Now+x.ClockSkew, x.Sessions)
 	x.Core.Tick(f.Now + x.ClockSkew)
 	f.applyEffects(x)
 }
@@ -262,7 +262,7 @@
 			}
 			list = append(list, core.Member{Name: y.Name, Alive: f.Now-since < f.Config.SuspectTimeout, Meta: y.meta})
 		}
-		x.Core.Members(f.Now+x.ClockSkew, list)
+		x.Core.SetMembers(f.Now+x.ClockSkew, list)
 		f.applyEffects(x)
 	}
 }
@@ -288,7 +288,7 @@
 		}
 	default:
 		to.Received += uint64(len(b))
-		to.Core.Message(f.Now+to.ClockSkew, from, b)
+		to.Core.Receive(f.Now+to.ClockSkew, from, b)
 		f.applyEffects(to)
 	}
 }
@@ -308,28 +308,28 @@
 
 // applyEffects carries out a front's effects in order: a write is on disk before any later message is sent.
 func (f *Fleet) applyEffects(x *Front) {
-	for list := x.Core.Take(); len(list) > 0; list = x.Core.Take() {
+	for list := x.Core.TakeEffects(); len(list) > 0; list = x.Core.TakeEffects() {
 		for _, e := range list {
 			switch e := e.(type) {
 			case core.Write:
 				x.Disk.write(e)
 			case core.Send:
-				x.Sent += uint64(len(e.B))
+				x.Sent += uint64(len(e.Data))
 				to := f.ByName[e.To]
 				if to == nil || !f.Reaches(x.Name, e.To) || f.dropsMessage(x.Name, e.To) {
 					continue
 				}
-				name, b := x.Name, e.B
+				name, b := x.Name, e.Data
 				f.scheduleAt(f.Now+Millisecond+f.rng.Int63n(4*Millisecond), func() { f.deliver(to, name, b) })
-			case core.Tell:
+			case core.AnnounceMeta:
 				x.meta = e.Meta
-			case core.Keeps:
+			case core.Reservations:
 				x.KeptServers, x.KeptFronts, x.Returned = e.Servers, e.Fronts, e.Returned
 			case core.Reply:
-				f.Replies[e.Handle] = e.Answer
-			case core.Changed:
+				f.Replies[e.Handle] = e.Result
+			case core.PhaseChanged:
 				f.recordChange(x, e.Change)
-			case core.Note:
+			case core.LogMessage:
 				if len(x.Log) < 1000 {
 					x.Log = append(x.Log, e.Text)
 				}
@@ -384,7 +384,7 @@
 func (f *Fleet) Leader() *Front {
 	var leader *Front
 	for _, x := range f.Fronts[:f.Config.Voters] {
-		if x.Core != nil && !x.Stopped && x.Core.Lead() == x.Name &&
+		if x.Core != nil && !x.Stopped && x.Core.Leader() == x.Name &&
 			(leader == nil || x.Core.State().Index > leader.Core.State().Index) {
 			leader = x
 		}
--- a/internal/fleet/fleetsim/fleetsim_test.go
+++ b/internal/fleet/fleetsim/fleetsim_test.go
@@ -15,7 +15,7 @@
 func serverList(n, perRack int) (servers []core.Server) {
 	for i := range n {
 		servers = append(servers, core.Server{ID: uint32(i + 1), Rack: i / perRack, Zone: i / perRack / 2,
-			KB: 1000, Ready: true})
+			LinkKB: 1000, Ready: true})
 	}
 	return servers
 }
@@ -35,12 +35,12 @@
 
 // workRequest makes a request for work on servers of serverList(12, 3).
 func workRequest(key string, servers ...uint32) ledger.Entry {
-	a := &ledger.Ask{For: 20 * Second}
+	a := &ledger.Request{WorkDuration: 20 * Second}
 	for _, s := range servers {
 		a.Servers = append(a.Servers, ledger.Place{Server: s, Rack: int(s-1) / 3, Zone: int(s-1) / 6})
 		a.Names = append(a.Names, fmt.Sprintf("server:%d", s))
 	}
-	return ledger.Entry{Kind: ledger.KindAsk, Key: key, Ask: a}
+	return ledger.Entry{Kind: ledger.KindRequest, Key: key, Request: a}
 }
 
 // phase gives the phase of a work as the front with the highest index has it.
@@ -65,7 +65,7 @@
 			t.Log(x.Name, x.Log)
 			if x.Core != nil {
 				t.Logf("%+v", x.Core.Stats)
-				why, _ := x.Core.Why(id)
+				why, _ := x.Core.WaitReason(id)
 				t.Logf("%+v", why)
 			}
 		}
@@ -73,7 +73,7 @@
 	}
 }
 
-func (f *Fleet) waitForAnswer(t *testing.T, h uint64) ledger.Answer {
+func (f *Fleet) waitForAnswer(t *testing.T, h uint64) ledger.CommandResult {
 	t.Helper()
 	if !f.RunUntil(15*Second, func() bool { _, ok := f.Replies[h]; return ok }) {
 		t.Fatal("a command was not answered")
@@ -92,7 +92,7 @@
 // is out and comes back, and every front keeps it free meanwhile.
 func TestServerStaysFreeUntilWorkIsDone(t *testing.T) {
 	f := newSmallFleet(t, 1)
-	f.Fronts[4].Sessions = map[uint32]core.Standing{7: {Sessions: 3, KB: 600}}
+	f.Fronts[4].Sessions = map[uint32]core.ServerLoad{7: {Sessions: 3, KB: 600}}
 	id := f.waitForAnswer(t, f.Command(f.Fronts[3], workRequest("a", 7))).ID
 	f.waitForPhase(t, id, ledger.Draining, 20*Second)
 	f.Run(10 * Second)
@@ -104,7 +104,7 @@
 			t.Errorf("%s does not keep a draining server free", x.Name)
 		}
 	}
-	f.Fronts[4].Sessions = map[uint32]core.Standing{}
+	f.Fronts[4].Sessions = map[uint32]core.ServerLoad{}
 	f.waitForPhase(t, id, ledger.Out, 5*Second)
 	f.waitForAnswer(t, f.Command(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "b", ID: id}))
 	f.waitForPhase(t, id, ledger.Back, Second)
@@ -122,12 +122,12 @@
 // their timeouts expire.
 func TestTimeoutsEndDrainAndWork(t *testing.T) {
 	f := newSmallFleet(t, 2)
-	f.Fronts[1].Sessions = map[uint32]core.Standing{1: {Sessions: 1, KB: 100}}
+	f.Fronts[1].Sessions = map[uint32]core.ServerLoad{1: {Sessions: 1, KB: 100}}
 	a := f.waitForAnswer(t, f.Command(f.Fronts[0], workRequest("a", 1))).ID
 	f.waitForPhase(t, a, ledger.Draining, 20*Second)
 	b := f.waitForAnswer(t, f.Command(f.Fronts[0], workRequest("b", 2))).ID // in the same rack
 	f.waitForPhase(t, a, ledger.Out, 90*Second)
-	if why, _ := f.Leader().Core.Why(b); why.Limit != "rack" || f.phase(b) != ledger.Asked {
+	if why, _ := f.Leader().Core.WaitReason(b); why.Limit != "rack" || f.phase(b) != ledger.Requested {
 		t.Errorf("second request in one rack: %s, %+v", f.phase(b), why)
 	}
 	f.waitForPhase(t, a, ledger.Done, 70*Second)
--- a/internal/fleet/fleetsim/scale_test.go
+++ b/internal/fleet/fleetsim/scale_test.go
@@ -24,12 +24,12 @@
 			Patience: 60 * Second}})
 	var servers []core.Server
 	for i := range 200 {
-		servers = append(servers, core.Server{ID: uint32(i + 1), Rack: i / 5, Zone: i / 20, KB: 100_000, Ready: true})
+		servers = append(servers, core.Server{ID: uint32(i + 1), Rack: i / 5, Zone: i / 20, LinkKB: 100_000, Ready: true})
 	}
 	f.Servers(servers, nil)
 	for _, x := range f.Fronts {
 		for range 10 {
-			x.Sessions[uint32(f.rng.Intn(200)+1)] = core.Standing{Sessions: 2, KB: 2000, Paid: 1}
+			x.Sessions[uint32(f.rng.Intn(200)+1)] = core.ServerLoad{Sessions: 2, KB: 2000, Paid: 1}
 		}
 	}
 	if !f.RunUntil(60*Second, func() bool { return f.Leader() != nil }) {
@@ -79,13 +79,13 @@
 	b.Helper()
 	startedAt := f.Now
 	for i := range 200 {
-		e := ledger.Entry{Kind: ledger.KindAsk, Key: fmt.Sprint("w", i), Ask: &ledger.Ask{Names: []string{fmt.Sprint("server:", i+1)}, For: 30 * Second,
+		e := ledger.Entry{Kind: ledger.KindRequest, Key: fmt.Sprint("w", i), Request: &ledger.Request{Names: []string{fmt.Sprint("server:", i+1)}, WorkDuration: 30 * Second,
 			Servers: []ledger.Place{{Server: uint32(i + 1), Rack: i / 5, Zone: i / 20}}}}
 		f.Command(f.Fronts[f.rng.Intn(3)], e)
 		f.Run(20 * Millisecond)
 	}
 	for _, x := range f.Fronts { // no sessions remain, so that only the time of the upkeep itself is measured
-		x.Sessions = map[uint32]core.Standing{}
+		x.Sessions = map[uint32]core.ServerLoad{}
 	}
 	reported := map[uint64]bool{}
 	for f.Now-startedAt < 3600*Second {
@@ -99,7 +99,7 @@
 			if !w.Phase.Ended() {
 				open++
 			}
-			if w.Phase == ledger.Out && f.Now-w.Out >= 30*Second && !reported[w.ID] {
+			if w.Phase == ledger.Out && f.Now-w.OutAt >= 30*Second && !reported[w.ID] {
 				reported[w.ID] = true
 				f.Command(leader, ledger.Entry{Kind: ledger.KindDone, Key: fmt.Sprint("d", w.ID), ID: w.ID})
 			}
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -34,7 +34,7 @@
 
 // The kinds of entry.
 const (
-	KindAsk     Kind = "ask"     // requests work
+	KindRequest Kind = "ask"     // requests work
 	KindGrant   Kind = "grant"   // grants it
 	KindAdvance Kind = "advance" // moves it to its next phase
 	KindRefuse  Kind = "refuse"  // refuses it: it can never be granted
@@ -44,30 +44,30 @@
 
 // Entry is one step of the record.
 type Entry struct {
-	V    int    `json:"v"`
-	Kind Kind   `json:"kind"`
-	At   Time   `json:"at"`            // the proposer's clock, Unix nanoseconds
-	Key  string `json:"key,omitempty"` // of a command, chosen by its sender: a repeated command changes nothing
-	From string `json:"from"`          // the front that proposed it
+	Format int    `json:"v"`
+	Kind   Kind   `json:"kind"`
+	At     Time   `json:"at"`            // the proposer's clock, Unix nanoseconds
+	Key    string `json:"key,omitempty"` // of a command, chosen by its sender: a repeated command changes nothing
+	From   string `json:"from"`          // the front that proposed it
 
-	ID        uint64 `json:"id,omitempty"`    // the work
-	Basis     uint64 `json:"basis,omitempty"` // of a grant: the last grant that it was decided on
-	Fence     uint64 `json:"fence,omitempty"` // of an advance: index of the grant that it belongs to
-	PrevPhase Phase  `json:"was,omitempty"`
-	NextPhase Phase  `json:"to,omitempty"`
-	Deadline  Time   `json:"until,omitempty"` // when the new phase ends at the latest
-	Reason    string `json:"why,omitempty"`
-	Ask       *Ask   `json:"ask,omitempty"`
+	ID        uint64   `json:"id,omitempty"`    // the work
+	Basis     uint64   `json:"basis,omitempty"` // of a grant: the last grant that it was decided on
+	Fence     uint64   `json:"fence,omitempty"` // of an advance: index of the grant that it belongs to
+	PrevPhase Phase    `json:"was,omitempty"`
+	NextPhase Phase    `json:"to,omitempty"`
+	Deadline  Time     `json:"until,omitempty"` // when the new phase ends at the latest
+	Reason    string   `json:"why,omitempty"`
+	Request   *Request `json:"ask,omitempty"`
 }
 
 // Request is a request for work on machines.
-type Ask struct {
-	Names   []string `json:"names"` // as requested: server:7, rack:2, front:f3
-	Servers []Place  `json:"servers,omitempty"`
-	Fronts  []string `json:"fronts,omitempty"`
-	For     Time     `json:"for"`
-	By      Time     `json:"by,omitempty"`
-	Note    string   `json:"note,omitempty"`
+type Request struct {
+	Names        []string `json:"names"` // as requested: server:7, rack:2, front:f3
+	Servers      []Place  `json:"servers,omitempty"`
+	Fronts       []string `json:"fronts,omitempty"`
+	WorkDuration Time     `json:"for"`
+	Deadline     Time     `json:"by,omitempty"`
+	Note         string   `json:"note,omitempty"`
 }
 
 // Place is a server with its rack and zone at the time of the request.
@@ -82,7 +82,7 @@
 
 // The phases in order; the last three are final.
 const (
-	Asked     Phase = "asked"
+	Requested Phase = "asked"
 	Granted   Phase = "granted"  // fronts are being notified; a notified front sends no new sessions there
 	Draining  Phase = "draining" // all fronts have acknowledged; sessions there move away or end
 	Out       Phase = "out"      // the machines are out of service, at the disposal of the requester
@@ -103,52 +103,52 @@
 
 // Work is a request for work and its progress.
 type Work struct {
-	ID    uint64 `json:"id"` // the index of the entry that requested it
-	Ask   Ask    `json:"ask"`
-	From  string `json:"from"`
-	Asked Time   `json:"asked"`
-	Phase Phase  `json:"phase"`
-	Since Time   `json:"since"`
-	Until Time   `json:"until,omitempty"`
-	Fence uint64 `json:"fence,omitempty"` // the index of the entry that granted it
-	Out   Time   `json:"out,omitempty"`   // when it went out of service
-	Why   string `json:"why,omitempty"`   // of the last change of phase
+	ID          uint64  `json:"id"` // the index of the entry that requested it
+	Request     Request `json:"ask"`
+	From        string  `json:"from"`
+	RequestedAt Time    `json:"asked"`
+	Phase       Phase   `json:"phase"`
+	Since       Time    `json:"since"`
+	Deadline    Time    `json:"until,omitempty"`
+	Fence       uint64  `json:"fence,omitempty"` // the index of the entry that granted it
+	OutAt       Time    `json:"out,omitempty"`   // when it went out of service
+	Reason      string  `json:"why,omitempty"`   // of the last change of phase
 }
 
 // CommandResult is the result of a command.
-type Answer struct {
+type CommandResult struct {
 	ID  uint64 `json:"id"`
 	Err string `json:"err,omitempty"`
 }
 
 // Change is a change of phase of one work, for the log and for the effects that follow.
 type Change struct {
-	Work Work
-	Was  Phase
-	From string
+	Work      Work
+	PrevPhase Phase
+	From      string
 }
 
 // State is the replicated state after the entries up to Index.
 type State struct {
-	Format     int               `json:"v"`
-	Cluster    string            `json:"cluster"` // identifies the record: entries of another record are not applied
-	Index      uint64            `json:"index"`   // of the last entry applied
-	Now        Time              `json:"now"`
-	LastGrant  uint64            `json:"granted"` // index of the last grant
-	Newer      int               `json:"newer"`   // the newest unsupported format of an entry; 0: none
-	Unreadable uint64            `json:"spoilt"`  // number of entries that could not be decoded
-	Works      []*Work           `json:"works"`   // by ID
-	Keys       map[string]Answer `json:"keys"`
-	KeyOrder   []string          `json:"order"` // the keys of Keys, oldest first
+	Format      int                      `json:"v"`
+	Cluster     string                   `json:"cluster"` // identifies the record: entries of another record are not applied
+	Index       uint64                   `json:"index"`   // of the last entry applied
+	Now         Time                     `json:"now"`
+	LastGrant   uint64                   `json:"granted"` // index of the last grant
+	NewerFormat int                      `json:"newer"`   // the newest unsupported format of an entry; 0: none
+	Unreadable  uint64                   `json:"spoilt"`  // number of entries that could not be decoded
+	Works       []*Work                  `json:"works"`   // by ID
+	Keys        map[string]CommandResult `json:"keys"`
+	KeyOrder    []string                 `json:"order"` // the keys of Keys, oldest first
 }
 
 // New returns an empty state.
-func New() *State { return &State{Format: Format, Keys: map[string]Answer{}} }
+func New() *State { return &State{Format: Format, Keys: map[string]CommandResult{}} }
 
 // Encode encodes an entry. An entry that is too long is rejected here, before it is sent.
 func (e Entry) Encode() ([]byte, error) {
-	if e.V == 0 {
-		e.V = Format
+	if e.Format == 0 {
+		e.Format = Format
 	}
 	b, err := json.Marshal(e)
 	if err == nil && len(b) > MaxEntryBytes {
@@ -169,12 +169,12 @@
 		return e, false, fmt.Errorf("entry: %w", err)
 	}
 	if head.V > Format {
-		return Entry{V: head.V}, true, nil
+		return Entry{Format: head.V}, true, nil
 	}
 	if err := json.Unmarshal(b, &e); err != nil {
 		return e, false, fmt.Errorf("entry: %w", err)
 	}
-	if e.V < 1 {
+	if e.Format < 1 {
 		return e, false, errors.New("entry: format number is missing")
 	}
 	return e, false, nil
@@ -192,7 +192,7 @@
 	e, newer, err := Decode(data)
 	switch {
 	case newer:
-		s.Newer = max(s.Newer, e.V)
+		s.NewerFormat = max(s.NewerFormat, e.Format)
 		return nil
 	case err != nil:
 		s.Unreadable++
@@ -247,7 +247,7 @@
 		return nil, fmt.Errorf("snapshot: its format is %d, this program knows %d", s.Format, Format)
 	}
 	if s.Keys == nil {
-		s.Keys = map[string]Answer{}
+		s.Keys = map[string]CommandResult{}
 	}
 	last := uint64(0)
 	for _, w := range s.Works {
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -20,7 +20,7 @@
 }
 
 func requestEntry(server uint32) Entry {
-	return Entry{Kind: KindAsk, Ask: &Ask{For: 1, Servers: []Place{{Server: server}}}}
+	return Entry{Kind: KindRequest, Request: &Request{WorkDuration: 1, Servers: []Place{{Server: server}}}}
 }
 
 // A grant that was decided on an older state, or a change of phase that does not fit the work, is rejected: two leaders
@@ -32,13 +32,13 @@
 	if len(mustApply(t, s, 4, Entry{Kind: KindGrant, ID: 2, Basis: 0})) != 1 {
 		t.Fatal("the first grant was rejected")
 	}
-	if len(mustApply(t, s, 5, Entry{Kind: KindGrant, ID: 3, Basis: 0})) != 0 || s.Work(3).Phase != Asked {
+	if len(mustApply(t, s, 5, Entry{Kind: KindGrant, ID: 3, Basis: 0})) != 0 || s.Work(3).Phase != Requested {
 		t.Fatal("a grant decided without the first one was applied")
 	}
 	for name, e := range map[string]Entry{
 		"another grant's fence": {Kind: KindAdvance, ID: 2, Fence: 3, PrevPhase: Granted, NextPhase: Draining},
 		"a phase left out":      {Kind: KindAdvance, ID: 2, Fence: 4, PrevPhase: Granted, NextPhase: Out},
-		"not granted":           {Kind: KindAdvance, ID: 3, PrevPhase: Asked, NextPhase: Out},
+		"not granted":           {Kind: KindAdvance, ID: 3, PrevPhase: Requested, NextPhase: Out},
 		"not out":               {Kind: KindDone, ID: 3},
 		"no such work":          {Kind: KindCancel, ID: 99},
 	} {
@@ -54,13 +54,13 @@
 	s := New()
 	s.Apply(2, []byte(`{"v":2,"kind":"ask","ask":{"for":"soon"}}`))
 	s.Apply(3, []byte(`{"v":1,"kind":`))
-	if s.Newer != 2 || s.Unreadable != 1 || len(s.Works) != 0 || s.Index != 3 {
+	if s.NewerFormat != 2 || s.Unreadable != 1 || len(s.Works) != 0 || s.Index != 3 {
 		t.Fatalf("%+v", s)
 	}
 	if _, err := Restore([]byte(`{"v":2}`)); err == nil || !strings.Contains(err.Error(), "format is 2") {
 		t.Fatalf("Restore of a snapshot of a newer format: %v", err)
 	}
-	if _, err := (Entry{Kind: KindAsk, Reason: strings.Repeat("x", MaxEntryBytes)}).Encode(); err == nil {
+	if _, err := (Entry{Kind: KindRequest, Reason: strings.Repeat("x", MaxEntryBytes)}).Encode(); err == nil {
 		t.Fatal("Encode accepted an entry longer than MaxEntryBytes")
 	}
 }
@@ -73,9 +73,9 @@
 		b := New()
 		for i := range rapid.IntRange(1, 60).Draw(t, "entries") {
 			id := uint64(rapid.IntRange(1, i+2).Draw(t, "id"))
-			e := Entry{Kind: rapid.SampledFrom([]Kind{KindAsk, KindGrant, KindAdvance, KindRefuse, KindCancel, KindDone, "no"}).Draw(t, "kind"),
+			e := Entry{Kind: rapid.SampledFrom([]Kind{KindRequest, KindGrant, KindAdvance, KindRefuse, KindCancel, KindDone, "no"}).Draw(t, "kind"),
 				At: Time(rapid.IntRange(0, 100).Draw(t, "at")), ID: id, Key: rapid.SampledFrom([]string{"", "", "x", "y"}).Draw(t, "key"),
-				Ask: requestEntry(uint32(id)).Ask, PrevPhase: rapid.SampledFrom([]Phase{Granted, Draining, Out, Back}).Draw(t, "was")}
+				Request: requestEntry(uint32(id)).Request, PrevPhase: rapid.SampledFrom([]Phase{Granted, Draining, Out, Back}).Draw(t, "was")}
 			e.NextPhase = map[Phase]Phase{Granted: Draining, Draining: Out, Out: Back, Back: Done}[e.PrevPhase]
 			if e.Basis = a.LastGrant; rapid.IntRange(0, 4).Draw(t, "old") == 0 {
 				e.Basis = 0
@@ -85,8 +85,8 @@
 			}
 			data, _ := e.Encode()
 			for _, c := range a.Apply(uint64(i+2), data) {
-				if c.Was.Ended() {
-					t.Fatalf("work in the final phase %s changed to %s", c.Was, c.Work.Phase)
+				if c.PrevPhase.Ended() {
+					t.Fatalf("work in the final phase %s changed to %s", c.PrevPhase, c.Work.Phase)
 				}
 			}
 			if len(a.Apply(uint64(i+2), data)) != 0 {
--- a/internal/fleet/node/control.go
+++ b/internal/fleet/node/control.go
@@ -31,32 +31,32 @@
 )
 
 // WorkRequest is the body of POST /upkeep/ask.
-type Ask struct {
-	Names []string      `json:"names"`
-	For   time.Duration `json:"for"`
-	By    int64         `json:"by,omitempty"` // Unix nanoseconds; 0: no deadline
-	Note  string        `json:"note,omitempty"`
-	Key   string        `json:"key"`
+type WorkRequest struct {
+	Names        []string      `json:"names"`
+	WorkDuration time.Duration `json:"for"`
+	Deadline     int64         `json:"by,omitempty"` // Unix nanoseconds; 0: no deadline
+	Note         string        `json:"note,omitempty"`
+	Key          string        `json:"key"`
 }
 
 // WorkCommand is the body of POST /upkeep/cancel and POST /upkeep/done.
-type Order struct {
+type WorkCommand struct {
 	ID  uint64 `json:"id"`
 	Key string `json:"key"`
 }
 
 // WorkStatus is a work as the control API reports it.
-type Shown struct {
+type WorkStatus struct {
 	ledger.Work
-	Waits *upkeep.Answer `json:"waits,omitempty"` // reported by the leader; absent: it did not answer
+	WaitReason *upkeep.Answer `json:"waits,omitempty"` // reported by the leader; absent: it did not answer
 }
 
 // Listing is the response of GET /upkeep.
 type Listing struct {
-	Front  string  `json:"front"`
-	Leader string  `json:"lead"`
-	Fresh  bool    `json:"fresh"`
-	Works  []Shown `json:"works"`
+	Front  string       `json:"front"`
+	Leader string       `json:"lead"`
+	Fresh  bool         `json:"fresh"`
+	Works  []WorkStatus `json:"works"`
 }
 
 func (n *Node) serveControl() (*control, error) {
@@ -87,7 +87,7 @@
 		writeReply(w, l, err)
 	})
 	mux.HandleFunc("POST /upkeep/ask", func(w http.ResponseWriter, r *http.Request) {
-		var a Ask
+		var a WorkRequest
 		if !decodeBody(w, r, &a) {
 			return
 		}
@@ -96,7 +96,7 @@
 	})
 	for path, kind := range map[string]ledger.Kind{"cancel": ledger.KindCancel, "done": ledger.KindDone} {
 		mux.HandleFunc("POST /upkeep/"+path, func(w http.ResponseWriter, r *http.Request) {
-			var o Order
+			var o WorkCommand
 			if decodeBody(w, r, &o) {
 				n.execute(w, r, ledger.Entry{Kind: kind, ID: o.ID, Key: o.Key}, nil)
 			}
@@ -119,19 +119,19 @@
 }
 
 // requestEntry checks a request as far as this front can and makes a ledger entry of it.
-func (n *Node) requestEntry(ctx context.Context, a Ask) (e ledger.Entry, err error) {
-	if a.For < time.Second || a.For > 30*24*time.Hour {
-		return e, fmt.Errorf("work of %v: the duration must be 1 s to 30 days", a.For)
+func (n *Node) requestEntry(ctx context.Context, a WorkRequest) (e ledger.Entry, err error) {
+	if a.WorkDuration < time.Second || a.WorkDuration > 30*24*time.Hour {
+		return e, fmt.Errorf("work of %v: the duration must be 1 s to 30 days", a.WorkDuration)
 	}
 	if len(a.Note) > 1000 || len(a.Key) > 100 {
 		return e, errors.New("the note is longer than 1000 or the key longer than 100 characters")
 	}
-	var request ledger.Ask
+	var request ledger.Request
 	if inspectErr := n.Inspect(ctx, func(c *core.Core) { request, err = c.Resolve(a.Names) }); inspectErr != nil {
 		return e, inspectErr
 	}
-	request.For, request.By, request.Note = int64(a.For), a.By, a.Note
-	return ledger.Entry{Kind: ledger.KindAsk, Key: a.Key, Ask: &request}, err
+	request.WorkDuration, request.Deadline, request.Note = int64(a.WorkDuration), a.Deadline, a.Note
+	return ledger.Entry{Kind: ledger.KindRequest, Key: a.Key, Request: &request}, err
 }
 
 // execute runs an entry as a command and writes its answer, or err as the response if there is one already.
@@ -150,22 +150,22 @@
 // so listing asks it and waits up to waitReasonTimeout for the reply.
 func (n *Node) listing(ctx context.Context, id uint64) (l Listing, err error) {
 	requestedAt := n.now()
-	if err := n.Inspect(ctx, func(c *core.Core) { c.AskWhy(requestedAt) }); err != nil {
+	if err := n.Inspect(ctx, func(c *core.Core) { c.RequestWaitReasons(requestedAt) }); err != nil {
 		return l, err
 	}
 	for deadline := time.Now().Add(waitReasonTimeout); ; {
 		var reasonsAt int64
 		err = n.Inspect(ctx, func(c *core.Core) {
-			l = Listing{Front: n.cfg.Name, Leader: c.Lead(), Fresh: c.Fresh()}
+			l = Listing{Front: n.cfg.Name, Leader: c.Leader(), Fresh: c.Fresh()}
 			var reasons map[uint64]upkeep.Answer
-			reasons, reasonsAt = c.Whys()
+			reasons, reasonsAt = c.WaitReasons()
 			for _, w := range c.State().Works {
 				if id != 0 && w.ID != id {
 					continue
 				}
-				s := Shown{Work: *w}
-				if a, ok := reasons[w.ID]; ok && reasonsAt >= requestedAt && w.Phase == ledger.Asked {
-					s.Waits = &a
+				s := WorkStatus{Work: *w}
+				if a, ok := reasons[w.ID]; ok && reasonsAt >= requestedAt && w.Phase == ledger.Requested {
+					s.WaitReason = &a
 				}
 				l.Works = append(l.Works, s)
 			}
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -24,22 +24,22 @@
 
 // Config is a front's part in its fleet, from its settings.
 type Config struct {
-	Name      string
-	Zone      int
-	Cluster   string
-	Listen    string // HOST:PORT, TCP and UDP
-	Advertise string // where others reach it; "": same as Listen
-	Join      []string
-	Via       map[string]string // addresses to use for members, by name, where they differ from the advertised ones
-	Keys      [][]byte          // the first encrypts, all decrypt
-	Voters    []string
-	Dir       string // "": nothing is stored; a voter needs a directory
-	Control   string // HOST:PORT of the control API; "": none
-	Limits    upkeep.Limits
-	Times     upkeep.Timeouts
-	Stale     time.Duration
-	RackKB    float64
-	Skew      time.Duration // added to this part's clock, for tests of clocks that differ
+	Name       string
+	Zone       int
+	Cluster    string
+	Listen     string // HOST:PORT, TCP and UDP
+	Advertise  string // where others reach it; "": same as Listen
+	Join       []string
+	Via        map[string]string // addresses to use for members, by name, where they differ from the advertised ones
+	Keys       [][]byte          // the first encrypts, all decrypt
+	Voters     []string
+	Dir        string // "": nothing is stored; a voter needs a directory
+	Control    string // HOST:PORT of the control API; "": none
+	Limits     upkeep.Limits
+	Timeouts   upkeep.Timeouts
+	StaleAfter time.Duration
+	RackKB     float64
+	ClockSkew  time.Duration // added to this part's clock, for tests of clocks that differ
 }
 
 // maxInbox limits the functions queued for the owner goroutine. membersRefreshTicks is the number of ticks between
@@ -61,8 +61,8 @@
 	stop           chan struct{}
 	done           chan struct{}
 	closeOnce      sync.Once
-	keepFree       func(core.Keeps)
-	replies        map[uint64]chan ledger.Answer
+	keepFree       func(core.Reservations)
+	replies        map[uint64]chan ledger.CommandResult
 	lastHandle     uint64
 	diskErr        error // the disk failed: nothing more is sent to the fleet
 	control        *control
@@ -70,11 +70,11 @@
 
 // New starts a front's part in its fleet. The owner goroutine calls keepFree with the servers and fronts to keep free
 // of new sessions; it must not block.
-func New(cfg Config, log zerolog.Logger, keepFree func(core.Keeps)) (*Node, error) {
+func New(cfg Config, log zerolog.Logger, keepFree func(core.Reservations)) (*Node, error) {
 	n := &Node{cfg: cfg, log: log.With().Str("part", "fleet").Logger(), inbox: make(chan func(), maxInbox),
 		membersChanged: make(chan struct{}, 1),
-		stop:           make(chan struct{}), done: make(chan struct{}), keepFree: keepFree, replies: map[uint64]chan ledger.Answer{}}
-	var start core.Start
+		stop:           make(chan struct{}), done: make(chan struct{}), keepFree: keepFree, replies: map[uint64]chan ledger.CommandResult{}}
+	var start core.StoredState
 	var err error
 	if cfg.Dir != "" {
 		if n.disk, start, err = disk.Open(filepath.Join(cfg.Dir, "fleet"), vfs.Default); err != nil {
@@ -87,8 +87,8 @@
 		}
 		return nil, err
 	}
-	n.core, err = core.New(n.now(), core.Config{Me: cfg.Name, Zone: cfg.Zone, Cluster: cfg.Cluster, Voters: cfg.Voters, Limits: cfg.Limits,
-		Times: cfg.Times, Stale: int64(cfg.Stale), RackKB: cfg.RackKB, Draw: rand.Uint64, Log: raftLog{n.log}}, start)
+	n.core, err = core.New(n.now(), core.Config{Name: cfg.Name, Zone: cfg.Zone, Cluster: cfg.Cluster, Voters: cfg.Voters, Limits: cfg.Limits,
+		Timeouts: cfg.Timeouts, StaleAfter: int64(cfg.StaleAfter), RackKB: cfg.RackKB, Random: rand.Uint64, Log: raftLog{n.log}}, start)
 	if err != nil {
 		return fail(err)
 	}
@@ -111,14 +111,14 @@
 	return n, nil
 }
 
-func (n *Node) now() int64 { return time.Now().Add(n.cfg.Skew).UnixNano() }
+func (n *Node) now() int64 { return time.Now().Add(n.cfg.ClockSkew).UnixNano() }
 
 var _ raft.Logger = raftLog{}
 
 // receive queues a message from a member. If the queue is full, the message is dropped: the sender repeats it.
 func (n *Node) receive(from string, b []byte) {
 	select {
-	case n.inbox <- func() { n.core.Message(n.now(), from, b) }:
+	case n.inbox <- func() { n.core.Receive(n.now(), from, b) }:
 	default:
 		n.members.Dropped.Add(1)
 	}
@@ -137,32 +137,32 @@
 }
 
 // SetServers passes the front's server list to the core, and which servers hold titles together.
-func (n *Node) Servers(list []core.Server, groups [][]uint32) {
-	n.enqueue(func() { n.core.Servers(n.now(), list, groups) })
+func (n *Node) SetServers(list []core.Server, groups [][]uint32) {
+	n.enqueue(func() { n.core.SetServers(n.now(), list, groups) })
 }
 
 // SetSessions passes to the core the sessions that this front has on each server.
-func (n *Node) Mine(mine map[uint32]core.Standing) {
-	n.enqueue(func() { n.core.Mine(n.now(), mine) })
+func (n *Node) SetSessions(mine map[uint32]core.ServerLoad) {
+	n.enqueue(func() { n.core.SetOwnLoad(n.now(), mine) })
 }
 
 // Command proposes an entry to the fleet and waits for the answer.
-func (n *Node) Command(ctx context.Context, e ledger.Entry) (ledger.Answer, error) {
-	reply := make(chan ledger.Answer, 1)
+func (n *Node) Command(ctx context.Context, e ledger.Entry) (ledger.CommandResult, error) {
+	reply := make(chan ledger.CommandResult, 1)
 	if !n.enqueue(func() {
 		n.lastHandle++
 		n.replies[n.lastHandle] = reply
 		n.core.Command(n.now(), n.lastHandle, e)
 	}) {
-		return ledger.Answer{}, fmt.Errorf("the command queue of this front's fleet part is full")
+		return ledger.CommandResult{}, fmt.Errorf("the command queue of this front's fleet part is full")
 	}
 	select {
 	case a := <-reply:
 		return a, nil
 	case <-ctx.Done():
-		return ledger.Answer{}, ctx.Err()
+		return ledger.CommandResult{}, ctx.Err()
 	case <-n.done:
-		return ledger.Answer{}, fmt.Errorf("the front has left service")
+		return ledger.CommandResult{}, fmt.Errorf("the front has left service")
 	}
 }
 
@@ -185,7 +185,7 @@
 // run is the owner goroutine: only it uses the core.
 func (n *Node) run() {
 	defer close(n.done)
-	ticker := time.NewTicker(time.Duration(core.TickEvery))
+	ticker := time.NewTicker(time.Duration(core.TickInterval))
 	defer ticker.Stop()
 	n.applyEffects()
 	ticks := 0
@@ -196,11 +196,11 @@
 		case f := <-n.inbox:
 			f()
 		case <-n.membersChanged:
-			n.core.Members(n.now(), n.members.all())
+			n.core.SetMembers(n.now(), n.members.all())
 		case <-ticker.C:
 			now := n.now()
 			if ticks++; ticks%membersRefreshTicks == 0 {
-				n.core.Members(now, n.members.all()) // so that the core forgets members that have left
+				n.core.SetMembers(now, n.members.all()) // so that the core forgets members that have left
 			}
 			n.core.Tick(now)
 		}
@@ -210,7 +210,7 @@
 
 // applyEffects carries out the core's effects in order: a write is on disk before any later message is sent.
 func (n *Node) applyEffects() {
-	for list := n.core.Take(); len(list) > 0; list = n.core.Take() {
+	for list := n.core.TakeEffects(); len(list) > 0; list = n.core.TakeEffects() {
 		for _, e := range list {
 			n.applyEffect(e)
 		}
@@ -230,24 +230,24 @@
 		}
 	case core.Send:
 		if n.diskErr == nil {
-			n.members.send(e.To, e.B)
+			n.members.send(e.To, e.Data)
 		}
-	case core.Tell:
+	case core.AnnounceMeta:
 		if err := n.members.setMeta(e.Meta); err != nil {
 			n.log.Error().Err(err).Msg("cannot publish this front's metadata")
 		}
-	case core.Keeps:
+	case core.Reservations:
 		n.keepFree(e)
 	case core.Reply:
 		if ch := n.replies[e.Handle]; ch != nil {
-			ch <- e.Answer
+			ch <- e.Result
 			delete(n.replies, e.Handle)
 		}
-	case core.Changed:
+	case core.PhaseChanged:
 		w := e.Change.Work
-		n.log.Info().Uint64("work", w.ID).Strs("machines", w.Ask.Names).Str("was", string(e.Change.Was)).Str("phase", string(w.Phase)).
-			Uint64("grant", w.Fence).Str("by", e.Change.From).Str("why", w.Why).Msg("upkeep")
-	case core.Note:
+		n.log.Info().Uint64("work", w.ID).Strs("machines", w.Request.Names).Str("was", string(e.Change.PrevPhase)).Str("phase", string(w.Phase)).
+			Uint64("grant", w.Fence).Str("by", e.Change.From).Str("why", w.Reason).Msg("upkeep")
+	case core.LogMessage:
 		n.log.Info().Msg(e.Text)
 	}
 }
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -45,7 +45,7 @@
 type front struct {
 	*Node
 	mu    sync.Mutex
-	keeps core.Keeps
+	keeps core.Reservations
 	log   bytes.Buffer
 }
 
@@ -60,16 +60,16 @@
 func start(t *testing.T, cfg Config) *front {
 	t.Helper()
 	f := &front{}
-	n, err := New(cfg, zerolog.New(f).Level(zerolog.InfoLevel), func(k core.Keeps) { f.mu.Lock(); f.keeps = k; f.mu.Unlock() })
+	n, err := New(cfg, zerolog.New(f).Level(zerolog.InfoLevel), func(k core.Reservations) { f.mu.Lock(); f.keeps = k; f.mu.Unlock() })
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Node = n
 	var list []core.Server
 	for i := range 6 {
-		list = append(list, core.Server{ID: uint32(i + 1), Rack: i / 2, KB: 1000, Ready: true})
+		list = append(list, core.Server{ID: uint32(i + 1), Rack: i / 2, LinkKB: 1000, Ready: true})
 	}
-	n.Servers(list, nil)
+	n.SetServers(list, nil)
 	return f
 }
 
@@ -114,7 +114,7 @@
 	cfg := func(i int) Config {
 		return Config{Name: fmt.Sprintf("f%d", i+1), Cluster: "test", Listen: addrs[i], Join: seeds, Keys: [][]byte{key}, Voters: []string{"f1", "f2", "f3"},
 			Dir: t.TempDir(), Control: "127.0.0.1:0", Limits: upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1, Patience: 1e9},
-			Times: upkeep.Timeouts{AckTimeout: 3e9, DrainTimeout: 10e9, ReturnTimeout: 60e9, WarmUpTime: 1e9}, Stale: 15 * time.Second}
+			Timeouts: upkeep.Timeouts{AckTimeout: 3e9, DrainTimeout: 10e9, ReturnTimeout: 60e9, WarmUpTime: 1e9}, StaleAfter: 15 * time.Second}
 	}
 	var fronts []*front
 	for i := range 4 {
@@ -128,14 +128,14 @@
 	}
 	waitFor(t, "all fronts know the leader", func() bool {
 		for _, f := range fronts {
-			if s := status(f); s.Lead == "" || !s.Fresh {
+			if s := status(f); s.Leader == "" || !s.Fresh {
 				return false
 			}
 		}
 		return true
 	})
-	var a ledger.Answer
-	if err := call(t, "POST", fronts[3].ControlAddr(), "/upkeep/ask", Ask{Names: []string{"server:1"}, For: 10 * time.Second, Key: "a"}, &a); err != nil || a.ID == 0 {
+	var a ledger.CommandResult
+	if err := call(t, "POST", fronts[3].ControlAddr(), "/upkeep/ask", WorkRequest{Names: []string{"server:1"}, WorkDuration: 10 * time.Second, Key: "a"}, &a); err != nil || a.ID == 0 {
 		t.Fatal(a, err)
 	}
 	phase := func(f *front, id uint64) (p ledger.Phase) {
@@ -151,20 +151,20 @@
 		waitFor(t, "every front keeps the server free", func() bool { return f.keptFor(1) == a.ID })
 		_ = i
 	}
-	var b ledger.Answer
-	if err := call(t, "POST", fronts[0].ControlAddr(), "/upkeep/ask", Ask{Names: []string{"2"}, For: 10 * time.Second, Key: "b"}, &b); err != nil || b.ID == 0 {
+	var b ledger.CommandResult
+	if err := call(t, "POST", fronts[0].ControlAddr(), "/upkeep/ask", WorkRequest{Names: []string{"2"}, WorkDuration: 10 * time.Second, Key: "b"}, &b); err != nil || b.ID == 0 {
 		t.Fatal(b, err)
 	}
 	for _, f := range fronts {
 		waitFor(t, "every front reports why the work waits", func() bool {
 			var l Listing
 			err := call(t, "GET", f.ControlAddr(), fmt.Sprintf("/upkeep/%d", b.ID), nil, &l)
-			return err == nil && len(l.Works) == 1 && l.Works[0].Waits != nil && l.Works[0].Waits.Limit == "rack" && l.Works[0].Waits.Behind[0] == a.ID
+			return err == nil && len(l.Works) == 1 && l.Works[0].WaitReason != nil && l.Works[0].WaitReason.Limit == "rack" && l.Works[0].WaitReason.Behind[0] == a.ID
 		})
 	}
-	for path, body := range map[string]any{"/upkeep/ask": map[string]any{"names": []string{"1"}, "why": 1}, "/upkeep/done": Order{ID: 999, Key: "x"},
-		"/upkeep/cancel": Order{ID: a.ID, Key: "y"}} {
-		var got ledger.Answer
+	for path, body := range map[string]any{"/upkeep/ask": map[string]any{"names": []string{"1"}, "why": 1}, "/upkeep/done": WorkCommand{ID: 999, Key: "x"},
+		"/upkeep/cancel": WorkCommand{ID: a.ID, Key: "y"}} {
+		var got ledger.CommandResult
 		if err := call(t, "POST", fronts[1].ControlAddr(), path, body, &got); err == nil && got.Err == "" {
 			t.Errorf("%s accepted %v", path, body)
 		}
@@ -186,10 +186,10 @@
 		}
 		return n >= 2
 	})
-	if s := status(fronts[0]); len(s.Here) != 4 {
-		t.Errorf("members: %+v", s.Here)
+	if s := status(fronts[0]); len(s.Fronts) != 4 {
+		t.Errorf("members: %+v", s.Fronts)
 	}
-	if err := call(t, "POST", fronts[2].ControlAddr(), "/upkeep/done", Order{ID: a.ID, Key: "d"}, &a); err != nil || a.Err != "" {
+	if err := call(t, "POST", fronts[2].ControlAddr(), "/upkeep/done", WorkCommand{ID: a.ID, Key: "d"}, &a); err != nil || a.Err != "" {
 		t.Fatal(a, err)
 	}
 	waitFor(t, "the work is done", func() bool { return phase(fronts[3], a.ID) == ledger.Done })
--- a/internal/fleet/quorum/lives.go
+++ b/internal/fleet/quorum/lives.go
@@ -15,9 +15,9 @@
 // sent, and the other voters store the latest incarnation of every ID that they have seen. A disk restored from an
 // older copy counts up to a number that they know with another nonce, and is treated as empty.
 type Identity struct {
-	ID    uint64 `json:"id"`
-	Life  uint64 `json:"life"` // number of starts of this disk
-	Nonce uint64 `json:"mark"` // random number of this incarnation
+	ID          uint64 `json:"id"`
+	Incarnation uint64 `json:"life"` // number of starts of this disk
+	Nonce       uint64 `json:"mark"` // random number of this incarnation
 }
 
 // NextIncarnation returns the identity of a new incarnation, to be written and synced before it is sent. An empty disk
@@ -26,20 +26,20 @@
 	for i.ID == 0 {
 		i.ID = random()
 	}
-	i.Life++
+	i.Incarnation++
 	i.Nonce = random()
 	return i
 }
 
 // Incarnations holds the latest incarnation seen of each ID.
-type Lives map[uint64]Identity
+type Incarnations map[uint64]Identity
 
 // MaxIncarnations limits the IDs stored: few voters are ever replaced.
 const MaxIncarnations = 1024
 
 // Record stores a received incarnation. changed means that l has changed and is to be written to disk; stale that the
 // incarnation is of a disk restored from an older copy: a later one is known, or another one with the same count.
-func (l Lives) Record(identity Identity) (changed, stale bool) {
+func (l Incarnations) Record(identity Identity) (changed, stale bool) {
 	if identity.ID == 0 {
 		return false, false
 	}
@@ -47,7 +47,7 @@
 	switch {
 	case !known && len(l) >= MaxIncarnations:
 		return false, false
-	case !known || identity.Life > stored.Life:
+	case !known || identity.Incarnation > stored.Incarnation:
 		l[identity.ID] = identity
 		return true, false
 	case identity == stored:
--- a/internal/hls/playlist.go
+++ b/internal/hls/playlist.go
@@ -46,13 +46,13 @@
 
 // MediaPlaylist is a media playlist. It is shared and must not be modified.
 type MediaPlaylist struct {
-	Version        int
-	TargetDuration time.Duration
-	Sequence       uint64 // of the first segment (section 4.3.3.2)
-	Discontinuity  uint64 // of the first segment (section 4.3.3.3)
-	Ended          bool   // ENDLIST
-	Type           string // VOD, EVENT or ""
-	Segments       []Segment
+	Version               int
+	TargetDuration        time.Duration
+	Sequence              uint64 // of the first segment (section 4.3.3.2)
+	DiscontinuitySequence uint64 // of the first segment (section 4.3.3.3)
+	Ended                 bool   // ENDLIST
+	Type                  string // VOD, EVENT or ""
+	Segments              []Segment
 }
 
 // TotalDuration returns the sum of the durations of all segments.
@@ -192,7 +192,7 @@
 				return nil, lineError(i, "MEDIA-SEQUENCE %.40q", value)
 			}
 		case tag == "#EXT-X-DISCONTINUITY-SEQUENCE":
-			if m.Discontinuity, err = strconv.ParseUint(value, 10, 62); err != nil || len(m.Segments) > 0 {
+			if m.DiscontinuitySequence, err = strconv.ParseUint(value, 10, 62); err != nil || len(m.Segments) > 0 {
 				return nil, lineError(i, "DISCONTINUITY-SEQUENCE %.40q", value)
 			}
 		case tag == "#EXT-X-PLAYLIST-TYPE":
--- a/internal/hls/render.go
+++ b/internal/hls/render.go
@@ -76,7 +76,7 @@
 		v.Parts = v.Parts[1:]
 		v.pastDiscontinuities++
 	}
-	discontinuity := m.Discontinuity + v.pastDiscontinuities
+	discontinuity := m.DiscontinuitySequence + v.pastDiscontinuities
 	for i := range m.Segments[:first-m.Sequence] {
 		if m.Segments[i].Discontinuity {
 			discontinuity++
--- a/internal/jsonrpc/jsonrpc.go
+++ b/internal/jsonrpc/jsonrpc.go
@@ -28,7 +28,7 @@
 	Method string
 	Params json.RawMessage
 	ID     json.RawMessage
-	Bad    *Error // set if the request is invalid; the error to respond with
+	Err    *Error // set if the request is invalid; the error to respond with
 }
 
 // Error is the error object of a response (section 5.1).
@@ -98,7 +98,7 @@
 		if id == nil {
 			id = json.RawMessage("null")
 		}
-		return Request{ID: id, Bad: &Error{Code: InvalidRequest, Message: reason}}, false
+		return Request{ID: id, Err: &Error{Code: InvalidRequest, Message: reason}}, false
 	}
 	var message struct {
 		Version json.RawMessage `json:"jsonrpc"`
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -45,7 +45,7 @@
 		if r.ID == nil {
 			id = "-"
 		}
-		if r.Method != c.method || id != c.id || (r.Bad != nil) != (c.code != 0) || r.Bad != nil && r.Bad.Code != c.code {
+		if r.Method != c.method || id != c.id || (r.Err != nil) != (c.code != 0) || r.Err != nil && r.Err.Code != c.code {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
@@ -53,13 +53,13 @@
 
 func TestParsesAndJoinsBatches(t *testing.T) {
 	list, batch, bad := Parse([]byte(`[{"jsonrpc":"2.0","method":"a","id":1},1]`))
-	if bad != nil || !batch || len(list) != 2 || list[1].Bad == nil {
+	if bad != nil || !batch || len(list) != 2 || list[1].Err == nil {
 		t.Fatal(list, batch, bad)
 	}
 	if _, _, bad := Parse([]byte("[" + strings.Repeat("1,", MaxBatch) + "1]")); bad == nil || bad.Code != InvalidRequest {
 		t.Fatal(bad)
 	}
-	if got := string(Join([][]byte{Result(list[0].ID, 5), Failure(nil, list[1].Bad)})); !json.Valid([]byte(got)) ||
+	if got := string(Join([][]byte{Result(list[0].ID, 5), Failure(nil, list[1].Err)})); !json.Valid([]byte(got)) ||
 		!strings.HasPrefix(got, `[{"jsonrpc":"2.0","result":5,"id":1},{"jsonrpc":"2.0","error":{"code":-32600`) {
 		t.Fatal(got)
 	}
@@ -103,7 +103,7 @@
 			return
 		}
 		list, batch, bad := Parse(in)
-		if bad != nil || batch || len(list) != 1 || list[0].Bad != nil || list[0].Method != string(method) || string(list[0].ID) != string(id) {
+		if bad != nil || batch || len(list) != 1 || list[0].Err != nil || list[0].Method != string(method) || string(list[0].ID) != string(id) {
 			t.Fatalf("peeked %q %q, parsed %+v %v", method, id, list, bad)
 		}
 		var p struct{ Class string }
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -72,7 +72,7 @@
 	}
 	c.seq++
 	id := fmt.Sprintf("c%d-%d", c.n, c.seq)
-	q.ask.What, q.ask.Who, q.ask.Call, q.ask.Front, q.ask.T = record.Ask, "player", id, c.name, time.Now().UnixNano()
+	q.ask.Kind, q.ask.Source, q.ask.Ref, q.ask.Front, q.ask.At = record.RequestSent, "player", id, c.name, time.Now().UnixNano()
 	c.pending[id] = q
 	nc := c.nc
 	c.r.rec.Add(q.ask)
@@ -175,7 +175,7 @@
 		c.playing[session] = struct{}{}
 	}
 	c.mu.Unlock()
-	e := record.Event{Who: "player", What: record.Reply, Front: c.name, Call: id, Text: kind, Session: number(session)}
+	e := record.Event{Source: "player", Kind: record.ReplyReceived, Front: c.name, Ref: id, Text: kind, Session: number(session)}
 	if q != nil {
 		e.Class, e.Viewer, e.Title = q.ask.Class, q.ask.Viewer, q.ask.Title
 	}
@@ -204,7 +204,7 @@
 	c.mu.Unlock()
 	for _, q := range pending {
 		e := q.ask
-		e.T, e.What = 0, record.Broken
+		e.At, e.Kind = 0, record.PlayerConnLost
 		c.r.rec.Add(e)
 		q.done("broken", "")
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -195,7 +195,7 @@
 		m["top"] = r.plan.Top
 	}
 	b, _ := json.Marshal(m)
-	return string(b), record.Event{Class: class, Title: r.plan.Titles[title], Viewer: playersim.Hash(name), Wait: int64(r.plan.Wait)}
+	return string(b), record.Event{Class: class, Title: r.plan.Titles[title], Viewer: playersim.Hash(name), Timeout: int64(r.plan.Wait)}
 }
 
 func (r *Runner) hold() time.Duration {
--- a/internal/manifest/hub.go
+++ b/internal/manifest/hub.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hls: %w", err)
 	}
-	h := &Hub{cfg: cfg, owner: owner, keys: keys, origin: newOrigin(owner.Now, cfg.Front.OriginWait), listener: ln,
+	h := &Hub{cfg: cfg, owner: owner, keys: keys, origin: newOrigin(owner.Now, cfg.Front.OriginTimeout), listener: ln,
 		slots: make(chan struct{}, maxRequests), sessions: map[uint64]*session{},
 		byViewer: map[viewerKey]*session{}, stop: make(chan struct{})}
 	h.server = &http.Server{Handler: h, ReadHeaderTimeout: 2 * time.Second, ReadTimeout: 5 * time.Second,
@@ -173,7 +173,7 @@
 
 // coreRequest returns the request to the core for the given claims, and false if the title or class is unknown.
 func (h *Hub) coreRequest(c hlstoken.Claims) (a front.Request, ok bool) {
-	t, ok := h.cfg.Place(c.Title, c.Class)
+	t, ok := h.cfg.Locate(c.Title, c.Class)
 	if !ok || c.Class < 0 || c.Class >= len(h.cfg.Classes) {
 		return a, false
 	}
@@ -216,7 +216,7 @@
 	c hlstoken.Claims, ownsSession bool, err error,
 ) {
 	q := r.URL.Query()
-	if _, ok := h.cfg.Place(title, 0); !ok {
+	if _, ok := h.cfg.Locate(title, 0); !ok {
 		return c, false, errUnknownTitle
 	}
 	c.Title = title
@@ -321,7 +321,7 @@
 	rand.Read(b[:])
 	c.Session = binary.LittleEndian.Uint64(b[:])
 	now := time.Now().Unix()
-	c.Issued, c.Expires = now, now+int64(h.cfg.Front.TokenFor/time.Second)
+	c.Issued, c.Expires = now, now+int64(h.cfg.Front.TokenTTL/time.Second)
 	return h.register(c, viewer, h.keys.Sign(c))
 }
 
--- a/internal/manifest/session.go
+++ b/internal/manifest/session.go
@@ -109,7 +109,7 @@
 		return true
 	}
 	s.refusal = refusal{failed: code == players.CodeFailed}
-	if d, ok := data.(players.NoData); ok {
+	if d, ok := data.(players.ErrorData); ok {
 		s.refusal.retryAfter = front.Time(d.RetryAfterMs) * 1e6
 		s.name = d.Session
 	}
--- a/internal/platform/node/client_gone_test.go
+++ b/internal/platform/node/client_gone_test.go
@@ -45,7 +45,7 @@
 // setUps returns the number of set-ups of a session that reached servers.
 func (x *testFront) setUps(sid uint64) (n int) {
 	for _, e := range x.world.Rec.Events() {
-		if e.What == record.Setup && e.Session == wire.Sid(sid) {
+		if e.Kind == record.SetupReceived && e.Session == wire.Sid(sid) {
 			n++
 		}
 	}
--- a/internal/platform/node/sessions_test.go
+++ b/internal/platform/node/sessions_test.go
@@ -141,15 +141,15 @@
 	x.closeAndAudit()
 	var setup, answer record.Event
 	for _, e := range good {
-		switch e.What {
-		case record.Setup:
+		switch e.Kind {
+		case record.SetupReceived:
 			setup = e
-		case record.Reply:
+		case record.ReplyReceived:
 			answer = e
 		}
 	}
-	repeated, drains := setup, record.Event{T: setup.T - int64(time.Second), What: record.Told, Front: platformsim.Front, Server: setup.Server, Health: "draining"}
-	repeated.Attempt, repeated.T = 1, setup.T+int64(time.Second)
+	repeated, drains := setup, record.Event{At: setup.At - int64(time.Second), Kind: record.ServerListed, Front: platformsim.Front, Server: setup.Server, Health: "draining"}
+	repeated.Attempt, repeated.At = 1, setup.At+int64(time.Second)
 	for rule, bad := range map[string][]record.Event{audit.RuleAnswer: append(good[:len(good):len(good)], answer),
 		audit.RuleOnce: append(good[:len(good):len(good)], repeated), audit.RuleDrain: {good[0], drains, setup}} {
 		if report, err := audit.Judge(bad); err != nil || report.Count(rule) == 0 {
--- a/internal/players/api.go
+++ b/internal/players/api.go
@@ -43,7 +43,7 @@
 }
 
 // ErrorData is the data of the errors "refused" and "failed".
-type NoData struct {
+type ErrorData struct {
 	Session      string `json:"session,omitempty"`
 	RetryAfterMs int64  `json:"retryAfterMs,omitempty"`
 }
@@ -78,8 +78,8 @@
 		}
 		call := &Call{Conn: c, id: bytes.Clone(r.ID), batch: answers, slot: slot}
 		slot++
-		if r.Bad != nil {
-			call.Fail(r.Bad.Code, r.Bad.Message, nil)
+		if r.Err != nil {
+			call.Fail(r.Err.Code, r.Err.Message, nil)
 			continue
 		}
 		switch r.Method {
@@ -118,7 +118,7 @@
 		call.Fail(jsonrpc.InvalidParams, err.Error(), nil)
 		return
 	}
-	placement, ok := c.hub.cfg.Place(p.Title, request.Class)
+	placement, ok := c.hub.cfg.Locate(p.Title, request.Class)
 	if !ok {
 		call.Fail(CodeUnknownTitle, fmt.Sprintf("no title %.60q", p.Title), nil)
 		return
@@ -128,7 +128,7 @@
 	if !c.hub.owner.Limited() { // otherwise refuseEarly has already asked the rate limiter
 		if retryAfter, ok := c.hub.owner.Admit(request.Class, request.Tenant); !ok {
 			c.hub.Stats.Busy.Add(1)
-			call.Fail(CodeRefused, "refused: busy", NoData{RetryAfterMs: retryAfter / policy.Millisecond})
+			call.Fail(CodeRefused, "refused: busy", ErrorData{RetryAfterMs: retryAfter / policy.Millisecond})
 			return
 		}
 	}
@@ -137,11 +137,11 @@
 		c.hub.owner.Open(call, request)
 	case overload.ConnectionFull:
 		call.Fail(CodeTooManyOpen, fmt.Sprintf("%d requests at most may be open on a connection",
-			c.hub.cfg.Front.OpenPerConnection), nil)
+			c.hub.cfg.Front.MaxOpenPerConnection), nil)
 	default:
 		c.hub.Stats.Busy.Add(1)
 		call.Fail(CodeRefused, "refused: busy ("+string(exceeded)+")",
-			NoData{RetryAfterMs: c.hub.cfg.Service.MaxRetryAfter / policy.Millisecond})
+			ErrorData{RetryAfterMs: c.hub.cfg.Service.MaxRetryAfter / policy.Millisecond})
 	}
 }
 
@@ -165,7 +165,7 @@
 	reply := fmt.Appendf(make([]byte, 0, 160),
 		`{"jsonrpc":"2.0","error":{"code":%d,"message":"refused: busy","data":{"retryAfterMs":%d}},"id":%s}`,
 		CodeRefused, retryAfter/policy.Millisecond, id)
-	c.sock.Out = wsock.Frame(c.sock.Out, ws.OpText, reply)
+	c.sock.Out = wsock.AppendFrame(c.sock.Out, ws.OpText, reply)
 	return true
 }
 
--- a/internal/players/players.go
+++ b/internal/players/players.go
@@ -101,8 +101,8 @@
 func New(cfg *config.Config, owner Owner) (*Hub, error) {
 	h := &Hub{cfg: cfg, owner: owner, conns: map[*Conn]struct{}{}, stop: make(chan struct{}),
 		openByTenant: make([]atomic.Int32, max(len(cfg.Tenants), 1)),
-		handshakes: overload.HandshakeLimiter{PerSecond: float64(cfg.Front.Handshakes),
-			Burst: float64(cfg.Front.Handshakes) / 4, MaxDelay: policy.Time(cfg.Front.HandshakeLine)}}
+		handshakes: overload.HandshakeLimiter{PerSecond: float64(cfg.Front.HandshakesPerSecond),
+			Burst: float64(cfg.Front.HandshakesPerSecond) / 4, MaxDelay: policy.Time(cfg.Front.MaxHandshakeDelay)}}
 	ln, err := transport.Listen(cfg.Front.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("players: %w", err)
@@ -144,12 +144,12 @@
 }
 
 func (h *Hub) onConnect(ctx context.Context, nc netpoll.Connection) context.Context {
-	c := &Conn{hub: h, sock: wsock.New(Path, h.cfg.Front.Message), Sessions: map[uint64]struct{}{},
-		writer: transport.NewWriter(nc, h.cfg.Front.WriteBuffer, h.cfg.Front.WriteWait)}
+	c := &Conn{hub: h, sock: wsock.New(Path, h.cfg.Front.MaxMessageBytes), Sessions: map[uint64]struct{}{},
+		writer: transport.NewWriter(nc, h.cfg.Front.MaxWriteBufferBytes, h.cfg.Front.WriteTimeout)}
 	c.lastReadAt.Store(int64(h.owner.Now()))
 	transport.OnClose(nc, c.onClose)
 	h.mu.Lock()
-	full := len(h.conns) >= h.cfg.Front.Connections
+	full := len(h.conns) >= h.cfg.Front.MaxConnections
 	if !full {
 		h.conns[c] = struct{}{}
 	}
@@ -193,11 +193,11 @@
 	c.handshake = append(c.handshake, b...)
 	nc.Reader().Release()
 	switch {
-	case c.state == handshakeDelayed && len(c.handshake) > 2*wsock.MaxHandshake:
+	case c.state == handshakeDelayed && len(c.handshake) > 2*wsock.MaxHandshakeBytes:
 		// A client must await the handshake response before it sends more.
 		nc.Close()
 	case c.state == handshakeIncomplete &&
-		(bytes.Contains(c.handshake, []byte("\r\n\r\n")) || len(c.handshake) > wsock.MaxHandshake):
+		(bytes.Contains(c.handshake, []byte("\r\n\r\n")) || len(c.handshake) > wsock.MaxHandshakeBytes):
 		c.admitHandshake()
 	}
 	return nil
@@ -258,7 +258,7 @@
 // pingIdleConns pings idle connections and closes those that stay idle.
 func (h *Hub) pingIdleConns() {
 	defer h.wg.Done()
-	ticker := time.NewTicker(max(h.cfg.Front.Ping/4, 25*time.Millisecond))
+	ticker := time.NewTicker(max(h.cfg.Front.PingInterval/4, 25*time.Millisecond))
 	defer ticker.Stop()
 	for {
 		select {
@@ -271,9 +271,9 @@
 		h.mu.Lock()
 		for c := range h.conns {
 			switch age := now - c.lastReadAt.Load(); {
-			case age >= int64(h.cfg.Front.Idle):
+			case age >= int64(h.cfg.Front.IdleTimeout):
 				expired = append(expired, c)
-			case age >= int64(h.cfg.Front.Ping) && c.lastPingAt.Load() <= c.lastReadAt.Load():
+			case age >= int64(h.cfg.Front.PingInterval) && c.lastPingAt.Load() <= c.lastReadAt.Load():
 				unpinged = append(unpinged, c)
 			}
 		}
@@ -284,14 +284,14 @@
 		}
 		for _, c := range unpinged {
 			c.lastPingAt.Store(now)
-			c.writer.Send(wsock.Frame(nil, ws.OpPing, nil))
+			c.writer.Send(wsock.AppendFrame(nil, ws.OpPing, nil))
 		}
 	}
 }
 
 // send writes a text message.
 func (c *Conn) send(text []byte) {
-	c.writer.Send(wsock.Frame(make([]byte, 0, len(text)+10), ws.OpText, text))
+	c.writer.Send(wsock.AppendFrame(make([]byte, 0, len(text)+10), ws.OpText, text))
 }
 
 // Notify sends a notification.
@@ -351,8 +351,8 @@
 // reserve counts the request as open, unless that would exceed a limit; it returns the exceeded limit.
 func (c *Call) reserve(tenant int) overload.Full {
 	h := c.Conn.hub
-	exceeded := overload.Limits{Front: h.cfg.Front.Open, Connection: h.cfg.Front.OpenPerConnection,
-		Tenant: h.cfg.Front.OpenPerTenant}.
+	exceeded := overload.Limits{Front: h.cfg.Front.MaxOpen, Connection: h.cfg.Front.MaxOpenPerConnection,
+		Tenant: h.cfg.Front.MaxOpenPerTenant}.
 		Check(int(h.openRequests.Load()), int(c.Conn.openRequests.Load()), int(h.openByTenant[tenant].Load()),
 			len(h.openByTenant))
 	if exceeded == overload.NotFull {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -19,77 +19,77 @@
 // Kinds of events.
 const (
 	// Events of a media server.
-	Start    = "start"    // its process started; Cold: it is cold
-	Die      = "die"      // its process died; Text: the reason
-	Setup    = "setup"    // a complete SETUP was received
-	Answer   = "answer"   // the response to a SETUP was written; Status; Lost: it was dropped on the way
-	Play     = "play"     // a stream started
-	Played   = "played"   // the response to its PLAY was written; Lost as above
-	Rung     = "rung"     // a stream's rung was set
-	Teardown = "teardown" // a TEARDOWN was received
-	End      = "end"      // a stream ended
-	ConnLost = "connlost" // a connection closed; requests pending on it have ended
-	Segment  = "segment"  // a segment was requested; Status 404: it does not exist
-	Share    = "share"    // the share of their rate that the server's streams get
+	ServerStarted    = "start"    // its process started; Cold: it is cold
+	ServerDied       = "die"      // its process died; Text: the reason
+	SetupReceived    = "setup"    // a complete SETUP was received
+	SetupAnswered    = "answer"   // the response to a SETUP was written; Status; Lost: it was dropped on the way
+	StreamStarted    = "play"     // a stream started
+	PlayAnswered     = "played"   // the response to its PLAY was written; Lost as above
+	RungSet          = "rung"     // a stream's rung was set
+	TeardownReceived = "teardown" // a TEARDOWN was received
+	StreamEnded      = "end"      // a stream ended
+	ServerConnEnded  = "connlost" // a connection closed; requests pending on it have ended
+	SegmentRequested = "segment"  // a segment was requested; Status 404: it does not exist
+	RateShare        = "share"    // the share of their rate that the server's streams get
 	// Events of the list service.
-	Told = "told" // a server was reported to a front: Health, StartedAt
+	ServerListed = "told" // a server was reported to a front: Health, StartedAt
 	// Events of a player.
-	Want  = "want"  // a viewer's first request; Worth, Length
-	Ask   = "ask"   // a request was written; Ref names it
-	Reply = "reply" // a reply was read; Text: plays, refused, failed or error
+	ViewerArrived = "want"  // a viewer's first request; Worth, Length
+	RequestSent   = "ask"   // a request was written; Ref names it
+	ReplyReceived = "reply" // a reply was read; Text: plays, refused, failed or error
 	// A media playlist was read. Ref: its address; Value: its media sequence; Length: its discontinuity sequence;
 	// Text: why it is not a playlist.
-	Manifest = "manifest"
-	Left     = "left"   // the player closed the connection or cancelled the request
-	Broken   = "broken" // the connection was lost
+	PlaylistRead   = "manifest"
+	PlayerLeft     = "left"   // the player closed the connection or cancelled the request
+	PlayerConnLost = "broken" // the connection was lost
 	// Events of upkeep work on machines, and of the relays between fronts.
-	WorkAsked   = "asked"   // work was requested; Ref: the command's key; Text: the machines
-	WorkEnded   = "ended"   // work ended; Ref: its number; Text: how and why
-	TakenOut    = "out"     // a server was released for work Ref: it belongs to whoever works on it
-	BroughtBack = "back"    // the server was started again
-	Deaf        = "deaf"    // a front was cut off from the others: it can't know what they agree on
-	Heard       = "heard"   // the front is connected to the others again
-	Sure        = "settled" // the fleet is idle: all work is expected to have ended
+	WorkRequested  = "asked"   // work was requested; Ref: the command's key; Text: the machines
+	WorkEnded      = "ended"   // work ended; Ref: its number; Text: how and why
+	ServerTakenOut = "out"     // a server was released for work Ref: it belongs to whoever works on it
+	ServerReturned = "back"    // the server was started again
+	FrontIsolated  = "deaf"    // a front was cut off from the others: it can't know what they agree on
+	FrontRejoined  = "heard"   // the front is connected to the others again
+	FleetSettled   = "settled" // the fleet is idle: all work is expected to have ended
 	// Events of the scripted day.
-	Rules    = "rules"    // the settings that the audit's rules use; Text: JSON
-	FrontUp  = "frontup"  // a front's process was started
-	Killed   = "killed"   // a front's process was killed
-	Stopped  = "stopped"  // a front's process was paused
-	Resumed  = "resumed"  // a paused front's process was resumed
-	Leaving  = "leaving"  // a front was told to leave service
-	Trouble  = "trouble"  // a fault started; Text: its name
-	Finished = "finished" // the day is over; a stream that still runs is orphaned
+	AuditRules    = "rules"    // the settings that the audit's rules use; Text: JSON
+	FrontStarted  = "frontup"  // a front's process was started
+	FrontKilled   = "killed"   // a front's process was killed
+	FrontPaused   = "stopped"  // a front's process was paused
+	FrontResumed  = "resumed"  // a paused front's process was resumed
+	FrontDraining = "leaving"  // a front was told to leave service
+	FaultStarted  = "trouble"  // a fault started; Text: its name
+	DayFinished   = "finished" // the day is over; a stream that still runs is orphaned
 )
 
 // Event is one line of a record.
 type Event struct {
-	T       int64   `json:"t"` // wall clock, nanoseconds since 1970
-	Who     string  `json:"who"`
-	What    string  `json:"what"`
-	Front   string  `json:"front,omitempty"`
-	Session string  `json:"session,omitempty"` // the number in its name, without the front's name
-	Attempt int     `json:"attempt,omitempty"`
-	Server  uint32  `json:"server,omitempty"`
-	Class   int     `json:"class,omitempty"`
-	Title   string  `json:"title,omitempty"`
-	Viewer  string  `json:"viewer,omitempty"`
-	Call    string  `json:"call,omitempty"`
-	Rung    int     `json:"rung,omitempty"`
-	Status  int     `json:"status,omitempty"`
-	Health  string  `json:"health,omitempty"`
-	Started int64   `json:"started,omitempty"`
-	Wait    int64   `json:"wait,omitempty"` // nanoseconds until the player gives up
-	Length  float64 `json:"length,omitempty"`
-	Value   float64 `json:"value,omitempty"`
-	Top     int     `json:"top,omitempty"`
-	Slots   float64 `json:"slots,omitempty"`
-	Cold    bool    `json:"cold,omitempty"`
-	Lost    bool    `json:"lost,omitempty"`
-	Text    string  `json:"text,omitempty"`
+	At        int64   `json:"t"` // wall clock, nanoseconds since 1970
+	Source    string  `json:"who"`
+	Kind      string  `json:"what"`
+	Front     string  `json:"front,omitempty"`
+	Session   string  `json:"session,omitempty"` // the number in its name, without the front's name
+	Attempt   int     `json:"attempt,omitempty"`
+	Server    uint32  `json:"server,omitempty"`
+	Class     int     `json:"class,omitempty"`
+	Title     string  `json:"title,omitempty"`
+	Viewer    string  `json:"viewer,omitempty"`
+	Ref       string  `json:"call,omitempty"`
+	Rung      int     `json:"rung,omitempty"`
+	Status    int     `json:"status,omitempty"`
+	Health    string  `json:"health,omitempty"`
+	StartedAt int64   `json:"started,omitempty"`
+	Timeout   int64   `json:"wait,omitempty"` // nanoseconds until the player gives up
+	Length    float64 `json:"length,omitempty"`
+	Value     float64 `json:"value,omitempty"`
+	Top       int     `json:"top,omitempty"`
+	Slots     float64 `json:"slots,omitempty"`
+	Cold      bool    `json:"cold,omitempty"`
+	Lost      bool    `json:"lost,omitempty"`
+	Text      string  `json:"text,omitempty"`
 }
 
 // AttemptKey returns a string that identifies the event's attempt.
-func (e *Event) Key() string { return fmt.Sprintf("%s/%s/%d", e.Front, e.Session, e.Attempt) }
+func (e *Event) AttemptKey() string { return fmt.Sprintf("%s/%s/%d", e.Front, e.Session, e.Attempt) }
 
 // Log records events. The zero value and nil discard them; it is safe for concurrent use.
 type Log struct {
@@ -102,7 +102,7 @@
 }
 
 // NewMemory returns a log that keeps events in memory.
-func Memory() *Log { return &Log{inMemory: true} }
+func NewMemory() *Log { return &Log{inMemory: true} }
 
 // Create returns a log that writes to a file.
 func Create(path string) (*Log, error) {
@@ -118,8 +118,8 @@
 	if l == nil {
 		return
 	}
-	if e.T == 0 {
-		e.T = time.Now().UnixNano()
+	if e.At == 0 {
+		e.At = time.Now().UnixNano()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,9 +161,9 @@
 func sortByTime(list []Event) []Event {
 	slices.SortStableFunc(list, func(a, b Event) int {
 		switch {
-		case a.T < b.T:
+		case a.At < b.At:
 			return -1
-		case a.T > b.T:
+		case a.At > b.At:
 			return 1
 		}
 		return 0
--- a/internal/rig/bench_test.go
+++ b/internal/rig/bench_test.go
@@ -17,7 +17,7 @@
 func BenchmarkSetup(b *testing.B) {
 	ctx := context.Background()
 	for range b.N {
-		s, err := day.Parse("rig", Site)
+		s, err := day.Parse("rig", DayScript)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -32,7 +32,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if !on.Whole(ctx, time.Minute) {
+		if !on.WaitUntilHealthy(ctx, time.Minute) {
 			b.Fatal("no healthy fleet within a minute")
 		}
 		var p50, p99 [2][]float64
--- a/internal/rig/commands.go
+++ b/internal/rig/commands.go
@@ -39,22 +39,22 @@
 }
 
 // RequestWork requests work on servers at a front and records the call.
-func (r *Rig) RequestWork(ctx context.Context, front int, key string, servers ...uint32) (ledger.Answer, error) {
+func (r *Rig) RequestWork(ctx context.Context, front int, key string, servers ...uint32) (ledger.CommandResult, error) {
 	var names []string
 	for _, s := range servers {
 		names = append(names, fmt.Sprint("server:", s))
 	}
-	r.Record().Add(record.Event{Who: "operator", What: record.WorkAsked, Call: key, Text: strings.Join(names, " ")})
-	return r.command(ctx, front, "ask", Call{Key: key}, node.Ask{Names: names, For: 3 * time.Second, Key: key})
+	r.Record().Add(record.Event{Source: "operator", Kind: record.WorkRequested, Ref: key, Text: strings.Join(names, " ")})
+	return r.command(ctx, front, "ask", Call{Key: key}, node.WorkRequest{Names: names, WorkDuration: 3 * time.Second, Key: key})
 }
 
 // CommandWork cancels a work or reports it done.
-func (r *Rig) CommandWork(ctx context.Context, front int, kind, key string, id uint64) (ledger.Answer, error) {
-	return r.command(ctx, front, kind, Call{Key: key, ID: id}, node.Order{ID: id, Key: key})
+func (r *Rig) CommandWork(ctx context.Context, front int, kind, key string, id uint64) (ledger.CommandResult, error) {
+	return r.command(ctx, front, kind, Call{Key: key, ID: id}, node.WorkCommand{ID: id, Key: key})
 }
 
 // command sends a command and records it with its answer, for the check of the history.
-func (r *Rig) command(ctx context.Context, front int, kind string, call Call, body any) (ledger.Answer, error) {
+func (r *Rig) command(ctx context.Context, front int, kind string, call Call, body any) (ledger.CommandResult, error) {
 	call.Kind, call.StartedAt = kind, time.Now().UnixNano()
 	err := r.call(ctx, front, "POST", "/upkeep/"+kind, body, &call.Answer)
 	call.EndedAt = time.Now().UnixNano()
@@ -93,7 +93,7 @@
 		ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 		s, err := r.Status(ctx, i)
 		cancel()
-		if err == nil && s.Fresh && s.Lead == s.Name {
+		if err == nil && s.Fresh && s.Leader == s.Name {
 			return i
 		}
 	}
--- a/internal/rig/dayscript.go
+++ b/internal/rig/dayscript.go
@@ -10,7 +10,7 @@
 
 // DayScript is the script of the day that fleets are tested on: 5 fronts, 12 servers in 6 racks and 3 zones, every
 // title on 6 of the servers.
-const Site = `(day (seed 5) (fronts 5) (servers 12) (titles 24) (copies 6) (media (slots 400) (link-kb 90000) (uplink-kb 400000)
+const DayScript = `(day (seed 5) (fronts 5) (servers 12) (titles 24) (copies 6) (media (slots 400) (link-kb 90000) (uplink-kb 400000)
   (setup 1ms) (keep 500ms)))
 (service
   (ladder (rung 200 0.25) (rung 400 0.6) (rung 800 1))
@@ -23,7 +23,7 @@
 
 // StartViewers starts a load of viewers until ctx ends or the timeout is over. The function it gives waits for the
 // last of them.
-func (r *Rig) Viewers(ctx context.Context, timeout time.Duration) (wait func() error) {
+func (r *Rig) StartViewers(ctx context.Context, timeout time.Duration) (wait func() error) {
 	done := make(chan error, 1)
 	go func() {
 		_, err := load.Run(ctx, load.Plan{Front: r.Front, Clients: 30, Rate: 25, Length: timeout,
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -55,11 +55,11 @@
 		return
 	}
 	r.isolated[front] = on
-	what := record.Heard
+	what := record.FrontRejoined
 	if on {
-		what = record.Deaf
+		what = record.FrontIsolated
 	}
-	r.Record().Add(record.Event{Who: "rig", What: what, Front: fmt.Sprintf("front-%d", front)})
+	r.Record().Add(record.Event{Source: "rig", Kind: what, Front: fmt.Sprintf("front-%d", front)})
 }
 
 // KillFront kills a front; its disk stays.
--- a/internal/rig/history_test.go
+++ b/internal/rig/history_test.go
@@ -11,11 +11,11 @@
 // with a lost answer is not.
 func TestLinearizableRefusesImpossibleHistories(t *testing.T) {
 	ask := func(key string, from, to int64, id uint64) Call {
-		return Call{Kind: "ask", Key: key, StartedAt: from, EndedAt: to, Answer: ledger.Answer{ID: id},
+		return Call{Kind: "ask", Key: key, StartedAt: from, EndedAt: to, Answer: ledger.CommandResult{ID: id},
 			Unknown: id == 0}
 	}
 	done := func(key string, from, to int64, id uint64) Call {
-		return Call{Kind: "done", Key: key, ID: id, StartedAt: from, EndedAt: to, Answer: ledger.Answer{ID: id}}
+		return Call{Kind: "done", Key: key, ID: id, StartedAt: from, EndedAt: to, Answer: ledger.CommandResult{ID: id}}
 	}
 	for name, c := range map[string]struct {
 		calls []Call
--- a/internal/rig/operator.go
+++ b/internal/rig/operator.go
@@ -40,7 +40,7 @@
 		j := r.jobs[x.ID]
 		if j == nil {
 			j = &job{}
-			for _, p := range x.Ask.Servers {
+			for _, p := range x.Request.Servers {
 				j.servers = append(j.servers, p.Server)
 			}
 			r.jobs[x.ID] = j
@@ -57,7 +57,7 @@
 			r.mu.Unlock()
 		}
 		if ended {
-			r.Record().Add(record.Event{Who: "operator", What: record.WorkEnded, Call: fmt.Sprint(x.ID), Text: string(x.Phase) + ": " + x.Why})
+			r.Record().Add(record.Event{Source: "operator", Kind: record.WorkEnded, Ref: fmt.Sprint(x.ID), Text: string(x.Phase) + ": " + x.Reason})
 		}
 	}
 }
@@ -79,7 +79,7 @@
 func (r *Rig) performWork(ctx context.Context, id uint64, j *job) {
 	defer r.group.Done()
 	for _, s := range j.servers {
-		r.Record().Add(record.Event{Who: "operator", What: record.TakenOut, Server: s, Call: fmt.Sprint(id)})
+		r.Record().Add(record.Event{Source: "operator", Kind: record.ServerTakenOut, Server: s, Ref: fmt.Sprint(id)})
 	}
 	time.Sleep(300 * time.Millisecond) // still running: set-ups that arrive now are recorded
 	var down []*mediasim.Server
@@ -101,7 +101,7 @@
 		}
 	}
 	for _, s := range j.servers {
-		r.Record().Add(record.Event{Who: "operator", What: record.BroughtBack, Server: s, Call: fmt.Sprint(id)})
+		r.Record().Add(record.Event{Source: "operator", Kind: record.ServerReturned, Server: s, Ref: fmt.Sprint(id)})
 	}
 	for try := 0; ctx.Err() == nil; try++ { // report to one front after another until one has it agreed on
 		front := try % r.fronts
@@ -139,7 +139,7 @@
 func (r *Rig) Judge(ctx context.Context, upkeep audit.Upkeep) (*audit.Report, error) {
 	r.cancel()
 	r.group.Wait()
-	r.Record().Add(record.Event{Who: "rig", What: record.Sure})
+	r.Record().Add(record.Event{Source: "rig", Kind: record.FleetSettled})
 	report, err := r.World.Judge(ctx)
 	if err != nil {
 		return nil, err
--- a/internal/rig/random.go
+++ b/internal/rig/random.go
@@ -38,7 +38,7 @@
 var kindWeights = []int{6, 5, 4, 4, 3, 4, 4, 3, 14, 2, 1, 1}
 
 // RandomScript draws a script with the given number of faults; steps of kinds ask and cancel are not counted.
-func Random(seed int64, faults, fronts, servers int) (list []Step) {
+func RandomScript(seed int64, faults, fronts, servers int) (list []Step) {
 	rng := rand.New(rand.NewSource(seed))
 	var choices []string
 	for i, k := range Kinds {
@@ -66,7 +66,7 @@
 }
 
 // WriteScript writes a script as text.
-func Write(w io.Writer, list []Step) error {
+func WriteScript(w io.Writer, list []Step) error {
 	fmt.Fprintln(w, "(faults")
 	for _, s := range list {
 		fmt.Fprintf(w, " (fault %v %s %d %d %v)\n", s.At, s.Kind, s.A, s.B, s.For)
@@ -79,7 +79,7 @@
 const maxSteps = 100_000
 
 // ReadScript reads a script; an error gives the position of the mistake.
-func Read(path, text string, fronts, servers int) (list []Step, err error) {
+func ReadScript(path, text string, fronts, servers int) (list []Step, err error) {
 	nodes, err := sexp.Read(path, text)
 	if err != nil {
 		return nil, err
@@ -98,9 +98,9 @@
 			argument := func(i int) *sexp.Node {
 				return &sexp.Node{Pos: f.Pos, IsList: true, List: []*sexp.Node{f.List[0], f.List[i]}}
 			}
-			s := Step{At: r.Span(argument(1), 0, 24*time.Hour), Kind: r.Choice(argument(2), Kinds...),
+			s := Step{At: r.Duration(argument(1), 0, 24*time.Hour), Kind: r.Choice(argument(2), Kinds...),
 				A: r.Int(argument(3), 0, fronts-1),
-				B: r.Int(argument(4), 0, max(fronts-1, servers)), For: r.Span(argument(5), 0, time.Hour)}
+				B: r.Int(argument(4), 0, max(fronts-1, servers)), For: r.Duration(argument(5), 0, time.Hour)}
 			if s.Kind != "ask" && s.Kind != "fail" && s.B >= fronts {
 				r.Fail(f, "%s: there is no front %d", s.Kind, s.B)
 			}
@@ -130,7 +130,7 @@
 	}
 	p.group.Wait()
 	r.Heal()
-	if !r.Whole(ctx, 60*time.Second) {
+	if !r.WaitUntilHealthy(ctx, 60*time.Second) {
 		return faults, fmt.Errorf("the fleet is not healthy a minute after the last fault")
 	}
 	return faults, p.firstErr
@@ -178,7 +178,7 @@
 			f()
 		}()
 	}
-	p.Record().Add(record.Event{Who: "rig", What: record.Trouble, Text: fmt.Sprintf("%s %d %d", s.Kind, s.A, s.B)})
+	p.Record().Add(record.Event{Source: "rig", Kind: record.FaultStarted, Text: fmt.Sprintf("%s %d %d", s.Kind, s.A, s.B)})
 	switch s.Kind {
 	case "kill":
 		if !p.reserve(s.A) {
@@ -270,7 +270,7 @@
 	voter := s.A % p.voters
 	p.group.Wait()
 	p.Heal()
-	if !p.Whole(ctx, 40*time.Second) {
+	if !p.WaitUntilHealthy(ctx, 40*time.Second) {
 		return false
 	}
 	p.KillFront(voter)
@@ -295,12 +295,12 @@
 	if err != nil && p.firstErr == nil {
 		p.firstErr = err
 	}
-	p.Whole(ctx, 40*time.Second)
+	p.WaitUntilHealthy(ctx, 40*time.Second)
 	return err == nil
 }
 
 // WaitUntilHealthy waits until the fleet is healthy; it gives false if it is not before the timeout.
-func (r *Rig) Whole(ctx context.Context, timeout time.Duration) bool {
+func (r *Rig) WaitUntilHealthy(ctx context.Context, timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		if r.healthy(ctx) {
 			return true
@@ -319,8 +319,8 @@
 		s, err := r.Status(statusCtx, i)
 		cancel()
 		present := 0
-		for _, h := range s.Here {
-			if h.Here {
+		for _, h := range s.Fronts {
+			if h.Alive {
 				present++
 			}
 		}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -47,7 +47,7 @@
 	Key                string
 	ID                 uint64
 	StartedAt, EndedAt int64
-	Answer             ledger.Answer
+	Answer             ledger.CommandResult
 	Unknown            bool // no answer, or one that does not say whether the command was carried out
 }
 
@@ -113,7 +113,7 @@
 }
 
 // WaitForWorks waits until all known works have ended, at most 2 minutes.
-func (r *Rig) AllSeen(ctx context.Context) {
+func (r *Rig) WaitForWorks(ctx context.Context) {
 	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		open := 0
 		r.mu.Lock()
