--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -28,7 +28,7 @@
 	var s *serve.Server
 	if err == nil {
 		if os.Getenv("APART") != "" { // the fleet's clocks differ by up to 5 s
-			cfg.Fleet.Skew = time.Duration(cfg.Front.Me%3-1) * 5 * time.Second / 2
+			cfg.Fleet.ClockSkew = time.Duration(cfg.Front.FrontIndex%3-1) * 5 * time.Second / 2
 		}
 		s, err = serve.New(cfg, zerolog.New(os.Stderr).Level(zerolog.InfoLevel).With().Timestamp().Logger())
 	}
@@ -47,7 +47,7 @@
 // openRig starts a rig with three voters.
 func openRig(t *testing.T, env ...string) (*Rig, context.Context) {
 	t.Helper()
-	s, err := day.Parse("rig", Site)
+	s, err := day.Parse("rig", DayScript)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	x := &trial{Rig: r, t: t, ctx: ctx, startedAt: time.Now()}
 	x.leader = waitUntilHealthy(t, r, ctx)
 	viewersCtx, stopViewers := context.WithCancel(ctx)
-	x.stopViewers, x.waitForViewers = stopViewers, r.Viewers(viewersCtx, 3*time.Minute)
+	x.stopViewers, x.waitForViewers = stopViewers, r.StartViewers(viewersCtx, 3*time.Minute)
 	return x
 }
 
@@ -157,7 +157,7 @@
 	if err := x.waitForViewers(); err != nil {
 		t.Error(err)
 	}
-	r.AllSeen(x.ctx)
+	r.WaitForWorks(x.ctx)
 	report, err := r.Judge(x.ctx, r.Rules())
 	if err != nil {
 		t.Fatal(err)
@@ -263,7 +263,7 @@
 		waitForPhase(t, r, ctx, 4, a, ledger.Out)
 		r.Split(x.leader, 4)
 		if y, err := r.RequestWork(ctx, 4, "minority", 11); err == nil && y.Err == "" &&
-			phase(r, ctx, 4, y.ID) != ledger.Asked {
+			phase(r, ctx, 4, y.ID) != ledger.Requested {
 			t.Errorf("the minority agreed: %+v", y)
 		}
 		b := requestWork(t, r, ctx, 3, "majority", 6)
@@ -280,7 +280,7 @@
 		time.Sleep(time.Second)
 		a := requestWork(t, r, ctx, 4, "beside a failed one", 1)
 		time.Sleep(3 * time.Second)
-		if p := phase(r, ctx, x.leader, a); p != ledger.Asked {
+		if p := phase(r, ctx, x.leader, a); p != ledger.Requested {
 			t.Errorf("phase %s while another machine of its rack has failed", p)
 		}
 		if err := m.Restart(); err != nil {
@@ -312,16 +312,16 @@
 // TestScriptRoundTrip: a random script is the same for the same seed and is read as it was written; an error in a
 // script has its position.
 func TestScriptRoundTrip(t *testing.T) {
-	list := Random(7, 50, 5, 12)
+	list := RandomScript(7, 50, 5, 12)
 	b := &strings.Builder{}
-	Write(b, list)
-	again, err := Read("s", b.String(), 5, 12)
-	if err != nil || !slices.Equal(list, again) || !slices.Equal(list, Random(7, 50, 5, 12)) {
+	WriteScript(b, list)
+	again, err := ReadScript("s", b.String(), 5, 12)
+	if err != nil || !slices.Equal(list, again) || !slices.Equal(list, RandomScript(7, 50, 5, 12)) {
 		t.Fatal(err, len(list), len(again))
 	}
 	for text, want := range map[string]string{"(faults (fault 1s kill 9 0 1s))": "s:1:", "(faults (fault 1s burn 1 0 1s))": "burn", "(fault)": "faults",
 		"(faults (fault 1s mute 1 7 1s))": "no front 7"} {
-		if _, err := Read("s", text, 5, 12); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ReadScript("s", text, 5, 12); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -75,7 +75,7 @@
 }
 
 // AddHeader adds a header and returns the message.
-func (m *Message) Set(name, value string) *Message {
+func (m *Message) AddHeader(name, value string) *Message {
 	m.Headers = append(m.Headers, Header{name, value})
 	return m
 }
@@ -277,7 +277,7 @@
 
 // ParseParams parses a body of type text/parameters (RFC 7826 appendix F), which has lines "name: value". It skips lines
 // of another form and reads at most 32 lines.
-func Params(body []byte) map[string]string {
+func ParseParams(body []byte) map[string]string {
 	params := map[string]string{}
 	for n, rest := 0, string(body); rest != "" && n < 32; n++ {
 		var line string
@@ -290,7 +290,7 @@
 }
 
 // NumberParam returns a parameter as a number. ok is false if it is absent, not a number, negative or over 1e9.
-func Number(params map[string]string, name string) (v float64, ok bool) {
+func NumberParam(params map[string]string, name string) (v float64, ok bool) {
 	text, found := params[name]
 	if !found {
 		return 0, false
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -66,7 +66,7 @@
 }
 
 func TestLineBreaksInValuesInjectNoMessage(t *testing.T) {
-	m := (&Message{Method: Setup, URI: "rtsp://a/b\r\nEvil: 1", CSeq: 1}).Set("X", "y\r\n\r\nTEARDOWN * RTSP/2.0")
+	m := (&Message{Method: Setup, URI: "rtsp://a/b\r\nEvil: 1", CSeq: 1}).AddHeader("X", "y\r\n\r\nTEARDOWN * RTSP/2.0")
 	if text := string(m.Append(nil)); strings.Count(text, "\r\n") != 4 {
 		t.Fatalf("%q", text)
 	}
@@ -103,12 +103,12 @@
 }
 
 func TestParsesParams(t *testing.T) {
-	p := Params([]byte("link: 0.5\r\nuplink:1.25\nnoise\r\nbad: x\r\nless: -1\r\n"))
-	if v, ok := Number(p, "uplink"); !ok || v != 1.25 {
+	p := ParseParams([]byte("link: 0.5\r\nuplink:1.25\nnoise\r\nbad: x\r\nless: -1\r\n"))
+	if v, ok := NumberParam(p, "uplink"); !ok || v != 1.25 {
 		t.Error(v, ok)
 	}
 	for _, name := range []string{"bad", "less", "none"} {
-		if _, ok := Number(p, name); ok {
+		if _, ok := NumberParam(p, name); ok {
 			t.Error(name, "was accepted")
 		}
 	}
--- a/internal/rtspclient/connection.go
+++ b/internal/rtspclient/connection.go
@@ -238,10 +238,10 @@
 	if len(m.Body) == 0 || len(p.cfg.Fields) == 0 {
 		return nil
 	}
-	params := rtsp.Params(m.Body)
+	params := rtsp.ParseParams(m.Body)
 	out := make([]float64, 0, len(p.cfg.Fields))
 	for _, f := range p.cfg.Fields {
-		v, ok := rtsp.Number(params, parameterNames[f])
+		v, ok := rtsp.NumberParam(params, parameterNames[f])
 		if !ok {
 			return nil
 		}
@@ -258,14 +258,14 @@
 	reply := rtsp.Message{Status: rtsp.StatusOK, CSeq: m.CSeq}
 	switch m.Method {
 	case rtsp.Options:
-		reply.Set("Public", "OPTIONS, SET_PARAMETER, PLAY_NOTIFY, REDIRECT")
+		reply.AddHeader("Public", "OPTIONS, SET_PARAMETER, PLAY_NOTIFY, REDIRECT")
 	case rtsp.SetParameter:
 		a := peer.streamByID(m.Session())
 		if a == nil {
 			reply.Status = rtsp.StatusSessionNotFound
 			break
 		}
-		p.handleNotes(a, rtsp.Params(m.Body))
+		p.handleNotes(a, rtsp.ParseParams(m.Body))
 	case rtsp.PlayNotify:
 		a := peer.streamByID(m.Session())
 		if a == nil {
@@ -299,7 +299,7 @@
 		name string
 		kind policy.NoteKind
 	}{{"share", policy.NoteShare}, {"link", policy.NoteLink}, {"uplink", policy.NoteUplink}} {
-		if v, ok := rtsp.Number(params, n.name); ok {
+		if v, ok := rtsp.NumberParam(params, n.name); ok {
 			p.events = append(p.events, front.Note{Session: a.setup.Session, Attempt: a.setup.Attempt, Kind: n.kind,
 				Value: v})
 		}
--- a/internal/rtspclient/rtspclient_test.go
+++ b/internal/rtspclient/rtspclient_test.go
@@ -106,7 +106,7 @@
 	}
 	setup, play := b.nextRequest(), b.nextRequest()
 	id := fmt.Sprint("s", session)
-	b.reply((&rtsp.Message{Status: 200, CSeq: setup.CSeq}).Set("Session", id+";timeout=4"))
+	b.reply((&rtsp.Message{Status: 200, CSeq: setup.CSeq}).AddHeader("Session", id+";timeout=4"))
 	b.reply(&rtsp.Message{Status: 200, CSeq: play.CSeq, Body: []byte("link: 0.5\r\nuplink: 0.25\r\n")})
 	return id
 }
@@ -161,7 +161,7 @@
 			t.Errorf("lost with %d of %d bytes written: %d, want %d", written, total, e.Status, want)
 		}
 	}
-	replies := string((&rtsp.Message{Status: 200, CSeq: 2}).Set("Session", "q;timeout=4").Append(nil))
+	replies := string((&rtsp.Message{Status: 200, CSeq: 2}).AddHeader("Session", "q;timeout=4").Append(nil))
 	firstEnd := len(replies)
 	replies += string((&rtsp.Message{Status: 200, CSeq: 3}).Append(nil))
 	for _, cause := range []string{"connection lost", "timeout"} {
@@ -256,7 +256,7 @@
 		b := newHarness(t)
 		b.setup(1)
 		b.connect()
-		b.reply((&rtsp.Message{Status: c.setup, CSeq: 2}).Set("Session", "q"))
+		b.reply((&rtsp.Message{Status: c.setup, CSeq: 2}).AddHeader("Session", "q"))
 		b.reply(&rtsp.Message{Status: c.play, CSeq: 3})
 		if e := onlyEvent[front.AttemptEnded](b); e.Status != c.want {
 			t.Errorf("%d then %d: %d, want %d", c.setup, c.play, e.Status, c.want)
@@ -274,7 +274,7 @@
 	b.protocol.Apply(b.now, front.Abandon{Session: 1, Server: 1, Cause: outcome.Expired})
 	b.collect()
 	onlyEvent[front.AttemptEnded](b)
-	b.reply((&rtsp.Message{Status: 200, CSeq: 2}).Set("Session", "q"))
+	b.reply((&rtsp.Message{Status: 200, CSeq: 2}).AddHeader("Session", "q"))
 	b.reply(&rtsp.Message{Status: 200, CSeq: 3})
 	b.reply(&rtsp.Message{Status: 455, CSeq: 4}) // the pipelined TEARDOWN was not understood
 	if len(b.events) > 0 {
@@ -341,7 +341,7 @@
 		b := newHarness(t)
 		b.setup(1)
 		b.connect()
-		b.reply((&rtsp.Message{Status: 200, CSeq: 2}).Set("Session", "q"))
+		b.reply((&rtsp.Message{Status: 200, CSeq: 2}).AddHeader("Session", "q"))
 		lose(b)
 		b.lost(b.protocol.peers[1].bytesSent)
 		onlyEvent[front.AttemptEnded](b)
@@ -379,7 +379,7 @@
 	id := b.startStream(1)
 	onlyEvent[front.AttemptStarted](b)
 	set := func(body string) {
-		b.reply((&rtsp.Message{Method: rtsp.SetParameter, URI: "*", CSeq: 5, Body: []byte(body)}).Set("Session", id))
+		b.reply((&rtsp.Message{Method: rtsp.SetParameter, URI: "*", CSeq: 5, Body: []byte(body)}).AddHeader("Session", id))
 	}
 	set("share: 0.5\r\n")
 	if n := onlyEvent[front.Note](b); n.Kind != policy.NoteShare || n.Value != 0.5 || n.Session != 1 {
@@ -390,7 +390,7 @@
 	if r := onlyEvent[Redirected](b); r.Server != 1 {
 		t.Fatal(r)
 	}
-	b.reply((&rtsp.Message{Method: rtsp.PlayNotify, URI: "*", CSeq: 7}).Set("Session", id).Set("Notify-Reason", "end-of-stream"))
+	b.reply((&rtsp.Message{Method: rtsp.PlayNotify, URI: "*", CSeq: 7}).AddHeader("Session", id).AddHeader("Notify-Reason", "end-of-stream"))
 	if e := onlyEvent[front.AttemptEnded](b); e.Status != policy.OK {
 		t.Fatal(e)
 	}
--- a/internal/rtspclient/setups.go
+++ b/internal/rtspclient/setups.go
@@ -125,9 +125,9 @@
 	}
 	m := rtsp.Message{Method: rtsp.Teardown, URI: p.uri(peer, &a.setup)}
 	if a.sessionID != "" {
-		m.Set("Session", a.sessionID)
+		m.AddHeader("Session", a.sessionID)
 	} else {
-		m.Set("Pipelined-Requests", strconv.FormatUint(a.pipeline, 10))
+		m.AddHeader("Pipelined-Requests", strconv.FormatUint(a.pipeline, 10))
 	}
 	p.send(peer, p.appendRequest(peer, &m, request{kind: requestTeardown, owner: a}, nil))
 }
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -106,7 +106,7 @@
 				b.ReportMetric(float64(latencies[at].Microseconds()), name)
 			}
 			b.ReportMetric(float64(len(latencies)), "opens")
-			b.ReportMetric(float64(site.s.cfg.Catalogue.Now().Number), "version")
+			b.ReportMetric(float64(site.s.cfg.Catalogue.Current().Number), "version")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
--- a/internal/serve/effects.go
+++ b/internal/serve/effects.go
@@ -74,14 +74,14 @@
 	case front.Refused:
 		s.log.Debug().Uint64("session", e.Session).Msg("refused")
 		if call := s.takeCall(e.Player); call != nil {
-			call.Fail(players.CodeRefused, "refused", players.NoData{Session: name(e.Session),
+			call.Fail(players.CodeRefused, "refused", players.ErrorData{Session: name(e.Session),
 				RetryAfterMs: e.RetryAfter / policy.Millisecond})
 		}
 		s.forget(e.Session)
 	case front.Failed:
 		s.log.Debug().Uint64("session", e.Session).Msg("failed")
 		if call := s.takeCall(e.Player); call != nil {
-			call.Fail(players.CodeFailed, "failed", players.NoData{Session: name(e.Session)})
+			call.Fail(players.CodeFailed, "failed", players.ErrorData{Session: name(e.Session)})
 		}
 		s.forget(e.Session)
 	case front.RungChanged:
--- a/internal/serve/events.go
+++ b/internal/serve/events.go
@@ -60,7 +60,7 @@
 
 // refuseBusy refuses a request that has not been started.
 func refuseBusy(call Caller, retryAfter front.Time) {
-	call.Fail(players.CodeRefused, "refused: busy", players.NoData{RetryAfterMs: retryAfter / policy.Millisecond})
+	call.Fail(players.CodeRefused, "refused: busy", players.ErrorData{RetryAfterMs: retryAfter / policy.Millisecond})
 }
 
 func (o owner) Resume(call *players.Call, session, token uint64) {
@@ -71,7 +71,7 @@
 
 func (o owner) Admit(class, tenant int) (front.Time, bool) {
 	s := o.s
-	if s.cfg.Front.NoGate {
+	if s.cfg.Front.NoRateLimiter {
 		return 0, true
 	}
 	s.rateLimiterMu.Lock()
@@ -112,7 +112,7 @@
 
 // observeWait reports to the rate limiter how long a request has waited, and returns whether it is refused for that.
 func (s *Server) observeWait(now front.Time, request *front.Request) (stale bool) {
-	if s.cfg.Front.NoGate {
+	if s.cfg.Front.NoRateLimiter {
 		return false
 	}
 	s.rateLimiterMu.Lock()
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -22,7 +22,7 @@
 // fleet is the owner's state about the fleet.
 type fleet struct {
 	node            *node.Node // nil: this front is in no fleet
-	unavailable     core.Keeps
+	unavailable     core.Reservations
 	listKind        policy.ListKind // of the most recent accepted list
 	list            []serverlist.Entry
 	nextReportAt    front.Time
@@ -30,7 +30,7 @@
 }
 
 // unavailableChanged is the event that the fleet has agreed on other servers and fronts that are out of service.
-type unavailableChanged struct{ core.Keeps }
+type unavailableChanged struct{ core.Reservations }
 
 // fleetReportInterval is the interval between reports of this front's sessions to the fleet node.
 const fleetReportInterval = front.Time(time.Second)
@@ -43,10 +43,10 @@
 	}
 	s.fleet.node, err = node.New(node.Config{Name: s.cfg.Front.Name, Zone: s.cfg.Service.Zone,
 		Cluster: settings.Cluster, Listen: settings.Listen, Advertise: settings.Advertise,
-		Join: settings.Join, Via: settings.Via, Keys: settings.Keys, Voters: settings.Voters,
-		Dir: s.cfg.Front.StateDir, Control: settings.Control, Limits: settings.Limits, Times: settings.Times,
-		Stale: settings.Stale, Skew: settings.Skew, RackKB: s.cfg.Service.RackKB},
-		s.log, func(unavailable core.Keeps) { s.queue.Force(unavailableChanged{unavailable}) })
+		Join: settings.Join, Via: settings.AddressOverrides, Keys: settings.Keys, Voters: settings.Voters,
+		Dir: s.cfg.Front.StateDir, Control: settings.Control, Limits: settings.Limits, Timeouts: settings.Timeouts,
+		StaleAfter: settings.StaleAfter, ClockSkew: settings.ClockSkew, RackKB: s.cfg.Service.RackKB},
+		s.log, func(unavailable core.Reservations) { s.queue.Force(unavailableChanged{unavailable}) })
 	return err
 }
 
@@ -59,7 +59,7 @@
 }
 
 // setUnavailable sets the servers and fronts that are out of service, and those that have just returned.
-func (s *Server) setUnavailable(now front.Time, unavailable core.Keeps) {
+func (s *Server) setUnavailable(now front.Time, unavailable core.Reservations) {
 	previous := s.fleet.unavailable
 	s.fleet.unavailable = unavailable
 	for id := range previous.Servers {
@@ -90,7 +90,7 @@
 // vacateServers has the module move the sessions that would run past the time at which their servers go out.
 func (s *Server) vacateServers(now front.Time) {
 	for id := range s.fleet.unavailable.Servers {
-		s.step(now, front.Vacate{Vacate: policy.Vacate{Server: id, Until: s.fleet.unavailable.Until[id]}})
+		s.step(now, front.Vacate{Vacate: policy.Vacate{Server: id, Until: s.fleet.unavailable.Deadlines[id]}})
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	s.fleet.nextReportAt = now + fleetReportInterval
 	settings := &s.cfg.Service
-	sessions := map[uint32]core.Standing{}
+	sessions := map[uint32]core.ServerLoad{}
 	s.core.ActiveSessions(func(server uint32, class, rung int) {
 		if class < 0 || class >= len(settings.Classes) || rung < 0 || rung >= len(settings.RungKB) {
 			return
@@ -114,8 +114,8 @@
 		}
 		sessions[server] = standing
 	})
-	s.fleet.node.Mine(sessions)
-	if c := s.cfg.Catalogue; c != nil && c.Now() != s.fleet.reportedVersion {
+	s.fleet.node.SetSessions(sessions)
+	if c := s.cfg.Catalogue; c != nil && c.Current() != s.fleet.reportedVersion {
 		s.reportServers()
 	}
 }
@@ -130,21 +130,21 @@
 		// Removed means a critical check: the server has failed and counts as out. A server that is no longer listed
 		// isn't counted as a machine at all.
 		list = append(list, core.Server{ID: e.Server, Rack: s.rack(e.Entry), Zone: e.Zone,
-			KB: e.Size * s.cfg.Service.WeightKB, Ready: e.Health == policy.Ready})
+			LinkKB: e.Size * s.cfg.Service.WeightKB, Ready: e.Health == policy.Ready})
 	}
 	slices.SortFunc(list, func(a, b core.Server) int { return int(int64(a.ID) - int64(b.ID)) })
 	fleetNode := s.fleet.node
 	if c := s.cfg.Catalogue; c != nil { // millions of titles: in a goroutine of its own, so that the owner isn't blocked
-		version := c.Now()
+		version := c.Current()
 		s.fleet.reportedVersion = version
 		s.group.Add(1)
 		go func() {
 			defer s.group.Done()
-			fleetNode.Servers(list, catalogueHolderSets(version))
+			fleetNode.SetServers(list, catalogueHolderSets(version))
 		}()
 		return
 	}
-	fleetNode.Servers(list, titleHolderSets(s.cfg, s.fleet.list))
+	fleetNode.SetServers(list, titleHolderSets(s.cfg, s.fleet.list))
 }
 
 // rack returns the rack that the module assigns a server to.
@@ -185,7 +185,7 @@
 	version.All(func(t *catalogue.Title) bool {
 		hash := xxhash.New()
 		var holders []uint32
-		for _, holder := range t.Ask(0) {
+		for _, holder := range t.EligibleHolders(0) {
 			holders = append(holders, holder.Server)
 		}
 		slices.Sort(holders)
--- a/internal/serve/hls_test.go
+++ b/internal/serve/hls_test.go
@@ -62,11 +62,11 @@
 	p.opened++
 	call := fmt.Sprintf("hls-%p-%d", p, p.opened)
 	hash := playersim.Hash(p.viewer)
-	p.site.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[p.class], Viewer: hash})
+	p.site.rec.Add(record.Event{Kind: record.RequestSent, Front: "f", Ref: call, Class: classes[p.class], Viewer: hash})
 	code, text, h := p.get("/hls/" + p.title + "/master.m3u8?" +
 		url.Values{"class": {p.class}, "viewer": {p.viewer}}.Encode())
 	kind := map[int]string{200: "plays", 503: "refused", 502: "failed"}[code]
-	p.site.rec.Add(record.Event{What: record.Reply, Front: "f", Call: call, Class: classes[p.class], Text: kind,
+	p.site.rec.Add(record.Event{Kind: record.ReplyReceived, Front: "f", Ref: call, Class: classes[p.class], Text: kind,
 		Session: strings.TrimPrefix(h.Get("X-Tealledge-Session"), "f-")})
 	if code != 200 {
 		return code, nil, h
--- a/internal/serve/owner.go
+++ b/internal/serve/owner.go
@@ -46,7 +46,7 @@
 		}
 		if s.leaving && !s.closing {
 			if drainDeadline == 0 {
-				drainDeadline = now + front.Time(s.cfg.Front.DrainLimit)
+				drainDeadline = now + front.Time(s.cfg.Front.DrainTimeout)
 			}
 			if s.core.OpenRequests() == 0 || now >= drainDeadline {
 				s.closing = true
@@ -128,7 +128,7 @@
 	case listResponse:
 		s.handleListResponse(now, e)
 	case unavailableChanged:
-		s.setUnavailable(now, e.Keeps)
+		s.setUnavailable(now, e.Reservations)
 	case shutdown:
 		s.leaving = true
 	case snapshotRequested:
--- a/internal/serve/players_test.go
+++ b/internal/serve/players_test.go
@@ -21,7 +21,7 @@
 func (p *player) askWithDeadline(class, title string, deadline time.Duration) string {
 	p.asked++
 	call := fmt.Sprintf("%p-%d", p, p.asked)
-	p.site.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[class], Wait: int64(deadline)})
+	p.site.rec.Add(record.Event{Kind: record.RequestSent, Front: "f", Ref: call, Class: classes[class], Timeout: int64(deadline)})
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":%q,"class":%q,"viewer":%q,"deadlineMs":%d},"id":%q}`,
 		title, class, call, deadline.Milliseconds(), call)
 	if err := wsutil.WriteClientText(p.nc, []byte(text)); err != nil {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -97,7 +97,7 @@
 func New(cfg *config.Config, log zerolog.Logger) (*Server, error) {
 	s := &Server{cfg: cfg, log: log, startedAt: time.Now(), httpAddrs: map[uint32]string{},
 		callsByHandle: map[uint64]Caller{}, callsBySession: map[uint64]Caller{},
-		queue: inbox.New(cfg.Front.Queue), finished: make(chan struct{})}
+		queue: inbox.New(cfg.Front.MaxQueuedEvents), finished: make(chan struct{})}
 	seed := uint64(s.startedAt.UnixNano())
 	s.rateLimiter = overload.New(flowWeights(cfg))
 	s.store = newSessionStore(s)
@@ -108,26 +108,26 @@
 	}
 	s.core = front.New(front.Config{Settings: cfg.Service, Module: module, NewToken: newTokenSource(),
 		FirstID:      seed / uint64(time.Millisecond) << 12 & (1<<52 - 1), // above all ids used before a restart
-		AnswerMargin: policy.Time(cfg.Front.AnswerMargin), FailsafeMargin: policy.Time(cfg.Front.LastLine),
-		MoveTokenTTL: policy.Time(cfg.Front.MovedFor), MaxMoveTokens: 10_000,
-		ResumeWindow: policy.Time(cfg.Front.ResumeFor)})
+		AnswerMargin: policy.Time(cfg.Front.AnswerMargin), FailsafeMargin: policy.Time(cfg.Front.FailsafeMargin),
+		MoveTokenTTL: policy.Time(cfg.Front.MoveTokenTTL), MaxMoveTokens: 10_000,
+		ResumeWindow: policy.Time(cfg.Front.ResumeWindow)})
 	var setupTargets []front.Time
 	for _, k := range cfg.Service.Classes {
 		setupTargets = append(setupTargets, k.SetupTarget)
 	}
 	s.protocol = rtspclient.New(rtspclient.Config{Front: cfg.Front.Name, Fields: cfg.Service.Fields,
-		ProbeTimeout: policy.Time(cfg.Front.ProbeWait), StallTimeout: policy.Time(cfg.Front.Stall),
-		KeepAliveInterval: policy.Time(cfg.Front.KeepAlive), TitleName: s.titleName,
+		ProbeTimeout: policy.Time(cfg.Front.ProbeTimeout), StallTimeout: policy.Time(cfg.Front.StallTimeout),
+		KeepAliveInterval: policy.Time(cfg.Front.KeepAliveInterval), TitleName: s.titleName,
 		ConnectTimeout: cfg.Service.ConnectTimeout, IdleTimeout: idleTimeout,
 		Aims: setupTargets, Random: rand.Float64})
-	s.conns = media.New(sink{s}, time.Duration(cfg.Service.ConnectTimeout), cfg.Front.WriteWait, maxConnQueuedBytes)
+	s.conns = media.New(sink{s}, time.Duration(cfg.Service.ConnectTimeout), cfg.Front.WriteTimeout, maxConnQueuedBytes)
 	names := serverlist.Names{Kinds: cfg.Kinds, Zones: cfg.Zones}
 	s.listCache = serverlist.Cache{Dir: cfg.Front.StateDir, Names: names}
 	if cfg.Front.ListFile != "" {
 		s.listSource = &serverlist.File{Path: cfg.Front.ListFile, Names: names}
 	} else {
 		var err error
-		if s.listSource, err = serverlist.NewConsul(cfg.Front.Consul, cfg.Front.Service, cfg.Front.Name,
+		if s.listSource, err = serverlist.NewConsul(cfg.Front.ConsulAddress, cfg.Front.ConsulService, cfg.Front.Name,
 			names); err != nil {
 			return nil, err
 		}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -71,13 +71,13 @@
 // newSiteWith returns a site whose media servers have addresses of further families.
 func newSiteWith(t testing.TB, more string, families ...string) *site {
 	t.Helper()
-	return (&site{t: t, rec: record.Memory(), dir: t.TempDir()}).open(more, families...)
+	return (&site{t: t, rec: record.NewMemory(), dir: t.TempDir()}).open(more, families...)
 }
 
 // newSiteState returns a site with a given state directory.
 func newSiteState(t testing.TB, state string) *site {
 	t.Helper()
-	return (&site{t: t, rec: record.Memory(), dir: t.TempDir(), stateDir: state}).open("")
+	return (&site{t: t, rec: record.NewMemory(), dir: t.TempDir(), stateDir: state}).open("")
 }
 
 func (x *site) open(more string, families ...string) *site {
@@ -188,10 +188,10 @@
 // audit stops the front and checks the recorded messages against the rules.
 func (x *site) audit() *audit.Report {
 	x.t.Helper()
-	x.rec.Add(record.Event{What: record.Leaving, Front: "f"})
+	x.rec.Add(record.Event{Kind: record.FrontDraining, Front: "f"})
 	x.leave()
 	x.waitFor("all streams ended", func() bool { return x.farm.Streams() == 0 })
-	x.rec.Add(record.Event{What: record.Finished})
+	x.rec.Add(record.Event{Kind: record.DayFinished})
 	r, err := audit.Judge(x.rec.Events())
 	if err != nil {
 		x.t.Fatal(err)
@@ -243,7 +243,7 @@
 func (p *player) ask(class, title string) string {
 	p.asked++
 	call := fmt.Sprintf("%p-%d", p, p.asked)
-	p.site.rec.Add(record.Event{What: record.Ask, Front: "f", Call: call, Class: classes[class]})
+	p.site.rec.Add(record.Event{Kind: record.RequestSent, Front: "f", Ref: call, Class: classes[class]})
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":%q,"class":%q,"viewer":%q},"id":%q}`,
 		title, class, call, call)
 	if err := wsutil.WriteClientText(p.nc, []byte(text)); err != nil {
@@ -263,7 +263,7 @@
 		p.site.t.Fatalf("%s: %v", text, err)
 	}
 	if a.ID != "" && strings.HasPrefix(a.ID, "0x") {
-		e := record.Event{What: record.Reply, Front: "f", Call: a.ID, Text: "error"}
+		e := record.Event{Kind: record.ReplyReceived, Front: "f", Ref: a.ID, Text: "error"}
 		switch {
 		case a.Result != nil:
 			e.Text, e.Session = a.Result.Status, strings.TrimPrefix(a.Result.Session, "f-")
@@ -422,7 +422,7 @@
 		p := x.player()
 		call := p.ask([]string{"safe", "paid"}[i%2], "a")
 		time.Sleep(time.Duration(i) * 200 * time.Microsecond)
-		x.rec.Add(record.Event{What: record.Left, Front: "f", Call: call})
+		x.rec.Add(record.Event{Kind: record.PlayerLeft, Front: "f", Ref: call})
 		p.nc.Close()
 	}
 	x.waitFor("all sessions to be removed", func() bool {
@@ -539,7 +539,7 @@
 	waits := x.player()
 	waits.ask("safe", "a")
 	x.waitFor("the request to be accepted", func() bool { return x.snapshot().OpenRequests == 1 })
-	x.rec.Add(record.Event{What: record.Leaving, Front: "f"})
+	x.rec.Add(record.Event{Kind: record.FrontDraining, Front: "f"})
 	began := time.Now()
 	x.stop()
 	if a := waits.read(); a.Error == nil {
--- a/internal/serve/sessionstore.go
+++ b/internal/serve/sessionstore.go
@@ -62,7 +62,7 @@
 	}
 	path := filepath.Join(dir, "sessions")
 	db, previous, err := k.tryOpen(path)
-	if err != nil && !errors.Is(err, store.ErrHeld) {
+	if err != nil && !errors.Is(err, store.ErrLocked) {
 		renamed := path + ".unreadable"
 		os.RemoveAll(renamed)
 		if os.Rename(path, renamed) == nil {
@@ -98,7 +98,7 @@
 	var restored, tornDown, seatsHeld, expired int
 	for i := range previous.Sessions {
 		session := &previous.Sessions[i]
-		decision, expiresAt := recovery.DecideSession(now, previous.Alive, policy.Time(k.s.cfg.Front.ResumeFor),
+		decision, expiresAt := recovery.DecideSession(now, previous.AliveAt, policy.Time(k.s.cfg.Front.ResumeWindow),
 			*session)
 		restore := front.Restore{Request: requestOf(session), ID: session.Ask.ID, Server: session.Server,
 			Attempt: session.Attempt, Rung: session.Rung, ExpiresAt: expiresAt}
@@ -115,7 +115,7 @@
 		case decision == recovery.TearDown:
 			tornDown++
 			k.s.protocol.TearDownOrphan(now, session.Server, session.Stream)
-			k.db.Forget(session.Ask.ID)
+			k.db.DeleteSession(session.Ask.ID)
 			k.s.applyEffects(nil)
 		case decision == recovery.CountSeat:
 			seatsHeld++
@@ -123,12 +123,12 @@
 			k.s.step(now, restore)
 		default:
 			expired++
-			k.db.Forget(session.Ask.ID)
+			k.db.DeleteSession(session.Ask.ID)
 		}
 	}
 	if len(previous.Sessions) > 0 {
 		k.s.log.Info().Int("taken up", restored).Int("torn down", tornDown).Int("seats held", seatsHeld).
-			Int("gone", expired).Dur("away", time.Duration(now-previous.Alive)).
+			Int("gone", expired).Dur("away", time.Duration(now-previous.AliveAt)).
 			Msg("restored sessions from before the restart")
 	}
 }
@@ -172,7 +172,7 @@
 			return false
 		}
 		k.waiting[e.Session] = waitingSetup{e, now}
-		k.db.Session(k.newRecord(e.Session, e.Server, e.Attempt, e.Rung, recovery.InFlight, 0),
+		k.db.PutSession(k.newRecord(e.Session, e.Server, e.Attempt, e.Rung, recovery.InFlight, 0),
 			func(took time.Duration, err error) {
 				k.s.queue.Force(recordWritten{e.Session, e.Attempt, took, err})
 			})
@@ -188,13 +188,13 @@
 	case front.RungChanged: // otherwise the session would be restored at its first rung
 		if _, open := k.requests[e.Session]; open {
 			if token := k.tokens[e.Session]; token != 0 {
-				k.db.Session(k.newRecord(e.Session, k.s.protocol.Server(e.Session), k.s.protocol.Attempt(e.Session),
+				k.db.PutSession(k.newRecord(e.Session, k.s.protocol.Server(e.Session), k.s.protocol.Attempt(e.Session),
 					e.Rung, recovery.Playing, token), nil)
 			}
 		}
 	case front.Plays:
 		k.tokens[e.Session] = e.Token
-		k.db.Session(k.newRecord(e.Session, e.Server, k.s.protocol.Attempt(e.Session), e.Rung, recovery.Playing,
+		k.db.PutSession(k.newRecord(e.Session, e.Server, k.s.protocol.Attempt(e.Session), e.Rung, recovery.Playing,
 			e.Token), nil)
 	}
 	return false
@@ -240,7 +240,7 @@
 	}
 	if now-k.lastAliveAt >= aliveInterval {
 		k.lastAliveAt = now
-		k.db.Alive(now)
+		k.db.PutAlive(now)
 	}
 }
 
@@ -249,7 +249,7 @@
 	if k.db != nil {
 		delete(k.requests, id)
 		delete(k.tokens, id)
-		k.db.Forget(id)
+		k.db.DeleteSession(id)
 	}
 }
 
--- a/internal/serve/titles.go
+++ b/internal/serve/titles.go
@@ -70,20 +70,20 @@
 
 // checkCatalogue applies changes of the catalogue's files.
 func (s *Server) checkCatalogue(context.Context, time.Duration) (bytes int, done bool) {
-	changed, err := s.catalogueDir.Look(s.cfg.Catalogue)
+	changed, err := s.catalogueDir.Poll(s.cfg.Catalogue)
 	if err != nil {
-		s.log.Error().Err(err).Uint64("version", s.cfg.Catalogue.Now().Number).Msg("catalogue not changed")
+		s.log.Error().Err(err).Uint64("version", s.cfg.Catalogue.Current().Number).Msg("catalogue not changed")
 	}
 	if changed {
-		s.log.Info().Uint64("version", s.cfg.Catalogue.Now().Number).
-			Int("titles", s.cfg.Catalogue.Now().Len()).Msg("catalogue")
+		s.log.Info().Uint64("version", s.cfg.Catalogue.Current().Number).
+			Int("titles", s.cfg.Catalogue.Current().Len()).Msg("catalogue")
 	}
 	return 0, true
 }
 
 // saveCatalogue saves the current version, if it is not the one saved last.
 func (s *Server) saveCatalogue(context.Context, time.Duration) (bytes int, done bool) {
-	version := s.cfg.Catalogue.Now()
+	version := s.cfg.Catalogue.Current()
 	if version.Number == s.savedVersion {
 		return 0, true
 	}
--- a/internal/serve/titles_test.go
+++ b/internal/serve/titles_test.go
@@ -106,7 +106,7 @@
 	go func() {
 		defer close(watched)
 		for last := uint64(0); ctx.Err() == nil; time.Sleep(time.Millisecond) {
-			if n := x.s.cfg.Catalogue.Now().Number; n != last {
+			if n := x.s.cfg.Catalogue.Current().Number; n != last {
 				mu.Lock()
 				if len(periods) > 0 {
 					// Sessions opened before, queued set-ups and retries still use the previous version.
@@ -144,11 +144,11 @@
 	<-watched
 	checked := 0
 	for _, e := range x.rec.Events() {
-		if e.What != record.Setup {
+		if e.Kind != record.SetupReceived {
 			continue
 		}
 		checked++
-		at, ok := time.Unix(0, e.T), false
+		at, ok := time.Unix(0, e.At), false
 		for _, s := range periods {
 			if at.After(s.from) && (s.to.IsZero() || at.Before(s.to)) && s.h[e.Title][e.Server]>>e.Rung&1 == 1 {
 				ok = true
@@ -186,7 +186,7 @@
 	s.saveCatalogue(context.Background(), 0)
 	os.WriteFile(filepath.Join(source, "full.cat"), []byte("nonsense"), 0o644)
 	cfg.Catalogue = nil
-	if err := s.loadCatalogue(); err != nil || cfg.Catalogue.Now().Mark != v.Mark {
+	if err := s.loadCatalogue(); err != nil || cfg.Catalogue.Current().VersionID != v.VersionID {
 		t.Error(err)
 	}
 	os.Remove(filepath.Join(state, "full.cat"))
@@ -222,7 +222,7 @@
 			x.audit()
 			plays := 0
 			for _, e := range x.rec.Events() {
-				if e.What == record.Reply && e.Text == "plays" {
+				if e.Kind == record.ReplyReceived && e.Text == "plays" {
 					plays++
 				}
 			}
--- a/internal/standin/listsim/listsim.go
+++ b/internal/standin/listsim/listsim.go
@@ -197,14 +197,14 @@
 	old := l.told[front]
 	for id, s := range list {
 		if was, ok := old[id]; !ok || was.Health != s.Health || !was.Started.Equal(s.Started) {
-			events = append(events, record.Event{Who: "list", What: record.Told, Front: front, Server: id, Health: s.Health,
-				Started: started(s)})
+			events = append(events, record.Event{Source: "list", Kind: record.ServerListed, Front: front, Server: id, Health: s.Health,
+				StartedAt: started(s)})
 		}
 	}
 	if len(list) > 0 { // an empty answer tells nothing that is believed at once
 		for id := range old {
 			if _, still := list[id]; !still {
-				events = append(events, record.Event{Who: "list", What: record.Told, Front: front, Server: id, Health: "removed"})
+				events = append(events, record.Event{Source: "list", Kind: record.ServerListed, Front: front, Server: id, Health: "removed"})
 			}
 		}
 		l.told[front] = list
--- a/internal/standin/mediasim/farm.go
+++ b/internal/standin/mediasim/farm.go
@@ -195,7 +195,7 @@
 			share = 0
 		}
 		if math.Abs(share-s.share) > 0.005 || share == 1 && s.share != 1 {
-			f.rec.Add(record.Event{Who: s.name(), What: record.Share, Server: s.ID, Value: share})
+			f.rec.Add(record.Event{Source: s.name(), Kind: record.RateShare, Server: s.ID, Value: share})
 		}
 		s.share = share
 		s.past = append(s.past, sample{now, share, s.use, s.useUp})
--- a/internal/standin/mediasim/http.go
+++ b/internal/standin/mediasim/http.go
@@ -83,7 +83,7 @@
 
 // segment answers for a segment that exists, to those who carry a token; no media is sent.
 func (s *Server) segment(w http.ResponseWriter, r *http.Request, title, rest string) {
-	e := record.Event{Who: s.name(), What: record.Segment, Server: s.ID, Title: title, Text: rest}
+	e := record.Event{Source: s.name(), Kind: record.SegmentRequested, Server: s.ID, Title: title, Text: rest}
 	if s.farm.p.Keys != nil {
 		c, err := s.farm.p.Keys.Verify(r.URL.Query().Get("st"), time.Now().Unix())
 		if err != nil || c.Title != title {
--- a/internal/standin/mediasim/serve.go
+++ b/internal/standin/mediasim/serve.go
@@ -70,11 +70,11 @@
 		default:
 			st.playing = true
 			k := st.key // the stream may be torn down before its answer is written
-			k.T, k.What, k.Rung = 0, record.Play, st.rung
+			k.At, k.Kind, k.Rung = 0, record.StreamStarted, st.rung
 			s.farm.rec.Add(k)
 			e = &k
 			if s.farm.p.Inline {
-				reply.Set("Content-Type", "text/parameters")
+				reply.AddHeader("Content-Type", "text/parameters")
 				reply.Body = s.report()
 			}
 		}
@@ -93,10 +93,10 @@
 			}
 			break
 		}
-		reply.Set("Content-Type", "text/parameters")
+		reply.AddHeader("Content-Type", "text/parameters")
 		reply.Body = s.report()
 	case rtsp.Options:
-		reply.Set("Public", "OPTIONS, SETUP, PLAY, TEARDOWN, GET_PARAMETER, SET_PARAMETER")
+		reply.AddHeader("Public", "OPTIONS, SETUP, PLAY, TEARDOWN, GET_PARAMETER, SET_PARAMETER")
 	default:
 		reply.Status = rtsp.StatusNotImplemented
 	}
@@ -117,9 +117,9 @@
 		c.write(b)
 	}
 	if e != nil {
-		e.T, e.What, e.Status, e.Lost = 0, record.Answer, reply.Status, lose || garbage || half
+		e.At, e.Kind, e.Status, e.Lost = 0, record.SetupAnswered, reply.Status, lose || garbage || half
 		if m.Method == rtsp.Play {
-			e.What = record.Played
+			e.Kind = record.PlayAnswered
 		}
 		s.farm.rec.Add(*e)
 	}
@@ -159,7 +159,7 @@
 	}
 	c.pipes[st.pipe] = st
 	s.streams[st.id] = st
-	reply.Set("Session", fmt.Sprintf("%s;timeout=%d", st.id, max(int(p.Keep/time.Second), 1)))
+	reply.AddHeader("Session", fmt.Sprintf("%s;timeout=%d", st.id, max(int(p.Keep/time.Second), 1)))
 	return rtsp.StatusOK
 }
 
@@ -187,7 +187,7 @@
 		reply.Status = rtsp.StatusSessionNotFound
 		return
 	}
-	v, err := strconv.Atoi(rtsp.Params(m.Body)["rung"])
+	v, err := strconv.Atoi(rtsp.ParseParams(m.Body)["rung"])
 	if err != nil || v < 0 || v >= len(s.farm.p.Ladder) {
 		reply.Status = rtsp.StatusBadRequest
 		return
@@ -195,7 +195,7 @@
 	if v != st.rung {
 		st.rung = v
 		e := st.key
-		e.T, e.What, e.Rung = 0, record.Rung, v
+		e.At, e.Kind, e.Rung = 0, record.RungSet, v
 		s.farm.rec.Add(e)
 	}
 }
--- a/internal/standin/mediasim/server.go
+++ b/internal/standin/mediasim/server.go
@@ -165,7 +165,7 @@
 	if cold {
 		s.started, s.setups = time.Now(), nil
 	}
-	s.farm.rec.Add(record.Event{Who: s.name(), What: record.Start, Server: s.ID, Cold: cold, Slots: s.farm.p.Slots})
+	s.farm.rec.Add(record.Event{Source: s.name(), Kind: record.ServerStarted, Server: s.ID, Cold: cold, Slots: s.farm.p.Slots})
 	s.running.Add(1)
 	go s.accept(ln)
 	for _, w := range s.extra {
@@ -298,7 +298,7 @@
 	for _, st := range s.streams {
 		s.drop(st, why)
 	}
-	s.farm.rec.Add(record.Event{Who: s.name(), What: record.Die, Server: s.ID, Text: why})
+	s.farm.rec.Add(record.Event{Source: s.name(), Kind: record.ServerDied, Server: s.ID, Text: why})
 }
 
 // drop ends a stream.
@@ -312,7 +312,7 @@
 	}
 	if st.playing {
 		e := st.key
-		e.T, e.What, e.Text = 0, record.End, why
+		e.At, e.Kind, e.Text = 0, record.StreamEnded, why
 		s.farm.rec.Add(e)
 	}
 }
@@ -375,27 +375,27 @@
 	switch m.Method {
 	case rtsp.Setup:
 		e := c.key(m)
-		e.What, e.Text = record.Setup, m.Get("Pipelined-Requests")
+		e.Kind, e.Text = record.SetupReceived, m.Get("Pipelined-Requests")
 		c.s.farm.mu.Lock()
 		c.front = e.Front
 		c.s.farm.mu.Unlock()
 		c.s.farm.rec.Add(e)
 	case rtsp.Teardown:
 		c.s.farm.mu.Lock()
-		e := record.Event{Who: c.s.name(), Front: c.front, Server: c.s.ID, Text: m.Get("Pipelined-Requests")}
+		e := record.Event{Source: c.s.name(), Front: c.front, Server: c.s.ID, Text: m.Get("Pipelined-Requests")}
 		if st := c.s.streams[m.Session()]; st != nil {
 			e = st.key
-			e.T, e.Text = 0, st.pipe
+			e.At, e.Text = 0, st.pipe
 		}
 		c.s.farm.mu.Unlock()
-		e.What = record.Teardown
+		e.Kind = record.TeardownReceived
 		c.s.farm.rec.Add(e)
 	}
 }
 
 // key reads what a SETUP says of itself.
 func (c *conn) key(m *rtsp.Message) record.Event {
-	e := record.Event{Who: c.s.name(), Server: c.s.ID, Viewer: m.Get("Tealledge-Viewer"), Title: title(m.URI)}
+	e := record.Event{Source: c.s.name(), Server: c.s.ID, Viewer: m.Get("Tealledge-Viewer"), Title: title(m.URI)}
 	if parts := strings.Split(m.Get("Tealledge-Attempt"), "/"); len(parts) == 3 {
 		e.Front, e.Session = parts[0], parts[1]
 		e.Attempt, _ = strconv.Atoi(parts[2])
@@ -422,7 +422,7 @@
 	delete(s.conns, c)
 	close(c.gone)
 	close(c.work)
-	s.farm.rec.Add(record.Event{Who: s.name(), What: record.ConnLost, Server: s.ID, Front: c.front})
+	s.farm.rec.Add(record.Event{Source: s.name(), Kind: record.ServerConnEnded, Server: s.ID, Front: c.front})
 	for _, st := range s.streams {
 		if st.conn != c {
 			continue
--- a/internal/standin/platformsim/journal.go
+++ b/internal/standin/platformsim/journal.go
@@ -109,7 +109,7 @@
 	var hosts []wire.Host
 	for _, s := range list {
 		hosts = append(hosts, wire.Host{Name: s.Name(), Address: s.Addr(), Zone: "z", Kind: "k", Cell: int(s.ID), Health: health, Share: 10})
-		j.w.add(record.Event{Who: "journal", What: record.Told, Server: s.ID, Health: words[health]})
+		j.w.add(record.Event{Source: "journal", Kind: record.ServerListed, Server: s.ID, Health: words[health]})
 	}
 	j.add(whole, hosts)
 }
--- a/internal/standin/platformsim/platformsim.go
+++ b/internal/standin/platformsim/platformsim.go
@@ -22,7 +22,7 @@
 
 // NewWorld makes one for classes by their names.
 func NewWorld(classes ...string) *World {
-	w := &World{Rec: record.Memory(), tries: map[uint64]int{}, classes: map[string]int{}}
+	w := &World{Rec: record.NewMemory(), tries: map[uint64]int{}, classes: map[string]int{}}
 	for i, c := range classes {
 		w.classes[c] = i
 	}
--- a/internal/standin/platformsim/servers.go
+++ b/internal/standin/platformsim/servers.go
@@ -101,7 +101,7 @@
 // Die ends the process: its connections are reset and its sessions cut.
 func (s *Server) Die() {
 	s.mu.Lock()
-	s.w.add(record.Event{Who: s.Name(), What: record.Die, Server: s.ID})
+	s.w.add(record.Event{Source: s.Name(), Kind: record.ServerDied, Server: s.ID})
 	s.ln.Close()
 	for c := range s.conns {
 		c.(*net.TCPConn).SetLinger(0)
@@ -133,7 +133,7 @@
 	}
 	delete(s.plays, sid)
 	e := p.event
-	e.T, e.What = 0, record.End
+	e.At, e.Kind = 0, record.StreamEnded
 	s.w.add(e)
 	c := p.conn
 	if !s.conns[c] {
@@ -178,7 +178,7 @@
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
-		s.w.add(record.Event{Who: s.Name(), What: record.ConnLost, Server: s.ID})
+		s.w.add(record.Event{Source: s.Name(), Kind: record.ServerConnEnded, Server: s.ID})
 		c.Close()
 	}()
 	var dec wire.Decoder
@@ -215,7 +215,7 @@
 			continue
 		}
 		delete(s.plays, sid)
-		p.event.T, p.event.What = 0, record.End
+		p.event.At, p.event.Kind = 0, record.StreamEnded
 		s.w.add(p.event)
 		b, _ := (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseEnded).Append(nil)
 		c.SetWriteDeadline(time.Now().Add(time.Second))
@@ -232,7 +232,7 @@
 	switch m.Type {
 	case wire.SetUp:
 		s.w.mu.Lock()
-		e := record.Event{Who: s.Name(), What: record.Setup, Session: wire.Sid(m.Session), Attempt: s.w.tries[m.Session], Server: s.ID,
+		e := record.Event{Source: s.Name(), Kind: record.SetupReceived, Session: wire.Sid(m.Session), Attempt: s.w.tries[m.Session], Server: s.ID,
 			Class: s.w.classes[text(wire.ParamClass)], Title: text(wire.ParamTitle)}
 		s.tried[m.Session] = e.Attempt
 		s.w.tries[m.Session]++
@@ -243,13 +243,13 @@
 	case wire.Release:
 		if p, ok := s.plays[m.Session]; ok {
 			delete(s.plays, m.Session)
-			p.event.T, p.event.What = 0, record.End
+			p.event.At, p.event.Kind = 0, record.StreamEnded
 			s.w.add(p.event)
 			write(c, &wire.Message{Type: wire.Released, Session: m.Session})
 			return
 		}
 		// Of the attempts that came here: the next may be at another server already, by another connection.
-		s.w.add(record.Event{Who: s.Name(), What: record.Teardown, Session: wire.Sid(m.Session), Attempt: s.tried[m.Session], Server: s.ID})
+		s.w.add(record.Event{Source: s.Name(), Kind: record.TeardownReceived, Session: wire.Sid(m.Session), Attempt: s.tried[m.Session], Server: s.ID})
 	case wire.Test:
 		if !s.faults.Hang {
 			tested := (&wire.Message{Type: wire.Tested, Session: m.Session}).AddCause(1)
@@ -267,7 +267,7 @@
 	if !s.conns[c] {
 		return
 	}
-	e.T, e.What, e.Status = 0, record.Answer, 500
+	e.At, e.Kind, e.Status = 0, record.SetupAnswered, 500
 	switch {
 	case f.Hang:
 	case f.Break:
@@ -288,7 +288,7 @@
 	default:
 		e.Status = 200
 		s.w.add(e)
-		e.What = record.Play
+		e.Kind = record.StreamStarted
 		s.w.add(e)
 		s.plays[sid] = play{c, e}
 		m := (&wire.Message{Type: wire.Ready, Session: sid}).Add(wire.ParamText, "by "+s.Name()+"\r\n")
@@ -300,7 +300,7 @@
 			write(c, m)
 		}
 		write(c, m)
-		e.What = record.Played
+		e.Kind = record.PlayAnswered
 		s.w.add(e)
 	}
 }
--- a/internal/standin/platformsim/viewers.go
+++ b/internal/standin/platformsim/viewers.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			v.mu.Lock()
 			for sid := range v.calls {
-				v.w.add(record.Event{Who: "viewer", What: record.Broken, Call: wire.Sid(sid)})
+				v.w.add(record.Event{Source: "viewer", Kind: record.PlayerConnLost, Ref: wire.Sid(sid)})
 			}
 			v.calls = map[uint64]string{}
 			v.mu.Unlock()
@@ -52,7 +52,7 @@
 		v.mu.Lock()
 		class, open := v.calls[l.Sid]
 		if open && (l.Msg == wire.LineReady || l.Msg == wire.LineClose) {
-			e := record.Event{Who: "viewer", What: record.Reply, Call: wire.Sid(l.Sid), Session: wire.Sid(l.Sid), Class: v.w.classes[class], Text: "failed"}
+			e := record.Event{Source: "viewer", Kind: record.ReplyReceived, Ref: wire.Sid(l.Sid), Session: wire.Sid(l.Sid), Class: v.w.classes[class], Text: "failed"}
 			switch {
 			case l.Msg == wire.LineReady:
 				e.Text = "plays"
@@ -95,7 +95,7 @@
 	v.mu.Lock()
 	v.calls[sid] = class
 	v.mu.Unlock()
-	v.w.add(record.Event{Who: "viewer", What: record.Ask, Call: wire.Sid(sid), Class: v.w.classes[class], Wait: int64(left)})
+	v.w.add(record.Event{Source: "viewer", Kind: record.RequestSent, Ref: wire.Sid(sid), Class: v.w.classes[class], Timeout: int64(left)})
 	return v.Write(Form(sid, class, left, ""))
 }
 
@@ -103,7 +103,7 @@
 func (v *Viewer) GiveUp(sid uint64) error {
 	v.mu.Lock()
 	if _, open := v.calls[sid]; open {
-		v.w.add(record.Event{Who: "viewer", What: record.Left, Call: wire.Sid(sid)})
+		v.w.add(record.Event{Source: "viewer", Kind: record.PlayerLeft, Ref: wire.Sid(sid)})
 		delete(v.calls, sid)
 	}
 	v.mu.Unlock()
--- a/internal/standin/playersim/hls.go
+++ b/internal/standin/playersim/hls.go
@@ -17,7 +17,7 @@
 // WatchHLS runs one viewer that comes by HLS: it opens the title, reloads as RFC 8216 asks, fetches the newest segment
 // of a live title, and goes on at another front when its own is gone.
 func (c *Crowd) WatchHLS(ctx context.Context, v Viewer, pick func(int) (name, addr string)) {
-	c.Rec.Add(record.Event{Who: "player", What: record.Want, Viewer: Hash(v.Name), Class: v.ClassN, Top: v.Top, Length: v.Length.Seconds(),
+	c.Rec.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: Hash(v.Name), Class: v.ClassN, Top: v.Top, Length: v.Length.Seconds(),
 		Value: v.Worth, Title: v.Title, Text: string(v.Bad)})
 	tr := &http.Transport{MaxConnsPerHost: 2}
 	defer tr.CloseIdleConnections()
@@ -74,14 +74,14 @@
 	c.mu.Unlock()
 	front, addr := p.pick(n)
 	p.addr = addr
-	e := record.Event{Who: "player", What: record.Ask, Front: front, Viewer: Hash(v.Name), Call: v.Name + "#h" + strconv.Itoa(try), Class: v.ClassN, Title: v.Title}
+	e := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: Hash(v.Name), Ref: v.Name + "#h" + strconv.Itoa(try), Class: v.ClassN, Title: v.Title}
 	q := url.Values{"class": {v.Class}, "viewer": {v.Name}, "top": {strconv.Itoa(v.Top)}}
 	if v.Tenant != "" {
 		q.Set("tenant", v.Tenant)
 	}
 	c.Rec.Add(e)
 	add := func(what, text, session string) {
-		e.T, e.What, e.Text, e.Session = 0, what, text, session
+		e.At, e.Kind, e.Text, e.Session = 0, what, text, session
 		c.Rec.Add(e)
 	}
 	asking, cancel := context.WithCancel(ctx)
@@ -92,9 +92,9 @@
 	code, text, h, err := p.get(asking, http.MethodGet, "http://"+addr+"/hls/"+v.Title+"/master.m3u8?"+q.Encode())
 	if err != nil {
 		if errors.Is(err, context.Canceled) {
-			add(record.Left, "", "")
+			add(record.PlayerLeft, "", "")
 		} else {
-			add(record.Broken, err.Error(), "")
+			add(record.PlayerConnLost, err.Error(), "")
 		}
 		return v.Bad != Good, 0
 	}
@@ -102,7 +102,7 @@
 	if kind == "" {
 		kind = "error"
 	}
-	add(record.Reply, kind, sessionNumber(h.Get("X-Tealledge-Session")))
+	add(record.ReplyReceived, kind, sessionNumber(h.Get("X-Tealledge-Session")))
 	if code != 200 {
 		seconds, _ := strconv.Atoi(h.Get("Retry-After"))
 		return kind != "refused", time.Duration(seconds) * time.Second
@@ -166,11 +166,11 @@
 
 // told writes down what a playlist says.
 func (p *hlsPlayer) told(variant, text string) {
-	e := record.Event{Who: "player", What: record.Manifest, Viewer: Hash(p.v.Name), Call: variant, Title: p.v.Title, Class: p.v.ClassN}
+	e := record.Event{Source: "player", Kind: record.PlaylistRead, Viewer: Hash(p.v.Name), Ref: variant, Title: p.v.Title, Class: p.v.ClassN}
 	if m, err := hls.ParseMedia(text); err != nil {
 		e.Text = err.Error()
 	} else {
-		e.Value, e.Length = float64(m.Sequence), float64(m.Discontinuity)
+		e.Value, e.Length = float64(m.Sequence), float64(m.DiscontinuitySequence)
 	}
 	p.c.Rec.Add(e)
 }
--- a/internal/standin/playersim/playersim.go
+++ b/internal/standin/playersim/playersim.go
@@ -81,7 +81,7 @@
 
 // Watch runs one viewer until it has watched what it wants, gives up, or ctx ends.
 func (c *Crowd) Watch(ctx context.Context, v Viewer) {
-	c.Rec.Add(record.Event{Who: "player", What: record.Want, Viewer: Hash(v.Name), Class: v.ClassN, Top: v.Top, Length: v.Length.Seconds(),
+	c.Rec.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: Hash(v.Name), Class: v.ClassN, Top: v.Top, Length: v.Length.Seconds(),
 		Value: v.Worth, Title: v.Title, Text: string(v.Bad)})
 	end := time.Now().Add(v.Length)
 	token, again := "", false
@@ -175,23 +175,23 @@
 	if c.misbehave(nc, v, text) {
 		return outcome{done: true}
 	}
-	ask := record.Event{Who: "player", What: record.Ask, Front: front, Viewer: Hash(v.Name), Call: call, Class: v.ClassN, Wait: int64(v.Wait), Title: v.Title}
+	ask := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: Hash(v.Name), Ref: call, Class: v.ClassN, Timeout: int64(v.Wait), Title: v.Title}
 	c.Rec.Add(ask)
 	left := func(what string) {
-		ask.T, ask.What = 0, what
+		ask.At, ask.Kind = 0, what
 		c.Rec.Add(ask)
 	}
 	if err := wsutil.WriteClientText(nc, text); err != nil {
-		left(record.Broken)
+		left(record.PlayerConnLost)
 		return outcome{}
 	}
 	switch v.Bad {
 	case LeaveAtOnce:
-		left(record.Left)
+		left(record.PlayerLeft)
 		return outcome{done: true}
 	case LeaveLater:
 		time.Sleep(time.Duration(c.draw() * float64(15*time.Millisecond)))
-		left(record.Left)
+		left(record.PlayerLeft)
 		return outcome{done: true}
 	}
 	return c.listen(ctx, nc, addr, v, ask, end, left)
@@ -256,7 +256,7 @@
 		if err != nil {
 			if playing != "" && !time.Now().Before(end) {
 				c.close(nc, playing)
-				left(record.Left)
+				left(record.PlayerLeft)
 				return outcome{done: true}
 			}
 			if next := c.resume(ctx, addr, playing, token, end); next != nil {
@@ -265,7 +265,7 @@
 				defer stop()
 				continue
 			}
-			left(record.Broken)
+			left(record.PlayerConnLost)
 			return outcome{}
 		}
 		var m message
@@ -273,14 +273,14 @@
 			continue
 		}
 		reply := ask
-		reply.T, reply.What = 0, record.Reply
+		reply.At, reply.Kind = 0, record.ReplyReceived
 		switch {
-		case m.Result != nil && string(m.ID) == strconv.Quote(ask.Call):
+		case m.Result != nil && string(m.ID) == strconv.Quote(ask.Ref):
 			reply.Text, reply.Rung = m.Result.Status, m.Result.Rung
 			reply.Session = sessionNumber(m.Result.Session)
 			c.Rec.Add(reply)
 			playing, token = m.Result.Session, m.Result.Token
-		case m.Error != nil && string(m.ID) == strconv.Quote(ask.Call):
+		case m.Error != nil && string(m.ID) == strconv.Quote(ask.Ref):
 			reply.Text = map[int]string{-32001: "refused", -32002: "failed"}[m.Error.Code]
 			if reply.Text == "" {
 				reply.Text = "error"
@@ -330,8 +330,8 @@
 // drain looks for a second answer on the connection.
 func (c *Crowd) drain(nc net.Conn, ask record.Event) {
 	nc.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-	if text, err := wsutil.ReadServerText(nc); err == nil && strings.Contains(string(text), strconv.Quote(ask.Call)) {
-		ask.T, ask.What, ask.Text = 0, record.Reply, "second"
+	if text, err := wsutil.ReadServerText(nc); err == nil && strings.Contains(string(text), strconv.Quote(ask.Ref)) {
+		ask.At, ask.Kind, ask.Text = 0, record.ReplyReceived, "second"
 		c.Rec.Add(ask)
 	}
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -47,7 +47,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		report(b, func(id uint64, done func()) { s.Session(session(id, 0), func(time.Duration, error) { done() }) })
+		report(b, func(id uint64, done func()) { s.PutSession(session(id, 0), func(time.Duration, error) { done() }) })
 		s.Close()
 		b.ReportMetric(float64(s.Syncs), "commits")
 	})
@@ -83,7 +83,7 @@
 		b.Fatal(err)
 	}
 	for i := range 50_000 {
-		s.Session(session(uint64(i+1), 3), nil)
+		s.PutSession(session(uint64(i+1), 3), nil)
 	}
 	s.Close()
 	b.ResetTimer()
--- a/internal/store/crashfs/crashfs.go
+++ b/internal/store/crashfs/crashfs.go
@@ -49,7 +49,7 @@
 func (f *FS) Ops() int { f.mu.Lock(); defer f.mu.Unlock(); return f.ops }
 
 // AfterCrash returns the files that the crash left behind, nil if there was no crash.
-func (f *FS) After() *vfs.MemFS { f.mu.Lock(); defer f.mu.Unlock(); return f.crashed }
+func (f *FS) AfterCrash() *vfs.MemFS { f.mu.Lock(); defer f.mu.Unlock(); return f.crashed }
 
 // countOp counts an operation and returns an error if it must not be executed.
 func (f *FS) countOp() error {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -39,7 +39,7 @@
 
 // State is the content of a store when it was opened.
 type State struct {
-	Alive    int64 // when the front was last alive, nanoseconds; 0: unknown
+	AliveAt  int64 // when the front was last alive, nanoseconds; 0: unknown
 	Sessions []recovery.Session
 	Servers  []recovery.Server
 	Damaged  int // damaged records, which were skipped
@@ -72,7 +72,7 @@
 const maxQueued = 100_000
 
 // ErrLocked is returned when another process has the store open. Its files must not be touched.
-var ErrHeld = errors.New("another process has it open")
+var ErrLocked = errors.New("another process has it open")
 
 // ErrFull is returned when too many records wait to be written or MaxSessions is reached.
 var ErrFull = errors.New("store: too many sessions or pending writes")
@@ -86,7 +86,7 @@
 	}
 	lock, err := pebble.LockDirectory(dir, fs)
 	if err != nil {
-		return nil, nil, fmt.Errorf("store %s: %w: %w", dir, ErrHeld, err)
+		return nil, nil, fmt.Errorf("store %s: %w: %w", dir, ErrLocked, err)
 	}
 	opts.Lock = lock
 	fail := func(err error) (*Store, *State, error) {
@@ -122,7 +122,7 @@
 	if v, ok, err := s.get(keyAlive); err != nil {
 		return nil, err
 	} else if ok && len(v) == 8 {
-		state.Alive = int64(binary.LittleEndian.Uint64(v))
+		state.AliveAt = int64(binary.LittleEndian.Uint64(v))
 	}
 	it, err := s.db.NewIter(nil)
 	if err != nil {
@@ -196,7 +196,7 @@
 
 // PutSession writes a session's record. done, if not nil, is called from another goroutine once the record is durable
 // or the write has failed.
-func (s *Store) Session(x *recovery.Session, done func(took time.Duration, err error)) {
+func (s *Store) PutSession(x *recovery.Session, done func(took time.Duration, err error)) {
 	s.mu.Lock()
 	full := len(s.sessionIDs) >= MaxSessions && !s.sessionIDs[x.Ask.ID]
 	if !full {
@@ -212,7 +212,7 @@
 }
 
 // DeleteSession deletes a session's record.
-func (s *Store) Forget(id uint64) {
+func (s *Store) DeleteSession(id uint64) {
 	s.mu.Lock()
 	stored := s.sessionIDs[id]
 	delete(s.sessionIDs, id)
@@ -228,7 +228,7 @@
 }
 
 // PutAlive records that the front is alive at the given time.
-func (s *Store) Alive(now int64) {
+func (s *Store) PutAlive(now int64) {
 	s.enqueue(op{key: []byte(keyAlive), value: binary.LittleEndian.AppendUint64(nil, uint64(now))}, nil)
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -25,16 +25,16 @@
 func TestReopenedStoreHasWrittenRecords(t *testing.T) {
 	mem := vfs.NewMem()
 	s, st, err := Open("d", mem)
-	if err != nil || len(st.Sessions) != 0 || st.Alive != 0 {
+	if err != nil || len(st.Sessions) != 0 || st.AliveAt != 0 {
 		t.Fatal(st, err)
 	}
-	s.Session(session(1, 0), nil)
-	s.Session(session(2, 0), nil)
-	s.Session(session(1, 4), nil)
-	s.Forget(2)
-	s.Forget(99)
+	s.PutSession(session(1, 0), nil)
+	s.PutSession(session(2, 0), nil)
+	s.PutSession(session(1, 4), nil)
+	s.DeleteSession(2)
+	s.DeleteSession(99)
 	s.PutServer(recovery.Server{ID: 7, Cold: 9})
-	s.Alive(12345)
+	s.PutAlive(12345)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if len(st.Sessions) != 1 || !reflect.DeepEqual(st.Sessions[0], *session(1, 4)) || st.Alive != 12345 ||
+	if len(st.Sessions) != 1 || !reflect.DeepEqual(st.Sessions[0], *session(1, 4)) || st.AliveAt != 12345 ||
 		len(st.Servers) != 1 || st.Servers[0].Cold != 9 || st.Damaged != 0 {
 		t.Fatalf("%+v", st)
 	}
@@ -58,7 +58,7 @@
 	var wg sync.WaitGroup
 	for i := range 5000 {
 		wg.Add(1)
-		s.Session(session(uint64(i), 0), func(_ time.Duration, err error) {
+		s.PutSession(session(uint64(i), 0), func(_ time.Duration, err error) {
 			if err != nil {
 				t.Error(err)
 			}
@@ -115,7 +115,7 @@
 			fs := crashfs.New()
 			fs.FailFrom(n, unsyncedPercent, uint64(n))
 			written, acknowledged, deleted := writeUntilFailure(fs)
-			after := fs.After()
+			after := fs.AfterCrash()
 			if after == nil {
 				continue
 			}
@@ -184,15 +184,15 @@
 		written[id] = map[int]bool{}
 		for rung := range 3 {
 			written[id][rung] = true
-			if wait(func(then func(time.Duration, error)) { s.Session(session(id, rung), then) }) != nil {
+			if wait(func(then func(time.Duration, error)) { s.PutSession(session(id, rung), then) }) != nil {
 				return
 			}
 			acknowledged[id] = rung
 		}
 		if id%3 == 0 {
 			delete(acknowledged, id)
-			s.Forget(id)
-			if wait(func(then func(time.Duration, error)) { s.Session(session(1000+id, 0), then) }) != nil {
+			s.DeleteSession(id)
+			if wait(func(then func(time.Duration, error)) { s.PutSession(session(1000+id, 0), then) }) != nil {
 				written[1000+id] = map[int]bool{0: true}
 				return
 			}
@@ -210,10 +210,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(dir, vfs.Default); !errors.Is(err, ErrHeld) {
+	if _, _, err := Open(dir, vfs.Default); !errors.Is(err, ErrLocked) {
 		t.Error(err)
 	}
-	s.Session(session(1, 0), nil)
+	s.PutSession(session(1, 0), nil)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/wsock/wsock.go
+++ b/internal/wsock/wsock.go
@@ -16,7 +16,7 @@
 )
 
 // MaxHandshakeBytes limits the size of the opening handshake.
-const MaxHandshake = 8 << 10
+const MaxHandshakeBytes = 8 << 10
 
 // Close codes (RFC 6455 section 7.4.1).
 const (
@@ -107,13 +107,13 @@
 func (c *Conn) readHandshake() bool {
 	end := bytes.Index(c.buf, []byte("\r\n\r\n"))
 	if end < 0 {
-		if len(c.buf) > MaxHandshake {
+		if len(c.buf) > MaxHandshakeBytes {
 			c.rejectHandshake("431 Request Header Fields Too Large", "request too large")
 		}
 		return false
 	}
 	head := c.buf[:end+4]
-	if len(head) > MaxHandshake {
+	if len(head) > MaxHandshakeBytes {
 		c.rejectHandshake("431 Request Header Fields Too Large", "request too large")
 		return false
 	}
@@ -222,7 +222,7 @@
 func (c *Conn) handleControl(op ws.OpCode, data []byte) *Event {
 	switch op {
 	case ws.OpPing:
-		c.Out = Frame(c.Out, ws.OpPong, data)
+		c.Out = AppendFrame(c.Out, ws.OpPong, data)
 		return &Event{Kind: Ping}
 	case ws.OpPong:
 		return &Event{Kind: Pong}
@@ -277,7 +277,7 @@
 }
 
 // AppendFrame appends a complete unmasked frame, the form in which servers send them.
-func Frame(dst []byte, op ws.OpCode, data []byte) []byte {
+func AppendFrame(dst []byte, op ws.OpCode, data []byte) []byte {
 	dst = append(dst, 0x80|byte(op))
 	switch n := len(data); {
 	case n < 126:
@@ -300,5 +300,5 @@
 			reason = reason[:len(reason)-1]
 		}
 	}
-	return Frame(dst, ws.OpClose, append(data, reason...))
+	return AppendFrame(dst, ws.OpClose, append(data, reason...))
 }
--- a/internal/wsock/wsock_test.go
+++ b/internal/wsock/wsock_test.go
@@ -38,7 +38,7 @@
 		"no upgrade":    {"Upgrade: websocket\r\n", "", "400"},
 		"no key":        {"Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n", "", "400"},
 		"http 1.0":      {"HTTP/1.1", "HTTP/1.0", "505"},
-		"too large":     {"Host: x", "Host: " + strings.Repeat("x", MaxHandshake), "431"},
+		"too large":     {"Host: x", "Host: " + strings.Repeat("x", MaxHandshakeBytes), "431"},
 		"not http":      {"GET /v1/sessions HTTP/1.1", "nonsense", "400"},
 	} {
 		conn := New("/v1/sessions", 1000)
@@ -48,7 +48,7 @@
 		}
 	}
 	endless := New("/", 10)
-	endless.Feed(bytes.Repeat([]byte("x"), MaxHandshake+1))
+	endless.Feed(bytes.Repeat([]byte("x"), MaxHandshakeBytes+1))
 	if !endless.Closed() {
 		t.Error("a handshake without an end was not rejected")
 	}
@@ -85,7 +85,7 @@
 		in   []byte
 		code uint16
 	}{
-		"5.1 unmasked":                   {Frame(nil, ws.OpText, []byte("x")), CloseProtocol},
+		"5.1 unmasked":                   {AppendFrame(nil, ws.OpText, []byte("x")), CloseProtocol},
 		"5.2 reserved bit":               {append([]byte{0xc1}, masked(true, ws.OpText, "x")[1:]...), CloseProtocol},
 		"5.2 reserved opcode":            {masked(true, 3, "x"), CloseProtocol},
 		"5.2 length not shortest":        {[]byte{0x81, 0x80 | 126, 0, 1, 0, 0, 0, 0, 'x'}, CloseProtocol},
