--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load generator for the session API: arrivals do not wait for answers, and each
-// answer's time is counted from when its request was due, so that a front that stalls can't hide it. It also runs
-// closed loops, to find what a front carries at most.
+// Package load is an open-loop load generator for the session API: requests are sent without waiting for earlier replies,
+// and the latency of each reply is measured from the time its request was due, so that a front that stalls can't hide
+// the delay. It also runs closed loops, to find the maximum rate of a front.
 package load
 
 import (
@@ -20,20 +20,18 @@
 	"tealledge/internal/standin/playersim"
 )
 
-// request is one session.open that waits for its answer.
+// request is one session.open that waits for its reply.
 type request struct {
 	due   time.Time
-	ask   record.Event
-	hold  time.Duration
-	done  func(kind, session string) // called once, by the reader or when the connection is lost
-	tries int
+	event record.Event
+	done  func(kind, session string) // called once, on the reply or when the connection is lost
 }
 
-// client is one player connection. It connects again when it is lost.
+// client is one player connection. It reconnects when the connection is lost.
 type client struct {
-	r       *Runner
-	n       int
-	name    string // of the front
+	runner  *Runner
+	index   int
+	front   string // name of the front
 	mu      sync.Mutex
 	nc      net.Conn
 	seq     int
@@ -41,68 +39,71 @@
 	playing map[string]struct{}
 }
 
+// dial connects the n-th client.
 func (r *Runner) dial(ctx context.Context, n int) (*client, error) {
-	c := &client{r: r, n: n, pending: map[string]*request{}, playing: map[string]struct{}{}}
+	c := &client{runner: r, index: n, pending: map[string]*request{}, playing: map[string]struct{}{}}
 	if err := c.connect(ctx); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
+// connect opens the client's connection and starts to read from it.
 func (c *client) connect(ctx context.Context) error {
-	name, addr := c.r.plan.Front(c.n)
+	front, addr := c.runner.plan.Front(c.index)
 	nc, err := playersim.Dial(ctx, addr)
 	if err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.nc, c.name = nc, name
+	c.nc, c.front = nc, front
 	c.mu.Unlock()
-	c.r.readers.Add(1)
+	c.runner.readers.Add(1)
 	go c.read(nc)
 	return nil
 }
 
-// send writes a request. Without a connection it counts as not sent.
-func (c *client) send(q *request, params string) bool {
+// send writes a request. It returns false if there is no connection.
+func (c *client) send(req *request, params string) bool {
 	c.mu.Lock()
 	if c.nc == nil {
 		c.mu.Unlock()
 		return false
 	}
 	c.seq++
-	id := fmt.Sprintf("c%d-%d", c.n, c.seq)
-	q.ask.Kind, q.ask.Source, q.ask.Ref, q.ask.Front, q.ask.At = record.RequestSent, "player", id, c.name, time.Now().UnixNano()
-	c.pending[id] = q
+	id := fmt.Sprintf("c%d-%d", c.index, c.seq)
+	req.event.Kind, req.event.Source, req.event.Ref, req.event.Front, req.event.At = record.RequestSent, "player", id, c.front, time.Now().UnixNano()
+	c.pending[id] = req
 	nc := c.nc
-	c.r.rec.Add(q.ask)
+	c.runner.rec.Add(req.event)
 	text := fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.open","params":%s,"id":%q}`, params, id)
-	err := write(nc, text)
+	err := writeText(nc, text)
 	c.mu.Unlock()
 	if err != nil {
-		nc.Close() // the reader books what was pending
+		nc.Close() // the reader then ends the pending requests
 	}
 	return true
 }
 
-func write(nc net.Conn, text []byte) error {
+// writeText writes a masked text frame.
+func writeText(nc net.Conn, text []byte) error {
 	nc.SetWriteDeadline(time.Now().Add(2 * time.Second))
 	_, err := nc.Write(ws.MustCompileFrame(ws.MaskFrameInPlace(ws.NewTextFrame(text))))
 	return err
 }
 
-// end closes a session.
-func (c *client) end(session string) {
+// closeSession closes a session that plays on this connection.
+func (c *client) closeSession(session string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, mine := c.playing[session]; !mine || c.nc == nil {
+	if _, playing := c.playing[session]; !playing || c.nc == nil {
 		return
 	}
 	delete(c.playing, session)
-	write(c.nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"x"}`, session))
+	writeText(c.nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"x"}`, session))
 }
 
-// message is what a front sends, as far as it matters here.
+// message holds the parts of a front's messages that are used here.
 type message struct {
 	ID     json.RawMessage `json:"id"`
 	Method string          `json:"method"`
@@ -121,22 +122,23 @@
 	} `json:"error"`
 }
 
+// read handles messages until the connection is lost.
 func (c *client) read(nc net.Conn) {
-	defer c.r.readers.Done()
+	defer c.runner.readers.Done()
 	for {
 		text, err := wsutil.ReadServerText(nc)
 		if err != nil {
-			c.lost(nc)
+			c.connectionLost(nc)
 			return
 		}
 		var m message
 		if json.Unmarshal(text, &m) != nil {
 			continue
 		}
-		if c.r.plan.Echo && m.Method == "session.open" {
+		if c.runner.plan.Echo && m.Method == "session.open" {
 			id, _ := strconv.Unquote(string(m.ID))
 			m.Result.Status, m.Result.Session = "plays", "echo-"+id
-			c.answered(id, &m)
+			c.handleReply(id, &m)
 			continue
 		}
 		if m.Method != "" {
@@ -151,11 +153,12 @@
 		if err != nil || bytes.Equal(m.ID, []byte(`"x"`)) {
 			continue
 		}
-		c.answered(id, &m)
+		c.handleReply(id, &m)
 	}
 }
 
-func (c *client) answered(id string, m *message) {
+// handleReply records a reply and ends its request.
+func (c *client) handleReply(id string, m *message) {
 	kind, session := m.Result.Status, m.Result.Session
 	if kind == "" {
 		session = m.Error.Data.Session
@@ -169,23 +172,24 @@
 		}
 	}
 	c.mu.Lock()
-	q := c.pending[id]
+	req := c.pending[id]
 	delete(c.pending, id)
-	if q != nil && kind == "plays" {
+	if req != nil && kind == "plays" {
 		c.playing[session] = struct{}{}
 	}
 	c.mu.Unlock()
-	e := record.Event{Source: "player", Kind: record.ReplyReceived, Front: c.name, Ref: id, Text: kind, Session: number(session)}
-	if q != nil {
-		e.Class, e.Viewer, e.Title = q.ask.Class, q.ask.Viewer, q.ask.Title
+	e := record.Event{Source: "player", Kind: record.ReplyReceived, Front: c.front, Ref: id, Text: kind, Session: sessionNumber(session)}
+	if req != nil {
+		e.Class, e.Viewer, e.Title = req.event.Class, req.event.Viewer, req.event.Title
 	}
-	c.r.rec.Add(e) // a second answer is written down too
-	if q != nil {
-		q.done(kind, session)
+	c.runner.rec.Add(e) // a second reply to the same request is recorded too
+	if req != nil {
+		req.done(kind, session)
 	}
 }
 
-func number(session string) string {
+// sessionNumber returns the part of a session name after the last "-".
+func sessionNumber(session string) string {
 	for i := len(session) - 1; i >= 0; i-- {
 		if session[i] == '-' {
 			return session[i+1:]
@@ -194,40 +198,40 @@
 	return ""
 }
 
-// lost books what was pending on a connection and connects again after a moment.
-func (c *client) lost(nc net.Conn) {
+// connectionLost ends the requests that were pending on a connection as broken, and reconnects after ReconnectDelay.
+func (c *client) connectionLost(nc net.Conn) {
 	nc.Close()
 	c.mu.Lock()
 	pending := c.pending
 	c.pending, c.playing = map[string]*request{}, map[string]struct{}{}
 	c.nc = nil
 	c.mu.Unlock()
-	for _, q := range pending {
-		e := q.ask
+	for _, req := range pending {
+		e := req.event
 		e.At, e.Kind = 0, record.PlayerConnLost
-		c.r.rec.Add(e)
-		q.done("broken", "")
+		c.runner.rec.Add(e)
+		req.done("broken", "")
 	}
-	if c.r.ctx.Err() != nil {
+	if c.runner.ctx.Err() != nil {
 		return
 	}
-	c.r.readers.Add(1)
+	c.runner.readers.Add(1)
 	go func() {
-		defer c.r.readers.Done()
-		for c.r.ctx.Err() == nil {
+		defer c.runner.readers.Done()
+		for c.runner.ctx.Err() == nil {
 			select {
-			case <-c.r.ctx.Done():
+			case <-c.runner.ctx.Done():
 				return
-			case <-time.After(c.r.plan.Reconnect):
+			case <-time.After(c.runner.plan.Reconnect):
 			}
-			if c.connect(c.r.ctx) == nil {
+			if c.connect(c.runner.ctx) == nil {
 				return
 			}
 		}
 	}()
 }
 
-// close ends the connection for good.
+// close closes the connection.
 func (c *client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/load/echo.go
+++ b/internal/load/echo.go
@@ -11,81 +11,88 @@
 	"tealledge/internal/transport"
 )
 
-// Echo is a bare WebSocket echo on the same libraries, which a front's cost is measured against: it reads each
-// frame and writes its payload back, and does nothing else.
+// Echo is a bare WebSocket echo server on the same libraries as a front, as the baseline for a front's cost: it reads
+// each frame and writes its payload back, and does nothing else.
 type Echo struct {
-	ln   netpoll.Listener
-	loop netpoll.EventLoop
+	listener  netpoll.Listener
+	eventLoop netpoll.EventLoop
 }
 
+// echoKey is the context key of a connection's echoConn.
 type echoKey struct{}
 
-type echoConn struct{ open bool }
+// echoConn is the state of one connection.
+type echoConn struct{ upgraded bool }
 
-// NewEcho listens.
+// NewEcho returns an echo server that listens on addr; Serve starts it.
 func NewEcho(addr string) (*Echo, error) {
 	ln, err := transport.Listen(addr)
 	if err != nil {
 		return nil, err
 	}
-	e := &Echo{ln: ln}
-	e.loop, err = netpoll.NewEventLoop(e.request, netpoll.WithOnConnect(func(ctx context.Context, _ netpoll.Connection) context.Context {
+	e := &Echo{listener: ln}
+	e.eventLoop, err = netpoll.NewEventLoop(e.handle, netpoll.WithOnConnect(func(ctx context.Context, _ netpoll.Connection) context.Context {
 		return context.WithValue(ctx, echoKey{}, &echoConn{})
 	}))
 	return e, err
 }
 
-// Addr is where it listens; Serve serves until the process ends.
-func (e *Echo) Addr() net.Addr { return e.ln.Addr() }
+// Addr returns the address that the server listens on.
+func (e *Echo) Addr() net.Addr { return e.listener.Addr() }
 
 // Serve serves until the listener is closed.
-func (e *Echo) Serve() error { return e.loop.Serve(e.ln) }
+func (e *Echo) Serve() error { return e.eventLoop.Serve(e.listener) }
 
-type pair struct {
+// handshakeBuffer reads the handshake request from Reader and collects the response in Buffer.
+type handshakeBuffer struct {
 	*bytes.Reader
 	*bytes.Buffer
 }
 
-func (p pair) Read(b []byte) (int, error)  { return p.Reader.Read(b) }
-func (p pair) Write(b []byte) (int, error) { return p.Buffer.Write(b) }
+// Read reads from the request.
+func (h handshakeBuffer) Read(b []byte) (int, error) { return h.Reader.Read(b) }
 
-func (e *Echo) request(ctx context.Context, c netpoll.Connection) error {
+// Write appends to the response.
+func (h handshakeBuffer) Write(b []byte) (int, error) { return h.Buffer.Write(b) }
+
+// handle answers the handshake and echoes the complete frames that have arrived.
+func (e *Echo) handle(ctx context.Context, c netpoll.Connection) error {
 	state := ctx.Value(echoKey{}).(*echoConn)
 	r, w := c.Reader(), c.Writer()
-	if !state.open {
-		b, err := r.Peek(r.Len())
+	if !state.upgraded {
+		data, err := r.Peek(r.Len())
 		if err != nil {
 			return err
 		}
-		end := bytes.Index(b, []byte("\r\n\r\n"))
+		end := bytes.Index(data, []byte("\r\n\r\n"))
 		if end < 0 {
 			return nil
 		}
-		p := pair{bytes.NewReader(b[:end+4]), &bytes.Buffer{}}
-		if _, err := ws.Upgrade(p); err != nil {
+		handshake := handshakeBuffer{bytes.NewReader(data[:end+4]), &bytes.Buffer{}}
+		if _, err := ws.Upgrade(handshake); err != nil {
 			return c.Close()
 		}
-		w.WriteBinary(p.Buffer.Bytes())
+		w.WriteBinary(handshake.Buffer.Bytes())
 		r.Skip(end + 4)
-		state.open = true
+		state.upgraded = true
 		return w.Flush()
 	}
 	for r.Len() >= 2 {
-		b, err := r.Peek(r.Len())
+		data, err := r.Peek(r.Len())
 		if err != nil {
 			return err
 		}
-		in := bytes.NewReader(b)
-		h, err := ws.ReadHeader(in)
-		if err != nil || int64(in.Len()) < h.Length {
-			break // the rest comes with the next bytes
+		in := bytes.NewReader(data)
+		header, err := ws.ReadHeader(in)
+		if err != nil || int64(in.Len()) < header.Length {
+			break // the frame is incomplete; handle is called again when more bytes arrive
 		}
-		head := len(b) - in.Len()
-		data := bytes.Clone(b[head : head+int(h.Length)])
-		ws.Cipher(data, h.Mask, 0)
-		r.Skip(head + int(h.Length))
+		headerLen := len(data) - in.Len()
+		payload := bytes.Clone(data[headerLen : headerLen+int(header.Length)])
+		ws.Cipher(payload, header.Mask, 0)
+		r.Skip(headerLen + int(header.Length))
 		var out bytes.Buffer
-		ws.WriteFrame(&out, ws.NewFrame(h.OpCode, true, data))
+		ws.WriteFrame(&out, ws.NewFrame(header.OpCode, true, payload))
 		w.WriteBinary(out.Bytes())
 	}
 	r.Release()
--- a/internal/load/hls.go
+++ b/internal/load/hls.go
@@ -12,32 +12,32 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// HLSPlan holds sessions by HLS and reloads each at a steady pace.
+// HLSPlan is a load of HLS sessions whose playlists are reloaded at a steady rate.
 type HLSPlan struct {
-	Addr     string // of the front's manifests
+	Addr     string // of the front's playlists
 	Titles   []string
 	Class    string
 	Sessions int
-	Rate     float64       // sessions opened a second, until all are held
-	Every    time.Duration // each session's reloads
-	Length   time.Duration // of reloading with all held
+	Rate     float64       // sessions opened per second, until all are held
+	Every    time.Duration // interval between the reloads of a session
+	Length   time.Duration // time of reloading while all sessions are held
 	Workers  int
 }
 
-// HLSResult is what came of it.
+// HLSResult is the result of an HLSPlan.
 type HLSResult struct {
 	Held, Refused   int
 	Reloads, Errors int
 	PerSecond       float64
-	Latency         Quantiles // of reloads, from when each was due
+	Latency         Quantiles // of reloads, measured from the time each was due
 }
 
-// HLS runs a plan. held is called when all sessions are held, before reloads are counted.
-func HLS(ctx context.Context, p HLSPlan, held func()) (*HLSResult, error) {
-	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: p.Workers, MaxConnsPerHost: p.Workers}}
+// HLS runs a plan. onHeld is called when all sessions are held, before reloads are counted.
+func HLS(ctx context.Context, plan HLSPlan, onHeld func()) (*HLSResult, error) {
+	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: plan.Workers, MaxConnsPerHost: plan.Workers}}
 	defer client.CloseIdleConnections()
 	get := func(path string) (int, string, error) {
-		resp, err := client.Get("http://" + p.Addr + path)
+		resp, err := client.Get("http://" + plan.Addr + path)
 		if err != nil {
 			return 0, "", err
 		}
@@ -50,13 +50,13 @@
 		at time.Time
 	}
 	var mu sync.Mutex
-	r := &HLSResult{}
-	hist := hdrhistogram.New(1, 60_000_000, 3)
-	variants := make([]string, p.Sessions)
+	result := &HLSResult{}
+	histogram := hdrhistogram.New(1, 60_000_000, 3)
+	variants := make([]string, plan.Sessions)
 	counting := false
 	work := make(chan due, 4096)
 	var wg sync.WaitGroup
-	for range p.Workers {
+	for range plan.Workers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -65,72 +65,72 @@
 				path := variants[d.n]
 				mu.Unlock()
 				if path == "" {
-					code, text, err := get(fmt.Sprintf("/hls/%s/master.m3u8?class=%s&viewer=h%d", p.Titles[d.n%len(p.Titles)], p.Class, d.n))
+					code, text, err := get(fmt.Sprintf("/hls/%s/master.m3u8?class=%s&viewer=h%d", plan.Titles[d.n%len(plan.Titles)], plan.Class, d.n))
 					mu.Lock()
 					if err == nil && code == 200 {
-						for _, l := range strings.Split(text, "\n") {
-							if l != "" && l[0] != '#' {
-								variants[d.n] = l
+						for _, line := range strings.Split(text, "\n") {
+							if line != "" && line[0] != '#' {
+								variants[d.n] = line
 							}
 						}
-						r.Held++
+						result.Held++
 					} else {
-						r.Refused++
+						result.Refused++
 					}
 					mu.Unlock()
 					continue
 				}
 				code, _, err := get(path)
-				took := time.Since(d.at).Microseconds()
+				elapsed := time.Since(d.at).Microseconds()
 				mu.Lock()
 				if counting {
-					r.Reloads++
+					result.Reloads++
 					if err != nil || code != 200 {
-						r.Errors++
+						result.Errors++
 					}
-					hist.RecordValue(min(max(took, 1), 60_000_000))
+					histogram.RecordValue(min(max(elapsed, 1), 60_000_000))
 				}
 				mu.Unlock()
 			}
 		}()
 	}
-	// Session n is opened at n/Rate and asks again every Every from there, so that reloads are spread evenly.
-	began := time.Now()
-	opening := time.Duration(float64(p.Sessions) / p.Rate * float64(time.Second))
-	until := opening + p.Every + p.Length
-	var counted time.Time
+	// Session n is opened at n/Rate and reloaded once per ReloadInterval from then on, so that reloads are spread evenly.
+	startedAt := time.Now()
+	openingTime := time.Duration(float64(plan.Sessions) / plan.Rate * float64(time.Second))
+	totalTime := openingTime + plan.Every + plan.Length
+	var countingSince time.Time
 	for tick := 0; ; tick++ {
-		now := time.Since(began)
-		if now > until || ctx.Err() != nil {
+		now := time.Since(startedAt)
+		if now > totalTime || ctx.Err() != nil {
 			break
 		}
-		if counted.IsZero() && now > opening+p.Every {
-			counted = time.Now()
-			if held != nil {
-				held()
+		if countingSince.IsZero() && now > openingTime+plan.Every {
+			countingSince = time.Now()
+			if onHeld != nil {
+				onHeld()
 			}
 			mu.Lock()
 			counting = true
 			mu.Unlock()
 		}
-		// A tick is 10 ms; the sessions whose phase lies in it are due.
+		// A tick is 10 ms; the sessions whose phase falls into it are due.
 		const step = 10 * time.Millisecond
-		at := time.Duration(tick) * step
-		rounds := int(p.Every / step)
-		for n := tick % rounds; n < p.Sessions; n += rounds {
-			// n's phase is its place among the ticks of a round.
-			if started := time.Duration(float64(n) / p.Rate * float64(time.Second)); at >= started {
-				work <- due{n, began.Add(at)}
+		tickTime := time.Duration(tick) * step
+		ticksPerInterval := int(plan.Every / step)
+		for n := tick % ticksPerInterval; n < plan.Sessions; n += ticksPerInterval {
+			// The phase of session n is its tick within the reload interval.
+			if opensAt := time.Duration(float64(n) / plan.Rate * float64(time.Second)); tickTime >= opensAt {
+				work <- due{n, startedAt.Add(tickTime)}
 			}
 		}
-		time.Sleep(time.Until(began.Add(at + step)))
+		time.Sleep(time.Until(startedAt.Add(tickTime + step)))
 	}
 	close(work)
 	wg.Wait()
-	if !counted.IsZero() {
-		r.PerSecond = float64(r.Reloads) / time.Since(counted).Seconds()
+	if !countingSince.IsZero() {
+		result.PerSecond = float64(result.Reloads) / time.Since(countingSince).Seconds()
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	r.Latency = Quantiles{ms(hist.ValueAtQuantile(50)), ms(hist.ValueAtQuantile(90)), ms(hist.ValueAtQuantile(99)), ms(hist.ValueAtQuantile(99.9)), ms(hist.Max())}
-	return r, nil
+	result.Latency = Quantiles{ms(histogram.ValueAtQuantile(50)), ms(histogram.ValueAtQuantile(90)), ms(histogram.ValueAtQuantile(99)), ms(histogram.ValueAtQuantile(99.9)), ms(histogram.Max())}
+	return result, nil
 }
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -9,24 +9,25 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is a named curve.
+// Series is a named curve.
 type Line struct {
 	Name string
 	X, Y []float64
 }
 
+// colours are the colours of the curves, in order.
 var colours = []color.RGBA{{31, 119, 180, 255}, {214, 39, 40, 255}, {44, 160, 44, 255}, {148, 103, 189, 255}}
 
 // Plot draws curves into a PNG file.
-func Plot(path, title, x, y string, lines []Line) error {
+func Plot(path, title, x, y string, series []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Add(plotter.NewGrid())
-	for i, l := range lines {
-		xy := make(plotter.XYs, len(l.X))
-		for k := range l.X {
-			xy[k].X, xy[k].Y = l.X[k], l.Y[k]
+	for i, curve := range series {
+		xy := make(plotter.XYs, len(curve.X))
+		for k := range curve.X {
+			xy[k].X, xy[k].Y = curve.X[k], curve.Y[k]
 		}
 		line, points, err := plotter.NewLinePoints(xy)
 		if err != nil {
@@ -35,20 +36,20 @@
 		line.Color, points.Color = colours[i%len(colours)], colours[i%len(colours)]
 		line.Width, points.Radius = vg.Points(1.5), vg.Points(2)
 		p.Add(line, points)
-		p.Legend.Add(l.Name, line)
+		p.Legend.Add(curve.Name, line)
 	}
 	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// Curve gives open to answer (ms) over the share of requests, as nines: 1 is 90%, 2 is 99%.
+// LatencyCurve returns the latency (ms) over the share of requests, as the number of nines: 1 is 90%, 2 is 99%.
 func (r *Result) Curve(name string) Line {
-	l := Line{Name: name}
-	for _, b := range r.hist.CumulativeDistribution() {
+	series := Line{Name: name}
+	for _, b := range r.histogram.CumulativeDistribution() {
 		if b.Quantile >= 100 {
 			break
 		}
-		l.X = append(l.X, nines(b.Quantile/100))
-		l.Y = append(l.Y, float64(b.ValueAt)/1000)
+		series.X = append(series.X, nines(b.Quantile/100))
+		series.Y = append(series.Y, float64(b.ValueAt)/1000)
 	}
-	return l
+	return series
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -16,79 +16,79 @@
 	"tealledge/internal/standin/playersim"
 )
 
-// Shape is how requests arrive.
+// Shape is the arrival pattern of requests.
 type Shape string
 
-// The shapes.
+// The arrival patterns.
 const (
 	Poisson Shape = "poisson" // at a steady mean rate
-	Classes Shape = "classes" // thirty at once, as a class that opens one guide together
-	Ramp    Shape = "ramp"    // from nothing to twice the rate
-	Closed  Shape = "closed"  // each client asks again as soon as it is answered; no open loop
+	Classes Shape = "classes" // thirty at once, as when a school class opens the same title together
+	Ramp    Shape = "ramp"    // from zero to twice the rate
+	Closed  Shape = "closed"  // closed loop: each client sends the next request as soon as it receives a reply
 )
 
-// classSize is how many players a class has.
+// classSize is the number of players in a school class.
 const classSize = 30
 
-// Plan is a load.
+// Plan describes a load.
 type Plan struct {
 	Front     func(n int) (name, addr string)
 	Clients   int
 	Length    time.Duration
-	Rate      float64 // requests a second in all
+	Rate      float64 // requests per second of all clients together
 	Shape     Shape
 	Hold      [2]time.Duration
 	Titles    []string
 	Classes   []string
-	Mix       []float64 // shares of the classes; nil: alike
+	Mix       []float64 // shares of the classes; nil: equal shares
 	Tenant    string
 	Top       int
-	Bad       float64 // share of further clients that misbehave meanwhile
+	Bad       float64 // number of further clients that misbehave meanwhile, as a share of Clients
 	Reconnect time.Duration
 	Seed      int64
 	Echo      bool          // the peer is an Echo
-	Wait      time.Duration // each player gives up after; 0: as its class says
+	Wait      time.Duration // each player gives up after this; 0: the deadline of its class
 }
 
-// Result is what came of it.
+// Result is the result of a Plan.
 type Result struct {
 	Sent, Unsent int
 	Kinds        map[string]int // plays, refused, failed, error, broken
 	Seconds      float64
-	Opened       float64 // answered requests a second
-	Goodput      float64 // that play, answered within a second, each second
-	Late         int     // answers after a second, or none
-	good         int
+	Opened       float64 // requests with a reply, per second
+	Goodput      float64 // requests answered with plays within a second, per second
+	Late         int     // replies after more than 1.1 s, or lost with the connection
+	goodReplies  int
 	Latency      Quantiles
-	hist         *hdrhistogram.Histogram
+	histogram    *hdrhistogram.Histogram
 }
 
-// Quantiles of open to answer, in milliseconds.
+// Quantiles are quantiles of the latency, in milliseconds.
 type Quantiles struct{ P50, P90, P99, P999, Max float64 }
 
 // Runner runs a plan.
 type Runner struct {
-	plan    Plan
-	rec     *record.Log
-	rng     *rand.Rand
-	ctx     context.Context
-	readers sync.WaitGroup
-	mu      sync.Mutex
-	res     Result
-	open    sync.WaitGroup
+	plan         Plan
+	rec          *record.Log
+	rng          *rand.Rand
+	ctx          context.Context
+	readers      sync.WaitGroup
+	mu           sync.Mutex
+	result       Result
+	openRequests sync.WaitGroup
 }
 
-// Run plays a plan. rec takes what crossed the clients' sockets; nil drops it.
-func Run(ctx context.Context, p Plan, rec *record.Log) (*Result, error) {
-	if p.Clients < 1 || len(p.Titles) == 0 || len(p.Classes) == 0 || p.Shape != Closed && p.Rate <= 0 {
-		return nil, fmt.Errorf("load: clients, titles, classes and a rate are needed")
+// Run runs a plan. rec records what crossed the clients' sockets; with nil, nothing is recorded.
+func Run(ctx context.Context, plan Plan, rec *record.Log) (*Result, error) {
+	if plan.Clients < 1 || len(plan.Titles) == 0 || len(plan.Classes) == 0 || plan.Shape != Closed && plan.Rate <= 0 {
+		return nil, fmt.Errorf("load: clients, titles, classes and a rate are required")
 	}
-	if p.Reconnect <= 0 {
-		p.Reconnect = 100 * time.Millisecond
+	if plan.Reconnect <= 0 {
+		plan.Reconnect = 100 * time.Millisecond
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	r := &Runner{plan: p, rec: rec, rng: rand.New(rand.NewSource(p.Seed)), ctx: ctx,
-		res: Result{Kinds: map[string]int{}, hist: hdrhistogram.New(1, 60_000_000, 3)}}
+	r := &Runner{plan: plan, rec: rec, rng: rand.New(rand.NewSource(plan.Seed)), ctx: ctx,
+		result: Result{Kinds: map[string]int{}, histogram: hdrhistogram.New(1, 60_000_000, 3)}}
 	var clients []*client
 	defer func() {
 		cancel()
@@ -97,185 +97,189 @@
 		}
 		r.readers.Wait()
 	}()
-	for n := range p.Clients {
+	for n := range plan.Clients {
 		c, err := r.dial(ctx, n)
 		if err != nil {
 			return nil, fmt.Errorf("load: client %d: %w", n, err)
 		}
 		clients = append(clients, c)
 	}
-	bad := r.misbehave()
-	began := time.Now()
-	if p.Shape == Closed {
-		r.closed(clients)
+	misbehaving := r.runMisbehaving()
+	startedAt := time.Now()
+	if plan.Shape == Closed {
+		r.closedLoop(clients)
 	} else {
-		r.openLoop(clients, began)
+		r.openLoop(clients, startedAt)
 	}
-	r.res.Seconds = time.Since(began).Seconds()
-	r.wait(10 * time.Second)
-	for _, c := range clients { // sessions still held are closed properly
+	r.result.Seconds = time.Since(startedAt).Seconds()
+	r.waitForReplies(10 * time.Second)
+	for _, c := range clients { // close the sessions that are still held
 		c.mu.Lock()
-		var list []string
+		var sessions []string
 		for s := range c.playing {
-			list = append(list, s)
+			sessions = append(sessions, s)
 		}
 		c.mu.Unlock()
-		for _, s := range list {
-			c.end(s)
+		for _, s := range sessions {
+			c.closeSession(s)
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
 	cancel()
-	bad.Wait()
+	misbehaving.Wait()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.finish()
-	return &r.res, nil
+	r.summarize()
+	return &r.result, nil
 }
 
-// wait waits for open requests, for so long at most.
-func (r *Runner) wait(most time.Duration) {
+// waitForReplies waits until no request is open, at most for timeout.
+func (r *Runner) waitForReplies(timeout time.Duration) {
 	done := make(chan struct{})
-	go func() { r.open.Wait(); close(done) }()
+	go func() { r.openRequests.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
 
-func (r *Runner) finish() {
-	h, ms := r.res.hist, func(us int64) float64 { return float64(us) / 1000 }
-	r.res.Latency = Quantiles{ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(90)), ms(h.ValueAtQuantile(99)), ms(h.ValueAtQuantile(99.9)), ms(h.Max())}
-	r.res.Opened = float64(h.TotalCount()) / r.res.Seconds
-	r.res.Goodput = float64(r.res.good) / r.res.Seconds
+// summarize computes the figures of the result.
+func (r *Runner) summarize() {
+	histogram, ms := r.result.histogram, func(us int64) float64 { return float64(us) / 1000 }
+	r.result.Latency = Quantiles{ms(histogram.ValueAtQuantile(50)), ms(histogram.ValueAtQuantile(90)), ms(histogram.ValueAtQuantile(99)), ms(histogram.ValueAtQuantile(99.9)), ms(histogram.Max())}
+	r.result.Opened = float64(histogram.TotalCount()) / r.result.Seconds
+	r.result.Goodput = float64(r.result.goodReplies) / r.result.Seconds
 }
 
-// booked counts an answer.
-func (r *Runner) booked(kind string, due time.Time) {
-	took := time.Since(due).Microseconds()
+// countReply counts a reply, or a request that was lost with its connection ("broken").
+func (r *Runner) countReply(kind string, due time.Time) {
+	elapsed := time.Since(due).Microseconds()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.res.Kinds[kind]++
-	if kind == "plays" && took <= 1_000_000 {
-		r.res.good++
+	r.result.Kinds[kind]++
+	if kind == "plays" && elapsed <= 1_000_000 {
+		r.result.goodReplies++
 	}
-	if took > 1_100_000 || kind == "broken" {
-		r.res.Late++
+	if elapsed > 1_100_000 || kind == "broken" {
+		r.result.Late++
 	}
 	if kind != "broken" {
-		r.res.hist.RecordValue(min(max(took, 1), 60_000_000))
+		r.result.histogram.RecordValue(min(max(elapsed, 1), 60_000_000))
 	}
 }
 
-// params draws what a request asks for.
-func (r *Runner) params(viewer, title int) (text string, ask record.Event) {
+// requestParams returns the parameters of a request and its record; the class, and the title if it is negative, are
+// drawn at random.
+func (r *Runner) requestParams(viewer, title int) (text string, event record.Event) {
 	draw, class := r.rng.Float64(), 0
 	for i := range r.plan.Classes {
-		part := 1 / float64(len(r.plan.Classes))
+		share := 1 / float64(len(r.plan.Classes))
 		if r.plan.Mix != nil {
-			part = r.plan.Mix[i]
+			share = r.plan.Mix[i]
 		}
-		if class = i; draw < part {
+		if class = i; draw < share {
 			break
 		}
-		draw -= part
+		draw -= share
 	}
 	if title < 0 {
 		title = r.rng.Intn(len(r.plan.Titles))
 	}
 	name := fmt.Sprintf("load-%d", viewer)
-	m := map[string]any{"title": r.plan.Titles[title], "class": r.plan.Classes[class], "viewer": name}
+	fields := map[string]any{"title": r.plan.Titles[title], "class": r.plan.Classes[class], "viewer": name}
 	if r.plan.Tenant != "" {
-		m["tenant"] = r.plan.Tenant
+		fields["tenant"] = r.plan.Tenant
 	}
 	if r.plan.Wait > 0 {
-		m["deadlineMs"] = r.plan.Wait.Milliseconds()
+		fields["deadlineMs"] = r.plan.Wait.Milliseconds()
 	}
 	if r.plan.Top > 0 {
-		m["top"] = r.plan.Top
+		fields["top"] = r.plan.Top
 	}
-	b, _ := json.Marshal(m)
+	b, _ := json.Marshal(fields)
 	return string(b), record.Event{Class: class, Title: r.plan.Titles[title], Viewer: playersim.Hash(name), Timeout: int64(r.plan.Wait)}
 }
 
-func (r *Runner) hold() time.Duration {
+// drawHoldTime returns a random time within HoldTime.
+func (r *Runner) drawHoldTime() time.Duration {
 	return r.plan.Hold[0] + time.Duration(r.rng.Float64()*float64(r.plan.Hold[1]-r.plan.Hold[0]))
 }
 
-// openLoop sends at times drawn ahead, whatever comes back.
-func (r *Runner) openLoop(clients []*client, began time.Time) {
-	at, n, length := 0.0, 0, r.plan.Length.Seconds()
+// openLoop sends requests at random times that do not depend on the replies.
+func (r *Runner) openLoop(clients []*client, startedAt time.Time) {
+	seconds, n, length := 0.0, 0, r.plan.Length.Seconds()
 	for {
 		size, title := 1, -1
 		switch r.plan.Shape {
 		case Classes:
 			size, title = classSize, r.rng.Intn(len(r.plan.Titles))
-			at += r.rng.ExpFloat64() * classSize / r.plan.Rate
-		case Ramp: // the rate grows with time: 2*rate*at/length
-			at = math.Sqrt(at*at + r.rng.ExpFloat64()*length/r.plan.Rate)
+			seconds += r.rng.ExpFloat64() * classSize / r.plan.Rate
+		case Ramp: // the rate grows with time: 2*rate*seconds/length
+			seconds = math.Sqrt(seconds*seconds + r.rng.ExpFloat64()*length/r.plan.Rate)
 		default:
-			at += r.rng.ExpFloat64() / r.plan.Rate
+			seconds += r.rng.ExpFloat64() / r.plan.Rate
 		}
-		if at >= length || r.ctx.Err() != nil {
+		if seconds >= length || r.ctx.Err() != nil {
 			return
 		}
-		due := began.Add(time.Duration(at * float64(time.Second)))
+		due := startedAt.Add(time.Duration(seconds * float64(time.Second)))
 		time.Sleep(time.Until(due))
 		for range size {
 			n++
-			params, ask := r.params(n, title)
-			r.one(clients[n%len(clients)], params, ask, due, r.hold())
+			params, event := r.requestParams(n, title)
+			r.sendRequest(clients[n%len(clients)], params, event, due, r.drawHoldTime())
 		}
 	}
 }
 
-func (r *Runner) one(c *client, params string, ask record.Event, due time.Time, hold time.Duration) {
-	r.open.Add(1)
-	q := &request{due: due, ask: ask}
-	q.done = func(kind, session string) {
-		r.booked(kind, due)
+// sendRequest sends one request; its session is held for holdTime.
+func (r *Runner) sendRequest(c *client, params string, event record.Event, due time.Time, holdTime time.Duration) {
+	r.openRequests.Add(1)
+	req := &request{due: due, event: event}
+	req.done = func(kind, session string) {
+		r.countReply(kind, due)
 		if kind == "plays" {
-			time.AfterFunc(hold, func() { c.end(session) })
+			time.AfterFunc(holdTime, func() { c.closeSession(session) })
 		}
-		r.open.Done()
+		r.openRequests.Done()
 	}
-	sent := c.send(q, params)
+	sent := c.send(req, params)
 	r.mu.Lock()
 	if sent {
-		r.res.Sent++
+		r.result.Sent++
 	} else {
-		r.res.Unsent++
+		r.result.Unsent++
 	}
 	r.mu.Unlock()
 	if !sent {
-		r.open.Done()
+		r.openRequests.Done()
 	}
 }
 
-// closed has each client ask again as soon as it is answered.
-func (r *Runner) closed(clients []*client) {
+// closedLoop makes each client send the next request as soon as it receives a reply.
+func (r *Runner) closedLoop(clients []*client) {
 	var wg sync.WaitGroup
-	end := time.Now().Add(r.plan.Length)
+	endAt := time.Now().Add(r.plan.Length)
 	for _, c := range clients {
 		r.mu.Lock()
-		params, ask := r.params(c.n, -1)
+		params, event := r.requestParams(c.index, -1)
 		r.mu.Unlock()
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			got := make(chan string, 1)
-			for time.Now().Before(end) && r.ctx.Err() == nil {
+			replies := make(chan string, 1)
+			for time.Now().Before(endAt) && r.ctx.Err() == nil {
 				due := time.Now()
-				q := &request{due: due, ask: ask, done: func(kind, session string) { r.booked(kind, due); got <- session }}
-				if !c.send(q, params) {
+				req := &request{due: due, event: event, done: func(kind, session string) { r.countReply(kind, due); replies <- session }}
+				if !c.send(req, params) {
 					time.Sleep(10 * time.Millisecond)
 					continue
 				}
 				r.mu.Lock()
-				r.res.Sent++
+				r.result.Sent++
 				r.mu.Unlock()
-				if s := <-got; s != "" {
-					c.end(s)
+				if s := <-replies; s != "" {
+					c.closeSession(s)
 				}
 			}
 		}()
@@ -283,10 +287,10 @@
 	wg.Wait()
 }
 
-// misbehave runs bad players beside the good ones until ctx ends.
-func (r *Runner) misbehave() *sync.WaitGroup {
+// runMisbehaving runs misbehaving players beside the regular ones until ctx ends.
+func (r *Runner) runMisbehaving() *sync.WaitGroup {
 	var wg sync.WaitGroup
-	ways := []playersim.Bad{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame, playersim.Garbage, playersim.Unmasked,
+	misbehaviours := []playersim.Bad{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame, playersim.Garbage, playersim.Unmasked,
 		playersim.SlowRead, playersim.NeverPong, playersim.Pipeline}
 	crowd := playersim.New(r.rec, r.plan.Seed+1, 0, r.plan.Front)
 	for i := range int(r.plan.Bad * float64(r.plan.Clients)) {
@@ -296,7 +300,7 @@
 			for k := 0; r.ctx.Err() == nil; k++ {
 				class := (i + k) % len(r.plan.Classes)
 				crowd.Watch(r.ctx, playersim.Viewer{Name: fmt.Sprintf("bad-%d-%d", i, k), Title: r.plan.Titles[(i+k)%len(r.plan.Titles)],
-					Class: r.plan.Classes[class], ClassN: class, Tenant: r.plan.Tenant, Length: time.Second, Bad: ways[(i+k)%len(ways)]})
+					Class: r.plan.Classes[class], ClassN: class, Tenant: r.plan.Tenant, Length: time.Second, Bad: misbehaviours[(i+k)%len(misbehaviours)]})
 				select {
 				case <-r.ctx.Done():
 				case <-time.After(20 * time.Millisecond):
@@ -307,16 +311,17 @@
 	return &wg
 }
 
-// Table writes a result as text.
+// Table returns the result as text.
 func (r *Result) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "sent %d, not sent %d, in %.1f s; answered %.0f a second\n", r.Sent, r.Unsent, r.Seconds, r.Opened)
 	for _, k := range []string{"plays", "refused", "failed", "error", "broken"} {
 		fmt.Fprintf(&b, "  %-8s %d\n", k, r.Kinds[k])
 	}
-	l := r.Latency
-	fmt.Fprintf(&b, "  of them after a second or not at all: %d\ndue to answer, ms: p50 %.2f  p90 %.2f  p99 %.2f  p99.9 %.2f  max %.2f\n", r.Late, l.P50, l.P90, l.P99, l.P999, l.Max)
+	latency := r.Latency
+	fmt.Fprintf(&b, "  of them after a second or not at all: %d\ndue to answer, ms: p50 %.2f  p90 %.2f  p99 %.2f  p99.9 %.2f  max %.2f\n", r.Late, latency.P50, latency.P90, latency.P99, latency.P999, latency.Max)
 	return b.String()
 }
 
+// nines returns a share as its number of nines: 1 is 90%, 2 is 99%.
 func nines(q float64) float64 { return -math.Log10(1 - q) }
--- a/internal/standin/listsim/listsim.go
+++ b/internal/standin/listsim/listsim.go
@@ -1,5 +1,5 @@
-// Package listsim is a stand-in for Consul's health API (GET /v1/health/service/NAME), with blocking queries, lag
-// and failures on command. It writes down what each front was told.
+// Package listsim is a stand-in for Consul's health API (GET /v1/health/service/NAME), with blocking queries and, on
+// command, delayed changes and failures. It records which servers were reported to each front.
 package listsim
 
 import (
@@ -15,7 +15,7 @@
 	"tealledge/internal/record"
 )
 
-// Server is a listed server.
+// Server is one server on the list.
 type Server struct {
 	ID      uint32
 	Addr    string
@@ -23,72 +23,72 @@
 	Zone    string
 	Kind    string
 	Size    float64
-	Started time.Time // zero: long ago
+	Started time.Time // zero: started long ago
 	Health  string    // ready, draining or removed
-	HTTP    string    // where it delivers HLS segments
-	More    []string  // further addresses: [IPV6]:PORT, or a Unix socket's path
+	HTTP    string    // address that delivers HLS segments
+	More    []string  // further addresses: [IPV6]:PORT, or the path of a Unix socket
 }
 
-// List is the service.
+// List is the list service.
 type List struct {
-	rec  *record.Log
-	ln   net.Listener
-	srv  *http.Server
-	mu   sync.Mutex
-	news chan struct{} // closed at each change
-
-	shown   map[uint32]Server // as it is told
-	index   uint64
-	lag     time.Duration
-	failing bool
-	empty   bool
-	told    map[string]map[uint32]Server // by front
-	seq     uint64
-	applied map[uint32]uint64 // newest change made, by server
-	closed  bool
+	rec      *record.Log
+	listener net.Listener
+	srv      *http.Server
+	mu       sync.Mutex
+	changed  chan struct{} // closed and replaced at each change
+
+	servers  map[uint32]Server // the current list, by server id
+	index    uint64
+	delay    time.Duration
+	failing  bool
+	empty    bool
+	reported map[string]map[uint32]Server // the last non-empty list sent, by front
+	seq      uint64
+	applied  map[uint32]uint64 // sequence number of the newest change applied, by server
+	closed   bool
 }
 
-// New starts the service on a loopback address.
+// New starts the service at addr, a loopback address.
 func New(addr string, rec *record.Log) (*List, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("list stand-in: %w", err)
 	}
-	l := &List{rec: rec, ln: ln, news: make(chan struct{}), shown: map[uint32]Server{},
-		index: 10, told: map[string]map[uint32]Server{}, applied: map[uint32]uint64{}}
+	l := &List{rec: rec, listener: ln, changed: make(chan struct{}), servers: map[uint32]Server{},
+		index: 10, reported: map[string]map[uint32]Server{}, applied: map[uint32]uint64{}}
 	l.srv = &http.Server{Handler: http.HandlerFunc(l.serve), ReadHeaderTimeout: 5 * time.Second}
 	go l.srv.Serve(ln)
 	return l, nil
 }
 
-// Addr is where it listens.
-func (l *List) Addr() string { return l.ln.Addr().String() }
+// Addr returns the address that the service listens on.
+func (l *List) Addr() string { return l.listener.Addr().String() }
 
-// Close ends the service.
+// Close stops the service.
 func (l *List) Close() {
 	l.mu.Lock()
 	if !l.closed {
 		l.closed = true
-		l.bump()
+		l.notifyWaiters()
 	}
 	l.mu.Unlock()
 	l.srv.Close()
 }
 
-// Set lists a server or changes it; fronts hear of it after the lag.
+// Set adds a server to the list or changes it; the change is visible to fronts after the delay.
 func (l *List) Set(s Server) {
-	l.later(s.ID, func() { l.shown[s.ID] = s })
+	l.schedule(s.ID, func() { l.servers[s.ID] = s })
 }
 
-// Remove takes a server off the list.
+// Remove removes a server from the list, after the delay.
 func (l *List) Remove(id uint32) {
-	l.later(id, func() { delete(l.shown, id) })
+	l.schedule(id, func() { delete(l.servers, id) })
 }
 
-// later makes a change after the lag. One that was overtaken by a newer change of the same server is dropped.
-func (l *List) later(id uint32, change func()) {
+// schedule applies a change after the delay. A change is dropped if a newer change of the same server was applied first.
+func (l *List) schedule(id uint32, change func()) {
 	l.mu.Lock()
-	lag := l.lag
+	delay := l.delay
 	l.seq++
 	seq := l.seq
 	l.mu.Unlock()
@@ -100,35 +100,35 @@
 		}
 		l.applied[id] = seq
 		change()
-		l.bump()
+		l.notifyWaiters()
 	}
-	if lag == 0 {
+	if delay == 0 {
 		apply()
 		return
 	}
-	time.AfterFunc(lag, apply)
+	time.AfterFunc(delay, apply)
 }
 
-// bump tells all that wait that there is news.
-func (l *List) bump() {
+// notifyWaiters increases the index and wakes all blocking queries.
+func (l *List) notifyWaiters() {
 	l.index++
-	close(l.news)
-	l.news = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Lag delays changes from now on; Fail answers with errors; Empty answers with an empty list; Rewind sets the
-// index back.
-func (l *List) Lag(d time.Duration) { l.mu.Lock(); l.lag = d; l.mu.Unlock() }
+// SetDelay sets the delay between a later change and its effect on the list.
+func (l *List) Lag(d time.Duration) { l.mu.Lock(); l.delay = d; l.mu.Unlock() }
 
-// Fail makes every call fail.
-func (l *List) Fail(on bool) { l.mu.Lock(); l.failing = on; l.bump(); l.mu.Unlock() }
+// SetFailing makes every request fail with status 500 while on is true.
+func (l *List) Fail(on bool) { l.mu.Lock(); l.failing = on; l.notifyWaiters(); l.mu.Unlock() }
 
-// Empty makes the list look empty.
-func (l *List) Empty(on bool) { l.mu.Lock(); l.empty = on; l.bump(); l.mu.Unlock() }
+// SetEmpty makes every response an empty list while on is true.
+func (l *List) Empty(on bool) { l.mu.Lock(); l.empty = on; l.notifyWaiters(); l.mu.Unlock() }
 
-// Rewind sets the index back, as a service restored from an old copy does.
-func (l *List) Rewind() { l.mu.Lock(); l.index = 1; l.bump(); l.mu.Unlock() }
+// ResetIndex sets the index back to 1, as in a service restored from an old copy.
+func (l *List) Rewind() { l.mu.Lock(); l.index = 1; l.notifyWaiters(); l.mu.Unlock() }
 
+// entry is one element of the JSON response.
 type entry struct {
 	Node    map[string]any
 	Service map[string]any
@@ -141,20 +141,20 @@
 		return
 	}
 	name := strings.TrimPrefix(r.URL.Path, "/v1/health/service/")
-	after, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
+	lastIndex, _ := strconv.ParseUint(r.URL.Query().Get("index"), 10, 64)
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil || wait > 10*time.Minute {
 		wait = 5 * time.Minute
 	}
-	end := time.After(wait)
+	timeout := time.After(wait)
 	l.mu.Lock()
-	for after != 0 && l.index == after && !l.closed {
-		news := l.news
+	for lastIndex != 0 && l.index == lastIndex && !l.closed {
+		changed := l.changed
 		l.mu.Unlock()
 		select {
-		case <-news:
-		case <-end:
-			after = 0
+		case <-changed:
+		case <-timeout:
+			lastIndex = 0
 		case <-r.Context().Done():
 			return
 		}
@@ -165,77 +165,83 @@
 		http.Error(w, "No cluster leader", http.StatusInternalServerError)
 		return
 	}
-	list := []entry{}
+	entries := []entry{}
 	front := r.Header.Get("X-Tealledge-Front")
-	if r.URL.Query().Get("index") == "" { // a front that starts, or starts over, knows nothing of earlier answers
-		delete(l.told, front)
+	if r.URL.Query().Get("index") == "" { // a front that starts or restarts has no state from earlier responses
+		delete(l.reported, front)
 	}
-	told := map[uint32]Server{}
+	reported := map[uint32]Server{}
 	if !l.empty {
-		for _, s := range l.shown {
-			told[s.ID] = s
-			list = append(list, node(name, s))
+		for _, s := range l.servers {
+			reported[s.ID] = s
+			entries = append(entries, newEntry(name, s))
 		}
 	}
 	index := l.index
-	events := l.tell(front, told)
+	events := l.reportedChanges(front, reported)
 	l.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
-	if json.NewEncoder(w).Encode(list) == nil {
+	if json.NewEncoder(w).Encode(entries) == nil {
 		if f, ok := w.(http.Flusher); ok {
 			f.Flush()
 		}
-		for _, e := range events { // told once it is written, not before
+		for _, e := range events { // recorded only after the response is written
 			l.rec.Add(e)
 		}
 	}
 }
 
-// tell gives what is new to a front.
-func (l *List) tell(front string, list map[uint32]Server) (events []record.Event) {
-	old := l.told[front]
-	for id, s := range list {
-		if was, ok := old[id]; !ok || was.Health != s.Health || !was.Started.Equal(s.Started) {
-			events = append(events, record.Event{Source: "list", Kind: record.ServerListed, Front: front, Server: id, Health: s.Health,
-				StartedAt: started(s)})
+// reportedChanges returns an event for each server whose entry is new to a front, and stores the list as reported.
+func (l *List) reportedChanges(front string, servers map[uint32]Server) (events []record.Event) {
+	previous := l.reported[front]
+	for id, s := range servers {
+		if before, ok := previous[id]; !ok || before.Health != s.Health || !before.Started.Equal(s.Started) {
+			events = append(events, record.Event{Source: "list", Kind: record.ServerListed, Front: front,
+				Server: id, Health: s.Health, StartedAt: startedNanos(s)})
 		}
 	}
-	if len(list) > 0 { // an empty answer tells nothing that is believed at once
-		for id := range old {
-			if _, still := list[id]; !still {
-				events = append(events, record.Event{Source: "list", Kind: record.ServerListed, Front: front, Server: id, Health: "removed"})
+	if len(servers) > 0 { // fronts do not accept an empty list at once
+		for id := range previous {
+			if _, listed := servers[id]; !listed {
+				events = append(events, record.Event{Source: "list", Kind: record.ServerListed, Front: front,
+					Server: id, Health: "removed"})
 			}
 		}
-		l.told[front] = list
+		l.reported[front] = servers
 	}
 	return events
 }
 
-func started(s Server) int64 {
+// startedNanos returns the start time in Unix nanoseconds, 0 if the server started long ago.
+func startedNanos(s Server) int64 {
 	if s.Started.IsZero() {
 		return 0
 	}
 	return s.Started.UnixNano()
 }
 
-func node(name string, s Server) entry {
+// newEntry builds the JSON entry of a server.
+func newEntry(name string, s Server) entry {
 	host, port, _ := net.SplitHostPort(s.Addr)
-	p, _ := strconv.Atoi(port)
-	meta := map[string]string{"server": strconv.FormatUint(uint64(s.ID), 10), "cell": strconv.Itoa(s.Cell), "zone": s.Zone,
-		"kind": s.Kind, "size": strconv.FormatFloat(s.Size, 'g', -1, 64), "started": strconv.FormatInt(started(s), 10)}
-	e := entry{Node: map[string]any{"ID": fmt.Sprintf("00000000-0000-0000-0000-%012d", s.ID), "Node": fmt.Sprintf("media-%d", s.ID),
+	portNumber, _ := strconv.Atoi(port)
+	meta := map[string]string{"server": strconv.FormatUint(uint64(s.ID), 10), "cell": strconv.Itoa(s.Cell),
+		"zone": s.Zone, "kind": s.Kind, "size": strconv.FormatFloat(s.Size, 'g', -1, 64),
+		"started": strconv.FormatInt(startedNanos(s), 10)}
+	e := entry{Node: map[string]any{"ID": fmt.Sprintf("00000000-0000-0000-0000-%012d", s.ID),
+		"Node":    fmt.Sprintf("media-%d", s.ID),
 		"Address": host, "Datacenter": "dc1", "Meta": meta},
-		Service: map[string]any{"ID": fmt.Sprintf("%s-%d", name, s.ID), "Service": name, "Address": host, "Port": p, "Meta": meta},
-		Checks:  []map[string]any{{"Node": fmt.Sprintf("media-%d", s.ID), "CheckID": "serfHealth", "Status": "passing"}}}
+		Service: map[string]any{"ID": fmt.Sprintf("%s-%d", name, s.ID), "Service": name, "Address": host,
+			"Port": portNumber, "Meta": meta},
+		Checks: []map[string]any{{"Node": fmt.Sprintf("media-%d", s.ID), "CheckID": "serfHealth", "Status": "passing"}}}
 	meta["http"] = s.HTTP
 	tagged := map[string]any{}
-	for _, a := range s.More {
-		if strings.HasPrefix(a, "/") {
-			meta["unix"] = a
-		} else if h, po, err := net.SplitHostPort(a); err == nil {
-			n, _ := strconv.Atoi(po)
-			tagged["lan_ipv6"] = map[string]any{"Address": h, "Port": n}
+	for _, addr := range s.More {
+		if strings.HasPrefix(addr, "/") {
+			meta["unix"] = addr
+		} else if extraHost, extraPort, err := net.SplitHostPort(addr); err == nil {
+			extraPortNumber, _ := strconv.Atoi(extraPort)
+			tagged["lan_ipv6"] = map[string]any{"Address": extraHost, "Port": extraPortNumber}
 		}
 	}
 	e.Service["TaggedAddresses"] = tagged
--- a/internal/standin/mediasim/farm.go
+++ b/internal/standin/mediasim/farm.go
@@ -1,6 +1,6 @@
-// Package mediasim is a stand-in for media servers: it speaks RTSP 2.0 on loopback, models stream places, links
-// and rack uplinks that share their rate equally, warming up and falling over, and shows faults on command. It
-// writes down what crossed its own sockets. No media is sent.
+// Package mediasim is a stand-in for media servers: it speaks RTSP 2.0 on loopback and models stream slots, network
+// links and rack uplinks that divide their rate equally among streams, warm-up after a start, and crashes under too
+// many set-ups while cold. Faults are injected on command. It records what crossed its own sockets. No media is sent.
 package mediasim
 
 import (
@@ -16,99 +16,101 @@
 	"tealledge/internal/standin/ports"
 )
 
-// Params is what all servers of a farm have in common.
+// Params holds the parameters that all servers of a farm share.
 type Params struct {
-	Ladder      []float64 // kB a second of each rung
-	Slots       float64   // streams that a server runs at most
-	LinkKB      float64   // mean link of a server
-	UplinkKB    float64   // mean uplink of a rack
-	Uneven      float64   // links and uplinks differ by so much from the mean
+	Ladder      []float64 // rate of each rung, in kB/s
+	Slots       float64   // maximum number of streams on a server
+	LinkKB      float64   // mean rate of a server's network link, in kB/s
+	UplinkKB    float64   // mean rate of a rack's uplink, in kB/s
+	Uneven      float64   // maximum deviation of links and uplinks from the mean, as a fraction of it
 	Racks       int
 	Cells       int
-	SetupTime   time.Duration // of a warm server
-	ReportEvery time.Duration // load values are refreshed so often
-	NotesLate   time.Duration
-	TellEvery   time.Duration // time between use notes; 0: none
-	FullFrom    float64       // set-ups are turned away from this use of the link; 0: never
-	Inline      bool          // answers carry load values
-	ColdSpan    time.Duration
-	ColdFrom    float64
-	FallTimes   float64
-	FallOver    time.Duration
-	Keep        time.Duration // a stream whose connection is lost lives on so long
+	SetupTime   time.Duration // duration of a set-up on a warm server
+	ReportEvery time.Duration // interval at which reported load values are refreshed
+	NotesLate   time.Duration // age of the values in notes
+	TellEvery   time.Duration // interval between notes of link use; 0: none are sent
+	FullFrom    float64       // link use from which set-ups are refused as full; 0: never
+	Inline      bool          // PLAY responses carry load values
+	ColdSpan    time.Duration // duration of the warm-up after a cold start
+	ColdFrom    float64       // capacity right after a cold start, as a fraction of the full one
+	FallTimes   float64       // a cold server crashes at this multiple of the set-up rate it has capacity for
+	FallOver    time.Duration // window in which the set-ups of a cold server are counted
+	Keep        time.Duration // how long a stream is kept after its connection is lost
 	Holds       func(title string, cell int) bool
 	Seed        int64
-	Families    []string // more ways in besides IPv4: "ipv6", "unix" (in Dir)
+	Families    []string // address families besides IPv4: "ipv6", "unix" (sockets in SocketDir)
 	Dir         string
-	HTTP        bool // servers deliver HLS playlists and segments too
+	HTTP        bool // servers also deliver HLS playlists and segments
 	Keys        *hlstoken.Keys
 }
 
 // Farm is a set of servers and their racks.
 type Farm struct {
-	p       Params
-	rec     *record.Log
-	mu      sync.Mutex
-	rng     *rand.Rand
-	servers []*Server
-	uplinks []float64 // kB a second
-	sag     []float64 // part of the uplink that is left
-	stop    chan struct{}
-	once    sync.Once
-	done    sync.WaitGroup
-	kept    *ports.Kept // the servers' addresses, also while they are down
+	params        Params
+	rec           *record.Log
+	mu            sync.Mutex
+	rng           *rand.Rand
+	servers       []*Server
+	uplinks       []float64 // rate of each rack's uplink, in kB/s
+	uplinkFactors []float64 // fraction of each uplink's rate that is available
+	stop          chan struct{}
+	stopOnce      sync.Once
+	running       sync.WaitGroup
+	reservation   *ports.Kept // keeps the servers' addresses reserved while they are down
 }
 
-// New starts a farm of n servers on loopback ports, all warm. Server ids count from 1, cells from 0.
+// New starts a farm of n warm servers on loopback ports. Server ids start at 1, cells at 0.
 func New(p Params, n int, rec *record.Log) (*Farm, error) {
-	f := &Farm{p: p, rec: rec, rng: rand.New(rand.NewSource(p.Seed)), stop: make(chan struct{})}
+	f := &Farm{params: p, rec: rec, rng: rand.New(rand.NewSource(p.Seed)), stop: make(chan struct{})}
 	var err error
-	if f.kept, err = ports.Keep(n); err != nil {
+	if f.reservation, err = ports.Keep(n); err != nil {
 		return nil, err
 	}
-	spread := func() float64 { return 1 + p.Uneven*(2*f.rng.Float64()-1) }
+	variation := func() float64 { return 1 + p.Uneven*(2*f.rng.Float64()-1) }
 	for range p.Racks {
-		f.uplinks, f.sag = append(f.uplinks, p.UplinkKB*spread()), append(f.sag, 1)
+		f.uplinks, f.uplinkFactors = append(f.uplinks, p.UplinkKB*variation()), append(f.uplinkFactors, 1)
 	}
 	for i := range n {
-		s := &Server{farm: f, ID: uint32(i + 1), Cell: i % p.Cells, link: p.LinkKB * spread(), conns: map[*conn]struct{}{},
-			streams: map[string]*stream{}, share: 1, free: 1}
+		s := &Server{farm: f, ID: uint32(i + 1), Cell: i % p.Cells, linkKB: p.LinkKB * variation(),
+			conns:   map[*conn]struct{}{},
+			streams: map[string]*stream{}, share: 1, linkFactor: 1}
 		s.rack = s.Cell % p.Racks
-		s.extra = f.extra(i + 1)
+		s.extraListeners = f.newExtraListeners(i + 1)
 		if p.HTTP {
 			if err := s.listenHTTP(); err != nil {
 				f.Close()
 				return nil, err
 			}
 		}
-		if err := s.listen(f.kept.Addrs[i], false); err != nil {
+		if err := s.listen(f.reservation.Addrs[i], false); err != nil {
 			f.Close()
 			return nil, err
 		}
 		f.servers = append(f.servers, s)
 	}
-	f.done.Add(1)
+	f.running.Add(1)
 	go f.run()
 	return f, nil
 }
 
-// extra gives a server's further addresses.
-func (f *Farm) extra(id int) (list []*way) {
-	for _, family := range f.p.Families {
+// newExtraListeners returns the listeners of a server's further addresses, not yet started.
+func (f *Farm) newExtraListeners(id int) (list []*extraListener) {
+	for _, family := range f.params.Families {
 		switch family {
 		case "ipv6":
-			list = append(list, &way{network: "tcp6", addr: "[::1]:0"})
+			list = append(list, &extraListener{network: "tcp6", addr: "[::1]:0"})
 		case "unix":
-			list = append(list, &way{network: "unix", addr: filepath.Join(f.p.Dir, fmt.Sprintf("media-%d.sock", id))})
+			list = append(list, &extraListener{network: "unix",
+				addr: filepath.Join(f.params.Dir, fmt.Sprintf("media-%d.sock", id))})
 		}
 	}
 	return list
 }
 
-// Servers gives the servers, in the order of ids.
+// Servers returns the servers, ordered by id.
 func (f *Farm) Servers() []*Server { return f.servers }
 
-// Server gives a server by id, nil if there is none.
+// Server returns the server with an id, nil if there is none.
 func (f *Farm) Server(id uint32) *Server {
 	if id == 0 || int(id) > len(f.servers) {
 		return nil
@@ -116,16 +118,16 @@
 	return f.servers[id-1]
 }
 
-// Sag leaves a rack's uplink a part of what it gives; 1 mends it.
-func (f *Farm) Sag(rack int, part float64) {
+// LimitUplink reduces the rate of a rack's uplink to a fraction of its full rate; a factor of 1 restores it.
+func (f *Farm) Sag(rack int, factor float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if rack >= 0 && rack < len(f.sag) {
-		f.sag[rack] = part
+	if rack >= 0 && rack < len(f.uplinkFactors) {
+		f.uplinkFactors[rack] = factor
 	}
 }
 
-// Streams tells how many streams play in all.
+// StreamCount returns the number of streams on all servers.
 func (f *Farm) Streams() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,28 +137,29 @@
 	return n
 }
 
-// Close ends all servers.
+// Close stops all servers.
 func (f *Farm) Close() {
-	f.once.Do(func() { close(f.stop) })
+	f.stopOnce.Do(func() { close(f.stop) })
 	for _, s := range f.servers {
-		s.end("farm closed", false)
-		if s.web != nil {
-			s.web.Close()
+		s.stop("farm closed", false)
+		if s.httpServer != nil {
+			s.httpServer.Close()
 		}
 	}
-	f.done.Wait()
+	f.running.Wait()
 	for _, s := range f.servers {
 		s.running.Wait()
 	}
-	f.kept.Close()
+	f.reservation.Close()
 }
 
-const beat = 50 * time.Millisecond
+// tickInterval is the interval at which rates are divided, streams expire and notes are sent.
+const tickInterval = 50 * time.Millisecond
 
-// run shares links and sends notes.
+// run divides the rates, ends expired streams and sends notes, at each tick.
 func (f *Farm) run() {
-	defer f.done.Done()
-	t := time.NewTicker(beat)
+	defer f.running.Done()
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -166,31 +169,32 @@
 		}
 		f.mu.Lock()
 		now := time.Now()
-		f.divide(now)
+		f.shareRates(now)
 		for _, s := range f.servers {
-			s.expire(now)
-			s.notes(now)
+			s.endExpiredStreams(now)
+			s.sendNotes(now)
 		}
 		f.mu.Unlock()
 	}
 }
 
-// divide works out what share of their rate the streams get: the smaller of what link and uplink allow.
-func (f *Farm) divide(now time.Time) {
-	asked := make([]float64, len(f.uplinks))
+// shareRates computes the share of their rate that the streams of each server get: the smaller of the shares that its
+// link and its rack's uplink allow.
+func (f *Farm) shareRates(now time.Time) {
+	uplinkDemand := make([]float64, len(f.uplinks))
 	for _, s := range f.servers {
-		s.asked = 0
+		s.demand = 0
 		for _, st := range s.streams {
 			if st.playing {
-				s.asked += f.p.Ladder[st.rung]
+				s.demand += f.params.Ladder[st.rung]
 			}
 		}
-		asked[s.rack] += s.asked
+		uplinkDemand[s.rack] += s.demand
 	}
 	for _, s := range f.servers {
-		gives, up := s.link*s.free, f.uplinks[s.rack]*f.sag[s.rack]
-		s.use, s.useUp = s.asked/max(gives, 1), asked[s.rack]/max(up, 1)
-		share := min(1, 1/max(s.use, 1e-9), 1/max(s.useUp, 1e-9))
+		linkRate, uplinkRate := s.linkKB*s.linkFactor, f.uplinks[s.rack]*f.uplinkFactors[s.rack]
+		s.linkUse, s.uplinkUse = s.demand/max(linkRate, 1), uplinkDemand[s.rack]/max(uplinkRate, 1)
+		share := min(1, 1/max(s.linkUse, 1e-9), 1/max(s.uplinkUse, 1e-9))
 		if s.stalled || s.silent {
 			share = 0
 		}
@@ -198,34 +202,36 @@
 			f.rec.Add(record.Event{Source: s.name(), Kind: record.RateShare, Server: s.ID, Value: share})
 		}
 		s.share = share
-		s.past = append(s.past, sample{now, share, s.use, s.useUp})
-		for len(s.past) > 0 && now.Sub(s.past[0].at) > f.p.NotesLate+time.Second {
-			s.past = s.past[1:]
+		s.samples = append(s.samples, sample{now, share, s.linkUse, s.uplinkUse})
+		for len(s.samples) > 0 && now.Sub(s.samples[0].at) > f.params.NotesLate+time.Second {
+			s.samples = s.samples[1:]
 		}
-		if now.Sub(s.reportAt) >= f.p.ReportEvery {
-			s.reportAt, s.reported = now, sample{now, share, s.use, s.useUp}
+		if now.Sub(s.reportedAt) >= f.params.ReportEvery {
+			s.reportedAt, s.reported = now, sample{now, share, s.linkUse, s.uplinkUse}
 		}
 	}
 }
 
-// sample is the state of a server at a time.
+// sample is the delivered share and the link use of a server at one time.
 type sample struct {
-	at               time.Time
-	share, use, upto float64
+	at                        time.Time
+	share, linkUse, uplinkUse float64
 }
 
-func (s *Server) late(now time.Time) sample {
-	for i := len(s.past) - 1; i >= 0; i-- {
-		if now.Sub(s.past[i].at) >= s.farm.p.NotesLate {
-			return s.past[i]
+// delayedSample returns the most recent sample that is at least NoteDelay old.
+func (s *Server) delayedSample(now time.Time) sample {
+	for i := len(s.samples) - 1; i >= 0; i-- {
+		if now.Sub(s.samples[i].at) >= s.farm.params.NotesLate {
+			return s.samples[i]
 		}
 	}
 	return sample{share: 1}
 }
 
+// name returns the server's name in records.
 func (s *Server) name() string { return fmt.Sprintf("media-%d", s.ID) }
 
-// Streams tells how many streams a server holds.
+// StreamCount returns the number of streams on the server.
 func (s *Server) Streams() int {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
--- a/internal/standin/mediasim/http.go
+++ b/internal/standin/mediasim/http.go
@@ -11,38 +11,41 @@
 	"tealledge/internal/record"
 )
 
-// Titles whose names begin so are live: a window that slides with the clock, alike at all servers. Others are finished.
+// livePrefix starts the names of live titles. Their playlist is a window that slides with the clock, the same on all
+// servers. All other titles are complete.
 const livePrefix = "live-"
 
+// Layout of the playlists, in segments.
 const (
-	segmentLasts = time.Second
-	liveWindow   = 6
-	doneSegments = 4
-	discEvery    = 10 // a live title has a discontinuity at every so many segments
+	segmentDuration       = time.Second
+	liveSegments          = 6
+	vodSegments           = 4
+	discontinuityInterval = 10 // segments between two discontinuities of a live title
 )
 
-// HTTPAddr is where the server delivers, "" if it does not.
-func (s *Server) HTTPAddr() string { return s.webAddr }
+// HTTPAddr returns the address that delivers HLS, "" if the server does not deliver it.
+func (s *Server) HTTPAddr() string { return s.httpAddr }
 
+// listenHTTP starts the HTTP server on a loopback port.
 func (s *Server) listenHTTP() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("media stand-in %d: %w", s.ID, err)
 	}
-	s.webAddr = ln.Addr().String()
-	s.web = &http.Server{Handler: http.HandlerFunc(s.deliver), ReadHeaderTimeout: 2 * time.Second}
-	go s.web.Serve(ln)
+	s.httpAddr = ln.Addr().String()
+	s.httpServer = &http.Server{Handler: http.HandlerFunc(s.serveHTTP), ReadHeaderTimeout: 2 * time.Second}
+	go s.httpServer.Serve(ln)
 	return nil
 }
 
-// deliver answers GETs of playlists and segments.
-func (s *Server) deliver(w http.ResponseWriter, r *http.Request) {
+// serveHTTP answers GET requests for playlists and segments.
+func (s *Server) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	f := s.farm
 	f.mu.Lock()
-	dead, stalled, half := !s.up, s.stalled || s.silent, f.rng.Float64() < s.half
+	down, stalled, truncated := !s.up, s.stalled || s.silent, f.rng.Float64() < s.truncationRate
 	f.mu.Unlock()
 	switch {
-	case dead:
+	case down:
 		panic(http.ErrAbortHandler)
 	case stalled:
 		select {
@@ -52,48 +55,49 @@
 		panic(http.ErrAbortHandler)
 	}
 	title, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if f.p.Holds != nil && !f.p.Holds(title, s.Cell) {
+	if f.params.Holds != nil && !f.params.Holds(title, s.Cell) {
 		http.NotFound(w, r)
 		return
 	}
 	var body string
 	switch {
 	case rest == "master.m3u8":
-		body = f.master()
+		body = f.masterPlaylist()
 	case strings.HasSuffix(rest, ".m3u8"):
 		rung, err := strconv.Atoi(strings.TrimSuffix(rest, ".m3u8"))
-		if err != nil || rung < 0 || rung >= len(f.p.Ladder) {
+		if err != nil || rung < 0 || rung >= len(f.params.Ladder) {
 			http.NotFound(w, r)
 			return
 		}
-		body = playlist(title, rung, time.Now())
+		body = mediaPlaylist(title, rung, time.Now())
 	case strings.HasSuffix(rest, ".ts"):
-		s.segment(w, r, title, rest)
+		s.serveSegment(w, r, title, rest)
 		return
 	default:
 		http.NotFound(w, r)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if half {
+	if truncated {
 		body = body[:len(body)/2]
 	}
 	w.Write([]byte(body))
 }
 
-// segment answers for a segment that exists, to those who carry a token; no media is sent.
-func (s *Server) segment(w http.ResponseWriter, r *http.Request, title, rest string) {
+// serveSegment answers a request for an existing segment if it carries a valid token; no media is sent.
+func (s *Server) serveSegment(w http.ResponseWriter, r *http.Request, title, rest string) {
 	e := record.Event{Source: s.name(), Kind: record.SegmentRequested, Server: s.ID, Title: title, Text: rest}
-	if s.farm.p.Keys != nil {
-		c, err := s.farm.p.Keys.Verify(r.URL.Query().Get("st"), time.Now().Unix())
-		if err != nil || c.Title != title {
+	if s.farm.params.Keys != nil {
+		claims, err := s.farm.params.Keys.Verify(r.URL.Query().Get("st"), time.Now().Unix())
+		if err != nil || claims.Title != title {
 			http.Error(w, "no token for this title", http.StatusForbidden)
 			return
 		}
-		e.Viewer = strconv.FormatUint(c.Viewer, 10)
+		e.Viewer = strconv.FormatUint(claims.Viewer, 10)
 	}
 	var rung, seq int
-	if n, err := fmt.Sscanf(rest, "%d/%d.ts", &rung, &seq); n != 2 || err != nil || !exists(title, seq, time.Now()) {
+	if n, err := fmt.Sscanf(rest, "%d/%d.ts", &rung, &seq); n != 2 || err != nil ||
+		!segmentExists(title, seq, time.Now()) {
 		e.Status = 404
 		s.farm.rec.Add(e)
 		http.NotFound(w, r)
@@ -103,43 +107,47 @@
 	w.Write([]byte("segment"))
 }
 
-func (f *Farm) master() string {
+// masterPlaylist returns a master playlist with one variant per rung.
+func (f *Farm) masterPlaylist() string {
 	var b strings.Builder
 	b.WriteString("#EXTM3U\n#EXT-X-VERSION:4\n#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"es\",NAME=\"Castellano\"\n#EXT-X-MEDIA:TYPE=AUDIO,GROUP-ID=\"en\",NAME=\"English\"\n")
-	for i, kb := range f.p.Ladder {
+	for i, kb := range f.params.Ladder {
 		fmt.Fprintf(&b, "#EXT-X-STREAM-INF:BANDWIDTH=%d,AUDIO=\"es\"\n%d.m3u8\n", int(kb*8000), i)
 	}
 	return b.String()
 }
 
-// newest is the media sequence of a live title's newest segment.
-func newest(now time.Time) int { return int(now.UnixNano() / int64(segmentLasts)) }
+// newestSequence returns the media sequence number of a live title's newest segment.
+func newestSequence(now time.Time) int { return int(now.UnixNano() / int64(segmentDuration)) }
 
-func exists(title string, seq int, now time.Time) bool {
+// segmentExists reports whether a title has the segment now. A live title also has the next one.
+func segmentExists(title string, seq int, now time.Time) bool {
 	if strings.HasPrefix(title, livePrefix) {
-		return seq <= newest(now)+1 && seq > newest(now)-4*liveWindow
+		return seq <= newestSequence(now)+1 && seq > newestSequence(now)-4*liveSegments
 	}
-	return seq >= 0 && seq < doneSegments
+	return seq >= 0 && seq < vodSegments
 }
 
-func playlist(title string, rung int, now time.Time) string {
+// mediaPlaylist returns the playlist of one rung of a title.
+func mediaPlaylist(title string, rung int, now time.Time) string {
 	var b strings.Builder
-	first, n := 0, doneSegments
+	first, n := 0, vodSegments
 	live := strings.HasPrefix(title, livePrefix)
 	if live {
-		first, n = newest(now)-liveWindow+1, liveWindow
+		first, n = newestSequence(now)-liveSegments+1, liveSegments
 	}
-	fmt.Fprintf(&b, "#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:%d\n#EXT-X-MEDIA-SEQUENCE:%d\n", int(segmentLasts/time.Second), first)
+	fmt.Fprintf(&b, "#EXTM3U\n#EXT-X-VERSION:3\n#EXT-X-TARGETDURATION:%d\n#EXT-X-MEDIA-SEQUENCE:%d\n",
+		int(segmentDuration/time.Second), first)
 	if live {
-		fmt.Fprintf(&b, "#EXT-X-DISCONTINUITY-SEQUENCE:%d\n", (first-1)/discEvery)
+		fmt.Fprintf(&b, "#EXT-X-DISCONTINUITY-SEQUENCE:%d\n", (first-1)/discontinuityInterval)
 	} else {
 		b.WriteString("#EXT-X-PLAYLIST-TYPE:VOD\n")
 	}
 	for seq := first; seq < first+n; seq++ {
-		if live && seq%discEvery == 0 {
+		if live && seq%discontinuityInterval == 0 {
 			b.WriteString("#EXT-X-DISCONTINUITY\n")
 		}
-		fmt.Fprintf(&b, "#EXTINF:%.3f,\n%d/%d.ts\n", segmentLasts.Seconds(), rung, seq)
+		fmt.Fprintf(&b, "#EXTINF:%.3f,\n%d/%d.ts\n", segmentDuration.Seconds(), rung, seq)
 	}
 	if !live {
 		b.WriteString("#EXT-X-ENDLIST\n")
--- a/internal/standin/mediasim/serve.go
+++ b/internal/standin/mediasim/serve.go
@@ -10,77 +10,78 @@
 	"tealledge/internal/rtsp"
 )
 
-// serve works on a connection's requests in order. Each is answered when its own time is over, so that pipelined
-// set-ups overlap.
+// serve handles a connection's requests in order. The time that a set-up takes counts from its own arrival, so that
+// pipelined set-ups overlap.
 func (c *conn) serve() {
-	defer c.s.running.Done()
-	for j := range c.work {
+	defer c.server.running.Done()
+	for j := range c.jobs {
 		if c.waitWhile(func(s *Server) bool { return s.stalled || s.silent }) {
 			continue
 		}
-		if c.mode == PathSilent || c.mode == PathStalls && j.m.Method != rtsp.Options {
+		if c.mode == PathSilent || c.mode == PathStalls && j.message.Method != rtsp.Options {
 			continue
 		}
-		if j.m.Method == "" {
-			continue // an answer to a request of ours
+		if j.message.Method == "" {
+			continue // a response to one of our requests
 		}
-		if d := c.s.setupTime(); j.m.Method == rtsp.Setup && d > 0 {
-			time.Sleep(time.Until(j.at.Add(d)))
+		if d := c.server.setupTime(); j.message.Method == rtsp.Setup && d > 0 {
+			time.Sleep(time.Until(j.receivedAt.Add(d)))
 		}
-		c.answer(j.m)
+		c.answer(j.message)
 	}
 }
 
-// setupTime is longer while the server is cold.
+// setupTime returns the duration of a set-up, which is longer while the server is cold.
 func (s *Server) setupTime() time.Duration {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
-	return time.Duration(float64(s.farm.p.SetupTime) / s.warmth(time.Now()))
+	return time.Duration(float64(s.farm.params.SetupTime) / s.capacity(time.Now()))
 }
 
-// warmth grows from ColdFrom to 1 over ColdSpan.
-func (s *Server) warmth(now time.Time) float64 {
-	p := &s.farm.p
-	if s.started.IsZero() || p.ColdSpan <= 0 {
+// capacity returns the server's capacity as a fraction; it grows from ColdCapacity to 1 over WarmupTime.
+func (s *Server) capacity(now time.Time) float64 {
+	p := &s.farm.params
+	if s.startedAt.IsZero() || p.ColdSpan <= 0 {
 		return 1
 	}
-	return min(1, p.ColdFrom+(1-p.ColdFrom)*float64(now.Sub(s.started))/float64(p.ColdSpan))
+	return min(1, p.ColdFrom+(1-p.ColdFrom)*float64(now.Sub(s.startedAt))/float64(p.ColdSpan))
 }
 
+// answer handles one request and writes the response, unless a fault drops or damages it.
 func (c *conn) answer(m *rtsp.Message) {
-	s := c.s
+	s := c.server
 	s.farm.mu.Lock()
 	reply := rtsp.Message{Status: rtsp.StatusOK, CSeq: m.CSeq}
-	var e *record.Event
-	var lose, garbage, half bool
+	var event *record.Event
+	var lost, garbage, truncated bool
 	if !s.up {
 		s.farm.mu.Unlock()
 		return
 	}
 	switch m.Method {
 	case rtsp.Setup:
-		key := c.key(m)
-		e = &key
-		reply.Status = s.setup(c, m, &reply, key)
+		attempt := c.attemptEvent(m)
+		event = &attempt
+		reply.Status = s.setup(c, m, &reply, attempt)
 	case rtsp.Play:
-		st := s.find(c, m)
+		st := s.findStream(c, m)
 		switch {
 		case st == nil:
 			reply.Status = rtsp.StatusSessionNotFound
 		default:
 			st.playing = true
-			k := st.key // the stream may be torn down before its answer is written
-			k.At, k.Kind, k.Rung = 0, record.StreamStarted, st.rung
-			s.farm.rec.Add(k)
-			e = &k
-			if s.farm.p.Inline {
+			started := st.attempt // a copy: the stream may be torn down before the response is written
+			started.At, started.Kind, started.Rung = 0, record.StreamStarted, st.rung
+			s.farm.rec.Add(started)
+			event = &started
+			if s.farm.params.Inline {
 				reply.AddHeader("Content-Type", "text/parameters")
-				reply.Body = s.report()
+				reply.Body = s.reportBody()
 			}
 		}
 	case rtsp.Teardown:
-		if st := s.find(c, m); st != nil {
-			s.drop(st, "teardown")
+		if st := s.findStream(c, m); st != nil {
+			s.endStream(st, "teardown")
 		} else {
 			reply.Status = rtsp.StatusSessionNotFound
 		}
@@ -88,89 +89,94 @@
 		s.setRung(c, m, &reply)
 	case rtsp.GetParameter:
 		if m.Session() != "" {
-			if s.find(c, m) == nil {
+			if s.findStream(c, m) == nil {
 				reply.Status = rtsp.StatusSessionNotFound
 			}
 			break
 		}
 		reply.AddHeader("Content-Type", "text/parameters")
-		reply.Body = s.report()
+		reply.Body = s.reportBody()
 	case rtsp.Options:
 		reply.AddHeader("Public", "OPTIONS, SETUP, PLAY, TEARDOWN, GET_PARAMETER, SET_PARAMETER")
 	default:
 		reply.Status = rtsp.StatusNotImplemented
 	}
 	if m.Method == rtsp.Setup || m.Method == rtsp.Play {
-		lose = s.farm.rng.Float64() < s.lose
-		garbage = s.farm.rng.Float64() < s.garbage
-		half = s.farm.rng.Float64() < s.half
+		lost = s.farm.rng.Float64() < s.lossRate
+		garbage = s.farm.rng.Float64() < s.garbageRate
+		truncated = s.farm.rng.Float64() < s.truncationRate
 	}
 	s.farm.mu.Unlock()
 	b := reply.Append(nil)
 	switch {
 	case garbage:
 		b = []byte("\x16\x03\x01 this is no RTSP at all\r\n\r\n")
-	case half:
+	case truncated:
 		b = b[:len(b)/2]
 	}
-	if !lose {
+	if !lost {
 		c.write(b)
 	}
-	if e != nil {
-		e.At, e.Kind, e.Status, e.Lost = 0, record.SetupAnswered, reply.Status, lose || garbage || half
+	if event != nil {
+		event.At, event.Kind, event.Status, event.Lost =
+			0, record.SetupAnswered, reply.Status, lost || garbage || truncated
 		if m.Method == rtsp.Play {
-			e.Kind = record.PlayAnswered
+			event.Kind = record.PlayAnswered
 		}
-		s.farm.rec.Add(*e)
+		s.farm.rec.Add(*event)
 	}
-	if half {
+	if truncated {
 		c.nc.Close()
 	}
 }
 
-// setup decides on a set-up and books its stream.
-func (s *Server) setup(c *conn, m *rtsp.Message, reply *rtsp.Message, key record.Event) int {
-	p, now := &s.farm.p, time.Now()
-	if p.ColdSpan > 0 && !s.started.IsZero() && now.Sub(s.started) < p.ColdSpan {
-		s.setups = append(s.setups, now)
-		for len(s.setups) > 0 && now.Sub(s.setups[0]) > p.FallOver {
-			s.setups = s.setups[1:]
+// setup accepts or refuses a set-up, adds the stream if it is accepted, and returns the status.
+func (s *Server) setup(c *conn, m *rtsp.Message, reply *rtsp.Message, attempt record.Event) int {
+	p, now := &s.farm.params, time.Now()
+	if p.ColdSpan > 0 && !s.startedAt.IsZero() && now.Sub(s.startedAt) < p.ColdSpan {
+		s.recentSetups = append(s.recentSetups, now)
+		for len(s.recentSetups) > 0 && now.Sub(s.recentSetups[0]) > p.FallOver {
+			s.recentSetups = s.recentSetups[1:]
 		}
-		if most := Budget(p.Slots, p.ColdSpan, s.warmth(now), p.FallTimes, p.FallOver); float64(len(s.setups)) > most {
-			s.endLocked("pushed over while cold", true)
+		if maxSetups := MaxColdSetups(p.Slots, p.ColdSpan, s.capacity(now), p.FallTimes,
+			p.FallOver); float64(len(s.recentSetups)) > maxSetups {
+			s.stopLocked("pushed over while cold", true)
 			return rtsp.StatusUnavailable
 		}
 	}
 	switch {
-	case s.farm.rng.Float64() < s.errors:
+	case s.farm.rng.Float64() < s.errorRate:
 		return rtsp.StatusInternalError
-	case p.Holds != nil && !p.Holds(key.Title, s.Cell):
+	case p.Holds != nil && !p.Holds(attempt.Title, s.Cell):
 		return rtsp.StatusNotFound
-	case float64(len(s.streams)) >= p.Slots, p.FullFrom > 0 && s.use >= p.FullFrom:
+	case float64(len(s.streams)) >= p.Slots, p.FullFrom > 0 && s.linkUse >= p.FullFrom:
 		return rtsp.StatusNotEnoughBandwidth
-	case key.Rung < 0 || key.Rung >= len(p.Ladder):
+	case attempt.Rung < 0 || attempt.Rung >= len(p.Ladder):
 		return rtsp.StatusBadRequest
 	}
-	s.next++
-	st := &stream{id: fmt.Sprintf("%d-%x-%d", s.ID, s.farm.rng.Uint32(), s.next), pipe: m.Get("Pipelined-Requests"),
-		key: key, rung: key.Rung, conn: c, origin: c}
-	if _, here := s.conns[c]; !here { // its connection ended while it was worked on
-		st.conn, st.lostAt = nil, now
+	s.lastStream++
+	st := &stream{id: fmt.Sprintf("%d-%x-%d", s.ID, s.farm.rng.Uint32(), s.lastStream),
+		pipelineID: m.Get("Pipelined-Requests"),
+		attempt:    attempt, rung: attempt.Rung, conn: c, setupConn: c}
+	if _, open := s.conns[c]; !open { // the connection closed while the set-up was in progress
+		st.conn, st.connLostAt = nil, now
 	}
-	c.pipes[st.pipe] = st
+	c.pipelined[st.pipelineID] = st
 	s.streams[st.id] = st
 	reply.AddHeader("Session", fmt.Sprintf("%s;timeout=%d", st.id, max(int(p.Keep/time.Second), 1)))
 	return rtsp.StatusOK
 }
 
-// Budget is how many set-ups a cold server takes within the span before it falls over, with slack for chance.
-func Budget(slots float64, coldSpan time.Duration, warmth, times float64, over time.Duration) float64 {
-	return slots/coldSpan.Seconds()*warmth*times*over.Seconds() + 2
+// MaxColdSetups returns how many set-ups a cold server takes within overloadWindow before it crashes, with 2 more as an
+// allowance for random variation.
+func MaxColdSetups(slots float64, warmupTime time.Duration, capacity, overloadFactor float64,
+	overloadWindow time.Duration) float64 {
+	return slots/warmupTime.Seconds()*capacity*overloadFactor*overloadWindow.Seconds() + 2
 }
 
-// find gives the stream that a request is about: by its id, which also holds it on this connection from now on, or
-// by the pipelined id on the same connection (RFC 7826 section 18.33).
-func (s *Server) find(c *conn, m *rtsp.Message) *stream {
+// findStream returns the stream that a request refers to, by the session id, which also attaches the stream to this
+// connection, or by the Pipelined-Requests id on the same connection (RFC 7826 section 18.33).
+func (s *Server) findStream(c *conn, m *rtsp.Message) *stream {
 	if id := m.Session(); id != "" {
 		st := s.streams[id]
 		if st != nil {
@@ -178,34 +184,37 @@
 		}
 		return st
 	}
-	return c.pipes[m.Get("Pipelined-Requests")]
+	return c.pipelined[m.Get("Pipelined-Requests")]
 }
 
+// setRung changes the rung of a stream.
 func (s *Server) setRung(c *conn, m *rtsp.Message, reply *rtsp.Message) {
-	st := s.find(c, m)
+	st := s.findStream(c, m)
 	if st == nil {
 		reply.Status = rtsp.StatusSessionNotFound
 		return
 	}
-	v, err := strconv.Atoi(rtsp.ParseParams(m.Body)["rung"])
-	if err != nil || v < 0 || v >= len(s.farm.p.Ladder) {
+	rung, err := strconv.Atoi(rtsp.ParseParams(m.Body)["rung"])
+	if err != nil || rung < 0 || rung >= len(s.farm.params.Ladder) {
 		reply.Status = rtsp.StatusBadRequest
 		return
 	}
-	if v != st.rung {
-		st.rung = v
-		e := st.key
-		e.At, e.Kind, e.Rung = 0, record.RungSet, v
+	if rung != st.rung {
+		st.rung = rung
+		e := st.attempt
+		e.At, e.Kind, e.Rung = 0, record.RungSet, rung
 		s.farm.rec.Add(e)
 	}
 }
 
-func (s *Server) report() []byte {
-	return fmt.Appendf(nil, "link: %.4f\r\nuplink: %.4f\r\n", s.reported.use, s.reported.upto)
+// reportBody returns the load values of a report.
+func (s *Server) reportBody() []byte {
+	return fmt.Appendf(nil, "link: %.4f\r\nuplink: %.4f\r\n", s.reported.linkUse, s.reported.uplinkUse)
 }
 
-// notes tells each front with streams here the share delivered while it is short, and now and then the use.
-func (s *Server) notes(now time.Time) {
+// sendNotes sends each front that has streams here the delivered share while it is short, and the use of link and uplink
+// once per NoteInterval.
+func (s *Server) sendNotes(now time.Time) {
 	if s.stalled && !s.up || s.silent {
 		return
 	}
@@ -222,24 +231,26 @@
 		}
 		slices.Sort(ids)
 		st = s.streams[ids[0]]
-		late := s.late(now)
-		if (late.share < 0.98 || st.wasShort) && now.Sub(c.noted) >= time.Second {
-			c.noted, st.wasShort = now, late.share < 0.98
-			go c.tell(st.id, fmt.Sprintf("share: %.4f\r\n", late.share))
+		delayed := s.delayedSample(now)
+		if (delayed.share < 0.98 || st.wasShort) && now.Sub(c.shareNotedAt) >= time.Second {
+			c.shareNotedAt, st.wasShort = now, delayed.share < 0.98
+			go c.sendNote(st.id, fmt.Sprintf("share: %.4f\r\n", delayed.share))
 		}
-		if s.farm.p.TellEvery > 0 && now.Sub(c.told) >= s.farm.p.TellEvery {
-			c.told = now
-			go c.tell(st.id, fmt.Sprintf("link: %.4f\r\nuplink: %.4f\r\n", late.use, late.upto))
+		if s.farm.params.TellEvery > 0 && now.Sub(c.useNotedAt) >= s.farm.params.TellEvery {
+			c.useNotedAt = now
+			go c.sendNote(st.id, fmt.Sprintf("link: %.4f\r\nuplink: %.4f\r\n", delayed.linkUse, delayed.uplinkUse))
 		}
 	}
 }
 
-func (c *conn) tell(id, body string) {
+// sendNote sends parameters of a stream to the front.
+func (c *conn) sendNote(id, body string) {
 	c.request(rtsp.Message{Method: rtsp.SetParameter, URI: "*", Headers: []rtsp.Header{{Name: "Session", Value: id},
 		{Name: "Content-Type", Value: "text/parameters"}}, Body: []byte(body)})
 }
 
-// EndStreams ends all streams of the server as if their titles were over (RFC 7826 section 13.5.1).
+// EndStreams notifies the fronts that all streams of the server reached the end of their titles (RFC 7826
+// section 13.5.1).
 func (s *Server) EndStreams() {
 	s.farm.mu.Lock()
 	type pair struct {
@@ -254,23 +265,26 @@
 	}
 	s.farm.mu.Unlock()
 	for _, x := range list {
-		x.c.request(rtsp.Message{Method: rtsp.PlayNotify, URI: "*", Headers: []rtsp.Header{{Name: "Session", Value: x.id},
-			{Name: "Notify-Reason", Value: "end-of-stream"}}})
+		x.c.request(rtsp.Message{Method: rtsp.PlayNotify, URI: "*",
+			Headers: []rtsp.Header{{Name: "Session", Value: x.id},
+				{Name: "Notify-Reason", Value: "end-of-stream"}}})
 	}
 }
 
+// request sends a request to the front.
 func (c *conn) request(m rtsp.Message) {
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.seq++
 	m.CSeq = c.seq
 	c.nc.SetWriteDeadline(time.Now().Add(time.Second))
 	c.nc.Write(m.Append(nil))
 }
 
+// write writes bytes to the connection.
 func (c *conn) write(b []byte) {
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.nc.SetWriteDeadline(time.Now().Add(time.Second))
 	c.nc.Write(b)
 }
--- a/internal/standin/mediasim/server.go
+++ b/internal/standin/mediasim/server.go
@@ -14,131 +14,136 @@
 	"tealledge/internal/rtsp"
 )
 
-// Server is one stand-in media server. Its exported methods may be called at any time.
+// Server is one stand-in media server. Its exported methods may be called at any time, from any goroutine.
 type Server struct {
-	ID   uint32
-	Cell int
-	farm *Farm
-	rack int
-	link float64
+	ID     uint32
+	Cell   int
+	farm   *Farm
+	rack   int
+	linkKB float64
 
 	// Guarded by the farm's mutex.
-	ln       net.Listener
-	extra    []*way
-	web      *http.Server
-	webAddr  string
-	addr     string
-	up       bool
-	fallen   bool
-	started  time.Time // of its process, if that started cold
-	conns    map[*conn]struct{}
-	streams  map[string]*stream // by RTSP session id
-	next     int
-	setups   []time.Time // of late, for falling over
-	asked    float64
-	use      float64
-	useUp    float64
-	share    float64
-	past     []sample
-	reportAt time.Time
-	reported sample
+	listener       net.Listener
+	extraListeners []*extraListener
+	httpServer     *http.Server
+	httpAddr       string
+	addr           string
+	up             bool
+	overloaded     bool
+	startedAt      time.Time // start of the process if it started cold, else zero
+	conns          map[*conn]struct{}
+	streams        map[string]*stream // by RTSP session id
+	lastStream     int
+	recentSetups   []time.Time // times of set-ups within OverloadWindow while cold
+	demand         float64
+	linkUse        float64
+	uplinkUse      float64
+	share          float64
+	samples        []sample
+	reportedAt     time.Time
+	reported       sample
 
 	// Faults.
-	stalled, silent, slow bool
-	errors, lose          float64 // parts of set-ups
-	garbage, half         float64
-	free                  float64 // part of the link that is left
-	running               sync.WaitGroup
-	mode                  string // of the IPv4 address
+	stalled, silent, slow       bool
+	errorRate, lossRate         float64 // fractions of set-ups
+	garbageRate, truncationRate float64
+	linkFactor                  float64 // fraction of the link's rate that is available
+	running                     sync.WaitGroup
+	mode                        string // of the IPv4 address
 }
 
+// stream is one RTSP session.
 type stream struct {
-	id       string
-	pipe     string // Pipelined-Requests id on its connection
-	key      record.Event
-	rung     int
-	playing  bool
-	conn     *conn
-	origin   *conn     // where it was set up
-	lostAt   time.Time // its connection was lost then
-	wasShort bool
+	id         string
+	pipelineID string // Pipelined-Requests id on setupConn
+	attempt    record.Event
+	rung       int
+	playing    bool
+	conn       *conn
+	setupConn  *conn     // the connection that it was set up on
+	connLostAt time.Time // when its connection was lost
+	wasShort   bool
 }
 
 // conn is one connection of a front.
 type conn struct {
-	s     *Server
-	nc    net.Conn
-	work  chan job
-	seq   uint32
-	wmu   sync.Mutex
-	front string
-	noted time.Time
-	told  time.Time
-	pipes map[string]*stream // by Pipelined-Requests id
-	gone  chan struct{}
+	server       *Server
+	nc           net.Conn
+	jobs         chan job
+	seq          uint32
+	writeMu      sync.Mutex
+	front        string
+	shareNotedAt time.Time
+	useNotedAt   time.Time
+	pipelined    map[string]*stream // by Pipelined-Requests id
+	closed       chan struct{}
 
 	network, mode string
 }
 
+// job is a request to be handled.
 type job struct {
-	m  *rtsp.Message
-	at time.Time
+	message    *rtsp.Message
+	receivedAt time.Time
 }
 
-// Addr is where the server is reached; it stays the same over restarts.
+// Addr returns the server's IPv4 address; it stays the same across restarts.
 func (s *Server) Addr() string { s.farm.mu.Lock(); defer s.farm.mu.Unlock(); return s.addr }
 
-// Started gives the start of a process that started cold; zero: long ago.
-func (s *Server) Started() time.Time { s.farm.mu.Lock(); defer s.farm.mu.Unlock(); return s.started }
+// StartedAt returns the start time of a process that started cold, zero for one that started long ago.
+func (s *Server) Started() time.Time { s.farm.mu.Lock(); defer s.farm.mu.Unlock(); return s.startedAt }
 
-// Up tells whether its process runs.
+// Up reports whether the server's process runs.
 func (s *Server) Up() bool { s.farm.mu.Lock(); defer s.farm.mu.Unlock(); return s.up }
 
-// Fault changes the faults shown, under the farm's lock.
+// UpdateFaults changes the injected faults by calling change under the farm's lock.
 func (s *Server) Fault(change func(f *Faults)) {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
-	f := Faults{s.stalled, s.silent, s.slow, s.errors, s.lose, s.garbage, s.half, 1 - s.free}
+	f := Faults{s.stalled, s.silent, s.slow, s.errorRate, s.lossRate, s.garbageRate, s.truncationRate, 1 - s.linkFactor}
 	change(&f)
-	s.stalled, s.silent, s.slow, s.errors, s.lose, s.garbage, s.half, s.free = f.Stalled, f.Silent, f.Slow, f.Errors, f.Lose, f.Garbage, f.Half, max(1-f.Taken, 0.001)
+	s.stalled, s.silent, s.slow, s.errorRate, s.lossRate, s.garbageRate, s.truncationRate, s.linkFactor =
+		f.Stalled, f.Silent, f.Slow, f.Errors, f.Lose, f.Garbage, f.Half, max(1-f.Taken, 0.001)
 }
 
-// Faults is what a server shows.
+// Faults are the faults injected into a server.
 type Faults struct {
-	Stalled bool    // takes work, answers nothing; its streams get nothing
-	Silent  bool    // as a machine that is gone: what reaches it is written down, nothing comes back
+	Stalled bool    // accepts requests and sends no response; its streams deliver nothing
+	Silent  bool    // as if the machine were unreachable: what arrives is recorded, nothing is sent back
 	Slow    bool    // reads slowly
-	Errors  float64 // part of the set-ups that fail fast
-	Lose    float64 // part of the answers to set-ups that are lost; their streams play
-	Garbage float64 // part of the answers that are no RTSP
-	Half    float64 // part of the answers that break off in the middle
-	Taken   float64 // part of the link that another program takes
+	Errors  float64 // fraction of set-ups that fail at once
+	Lose    float64 // fraction of responses to set-ups that are not sent; their streams play
+	Garbage float64 // fraction of responses that are not RTSP
+	Half    float64 // fraction of responses that are cut in the middle
+	Taken   float64 // fraction of the link that another program takes
 }
 
-// Kill ends the process with resets on all connections. It stays down until Restart.
-func (s *Server) Kill() { s.end("killed", false) }
+// Kill stops the process and resets all connections. The server stays down until Restart.
+func (s *Server) Kill() { s.stop("killed", false) }
 
-// Restart starts a killed or silent server anew, cold.
+// Restart starts a killed or silent server again, cold. A server that crashed under overload stays down.
 func (s *Server) Restart() error {
-	s.end("restarted", false)
+	s.stop("restarted", false)
 	s.farm.mu.Lock()
-	if s.fallen {
+	if s.overloaded {
 		s.farm.mu.Unlock()
 		return nil // it stays down
 	}
-	s.stalled, s.silent, s.errors, s.lose = false, false, 0, 0
+	s.stalled, s.silent, s.errorRate, s.lossRate = false, false, 0, 0
 	s.farm.mu.Unlock()
 	return s.listen(s.addr, true)
 }
 
-// Redirect tells every front that the server leaves (RFC 7826 section 13.10).
+// Redirect notifies every front that the server goes out of service (RFC 7826 section 13.10).
 func (s *Server) Redirect() {
-	for _, c := range s.all() {
-		c.request(rtsp.Message{Method: rtsp.Redirect, URI: "*", Headers: []rtsp.Header{{Name: "Terminate-Reason", Value: "Server-Admin"}}})
+	for _, c := range s.connections() {
+		c.request(rtsp.Message{Method: rtsp.Redirect, URI: "*",
+			Headers: []rtsp.Header{{Name: "Terminate-Reason", Value: "Server-Admin"}}})
 	}
 }
 
-func (s *Server) all() (list []*conn) {
+// connections returns the open connections.
+func (s *Server) connections() (list []*conn) {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
 	for c := range s.conns {
@@ -147,10 +152,11 @@
 	return list
 }
 
+// listen opens the server's addresses and starts to accept connections.
 func (s *Server) listen(addr string, cold bool) error {
 	var ln net.Listener
 	var err error
-	for try := 0; try < 50; try++ { // the old process's port may be free a moment later
+	for attempt := 0; attempt < 50; attempt++ { // the old process may release the port a moment later
 		if ln, err = net.Listen("tcp", addr); err == nil {
 			break
 		}
@@ -161,37 +167,39 @@
 	}
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
-	s.ln, s.addr, s.up = ln, ln.Addr().String(), true
+	s.listener, s.addr, s.up = ln, ln.Addr().String(), true
 	if cold {
-		s.started, s.setups = time.Now(), nil
+		s.startedAt, s.recentSetups = time.Now(), nil
 	}
-	s.farm.rec.Add(record.Event{Source: s.name(), Kind: record.ServerStarted, Server: s.ID, Cold: cold, Slots: s.farm.p.Slots})
+	s.farm.rec.Add(record.Event{Source: s.name(), Kind: record.ServerStarted, Server: s.ID, Cold: cold,
+		Slots: s.farm.params.Slots})
 	s.running.Add(1)
 	go s.accept(ln)
-	for _, w := range s.extra {
-		if err := w.listen(); err != nil {
+	for _, l := range s.extraListeners {
+		if err := l.listen(); err != nil {
 			return fmt.Errorf("media stand-in %d: %w", s.ID, err)
 		}
 		s.running.Add(1)
-		go s.accept(w.ln)
+		go s.accept(l.listener)
 	}
 	return nil
 }
 
-// way is a further address of a server.
-type way struct {
+// extraListener is a further address of a server.
+type extraListener struct {
 	network, addr string
-	ln            net.Listener
-	mode          string // "", or a bad behaviour: see Path
+	listener      net.Listener
+	mode          string // one of the Address modes, see SetAddressMode
 }
 
-func (w *way) listen() (err error) {
-	if w.network == "unix" {
-		os.Remove(w.addr)
+// listen opens the address. It retries for a second, since the old process may still hold the address.
+func (l *extraListener) listen() (err error) {
+	if l.network == "unix" {
+		os.Remove(l.addr)
 	}
 	for range 50 {
-		if w.ln, err = net.Listen(w.network, w.addr); err == nil {
-			w.addr = w.ln.Addr().String()
+		if l.listener, err = net.Listen(l.network, l.addr); err == nil {
+			l.addr = l.listener.Addr().String()
 			return nil
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -199,35 +207,36 @@
 	return err
 }
 
-// Addrs gives all addresses of the server, IPv4 first.
+// Addrs returns all addresses of the server, IPv4 first.
 func (s *Server) Addrs() []string {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
 	list := []string{s.addr}
-	for _, w := range s.extra {
-		list = append(list, w.addr)
+	for _, l := range s.extraListeners {
+		list = append(list, l.addr)
 	}
 	return list
 }
 
-// Ways in which an address may misbehave.
+// Modes of an address: AddressGood, or a fault.
 const (
 	PathGood   = ""
-	PathSilent = "silent" // accepts, reads and never answers
-	PathResets = "resets" // accepts, then resets
-	PathStalls = "stalls" // answers OPTIONS, but no set-up
+	PathSilent = "silent" // accepts, reads and never responds
+	PathResets = "resets" // accepts, then resets the connection
+	PathStalls = "stalls" // responds to OPTIONS, but to no set-up
 )
 
-// Path has the address of a network (tcp, tcp6, unix) behave in a way, on new connections. Those that stand are reset.
+// SetAddressMode sets the mode of the address of a network (tcp, tcp6, unix) for new connections. If the mode is a fault,
+// open connections to that address are closed.
 func (s *Server) Path(network, mode string) {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
 	if network == "tcp" {
 		s.mode = mode
 	}
-	for _, w := range s.extra {
-		if w.network == network {
-			w.mode = mode
+	for _, l := range s.extraListeners {
+		if l.network == network {
+			l.mode = mode
 		}
 	}
 	for c := range s.conns {
@@ -237,16 +246,17 @@
 	}
 }
 
-// way gives the network of a listener and how it behaves now.
-func (s *Server) way(ln net.Listener) (network, mode string) {
-	for _, w := range s.extra {
-		if w.ln == ln {
-			return w.network, w.mode
+// listenerMode returns the network and the current mode of a listener.
+func (s *Server) listenerMode(ln net.Listener) (network, mode string) {
+	for _, l := range s.extraListeners {
+		if l.listener == ln {
+			return l.network, l.mode
 		}
 	}
 	return "tcp", s.mode
 }
 
+// accept accepts connections until the listener is closed.
 func (s *Server) accept(ln net.Listener) {
 	defer s.running.Done()
 	for {
@@ -254,9 +264,10 @@
 		if err != nil {
 			return
 		}
-		c := &conn{s: s, nc: nc, work: make(chan job, 4096), pipes: map[string]*stream{}, gone: make(chan struct{})}
+		c := &conn{server: s, nc: nc, jobs: make(chan job, 4096), pipelined: map[string]*stream{},
+			closed: make(chan struct{})}
 		s.farm.mu.Lock()
-		c.network, c.mode = s.way(ln)
+		c.network, c.mode = s.listenerMode(ln)
 		if !s.up || c.mode == PathResets {
 			if t, ok := nc.(*net.TCPConn); ok {
 				t.SetLinger(0)
@@ -273,21 +284,22 @@
 	}
 }
 
-// end ends the process: its streams are gone, its connections are reset.
-func (s *Server) end(why string, fell bool) {
+// stop stops the process: its streams end and its connections are reset. overloaded says that it crashed under overload.
+func (s *Server) stop(reason string, overloaded bool) {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
-	s.endLocked(why, fell)
+	s.stopLocked(reason, overloaded)
 }
 
-func (s *Server) endLocked(why string, fell bool) {
+// stopLocked is stop for callers that hold the farm's lock.
+func (s *Server) stopLocked(reason string, overloaded bool) {
 	if !s.up {
 		return
 	}
-	s.up, s.fallen = false, s.fallen || fell
-	s.ln.Close()
-	for _, w := range s.extra {
-		w.ln.Close()
+	s.up, s.overloaded = false, s.overloaded || overloaded
+	s.listener.Close()
+	for _, l := range s.extraListeners {
+		l.listener.Close()
 	}
 	for c := range s.conns {
 		if t, ok := c.nc.(*net.TCPConn); ok {
@@ -296,39 +308,40 @@
 		c.nc.Close()
 	}
 	for _, st := range s.streams {
-		s.drop(st, why)
+		s.endStream(st, reason)
 	}
-	s.farm.rec.Add(record.Event{Source: s.name(), Kind: record.ServerDied, Server: s.ID, Text: why})
+	s.farm.rec.Add(record.Event{Source: s.name(), Kind: record.ServerDied, Server: s.ID, Text: reason})
 }
 
-// drop ends a stream.
-func (s *Server) drop(st *stream, why string) {
+// endStream ends a stream and records the reason.
+func (s *Server) endStream(st *stream, reason string) {
 	if s.streams[st.id] != st {
 		return
 	}
 	delete(s.streams, st.id)
-	if st.origin != nil && st.origin.pipes[st.pipe] == st {
-		delete(st.origin.pipes, st.pipe)
+	if st.setupConn != nil && st.setupConn.pipelined[st.pipelineID] == st {
+		delete(st.setupConn.pipelined, st.pipelineID)
 	}
 	if st.playing {
-		e := st.key
-		e.At, e.Kind, e.Text = 0, record.StreamEnded, why
+		e := st.attempt
+		e.At, e.Kind, e.Text = 0, record.StreamEnded, reason
 		s.farm.rec.Add(e)
 	}
 }
 
+// read decodes requests from the connection and queues them as jobs.
 func (c *conn) read() {
-	defer c.s.running.Done()
+	defer c.server.running.Done()
 	defer c.close()
 	var d rtsp.Decoder
 	buf := make([]byte, 32<<10)
 	for {
-		part := buf
-		if c.flag(func(s *Server) bool { return s.slow }) {
+		chunk := buf
+		if c.hasFault(func(s *Server) bool { return s.slow }) {
 			time.Sleep(2 * time.Millisecond)
-			part = buf[:64]
+			chunk = buf[:64]
 		}
-		n, err := c.nc.Read(part)
+		n, err := c.nc.Read(chunk)
 		if err != nil {
 			return
 		}
@@ -341,28 +354,28 @@
 			if m == nil {
 				break
 			}
-			c.arrived(m)
+			c.recordReceived(m)
 			select {
-			case c.work <- job{m, time.Now()}:
+			case c.jobs <- job{m, time.Now()}:
 			default:
-				return // more waits than a server would hold
+				return // more queued requests than a server would hold
 			}
 		}
 	}
 }
 
-// flag reads a fault.
-func (c *conn) flag(is func(*Server) bool) bool {
-	c.s.farm.mu.Lock()
-	defer c.s.farm.mu.Unlock()
-	return is(c.s)
+// hasFault reports whether a fault is active.
+func (c *conn) hasFault(active func(*Server) bool) bool {
+	c.server.farm.mu.Lock()
+	defer c.server.farm.mu.Unlock()
+	return active(c.server)
 }
 
-// waitWhile waits while a fault lasts and the process runs; it gives true if the connection ended meanwhile.
-func (c *conn) waitWhile(is func(*Server) bool) bool {
-	for c.flag(func(s *Server) bool { return s.up && is(s) }) {
+// waitWhile waits while a fault is active and the process runs; it returns true if the connection closed meanwhile.
+func (c *conn) waitWhile(active func(*Server) bool) bool {
+	for c.hasFault(func(s *Server) bool { return s.up && active(s) }) {
 		select {
-		case <-c.gone:
+		case <-c.closed:
 			return true
 		case <-time.After(10 * time.Millisecond):
 		}
@@ -370,32 +383,34 @@
 	return false
 }
 
-// arrived writes down what came, whether or not it is ever worked on.
-func (c *conn) arrived(m *rtsp.Message) {
+// recordReceived records a received request, whether or not it is ever handled.
+func (c *conn) recordReceived(m *rtsp.Message) {
 	switch m.Method {
 	case rtsp.Setup:
-		e := c.key(m)
+		e := c.attemptEvent(m)
 		e.Kind, e.Text = record.SetupReceived, m.Get("Pipelined-Requests")
-		c.s.farm.mu.Lock()
+		c.server.farm.mu.Lock()
 		c.front = e.Front
-		c.s.farm.mu.Unlock()
-		c.s.farm.rec.Add(e)
+		c.server.farm.mu.Unlock()
+		c.server.farm.rec.Add(e)
 	case rtsp.Teardown:
-		c.s.farm.mu.Lock()
-		e := record.Event{Source: c.s.name(), Front: c.front, Server: c.s.ID, Text: m.Get("Pipelined-Requests")}
-		if st := c.s.streams[m.Session()]; st != nil {
-			e = st.key
-			e.At, e.Text = 0, st.pipe
+		c.server.farm.mu.Lock()
+		e := record.Event{Source: c.server.name(), Front: c.front, Server: c.server.ID,
+			Text: m.Get("Pipelined-Requests")}
+		if st := c.server.streams[m.Session()]; st != nil {
+			e = st.attempt
+			e.At, e.Text = 0, st.pipelineID
 		}
-		c.s.farm.mu.Unlock()
+		c.server.farm.mu.Unlock()
 		e.Kind = record.TeardownReceived
-		c.s.farm.rec.Add(e)
+		c.server.farm.rec.Add(e)
 	}
 }
 
-// key reads what a SETUP says of itself.
-func (c *conn) key(m *rtsp.Message) record.Event {
-	e := record.Event{Source: c.s.name(), Server: c.s.ID, Viewer: m.Get("Tealledge-Viewer"), Title: title(m.URI)}
+// attemptEvent returns a record with the attempt that the headers of a SETUP describe.
+func (c *conn) attemptEvent(m *rtsp.Message) record.Event {
+	e := record.Event{Source: c.server.name(), Server: c.server.ID, Viewer: m.Get("Tealledge-Viewer"),
+		Title: titleOf(m.URI)}
 	if parts := strings.Split(m.Get("Tealledge-Attempt"), "/"); len(parts) == 3 {
 		e.Front, e.Session = parts[0], parts[1]
 		e.Attempt, _ = strconv.Atoi(parts[2])
@@ -405,41 +420,43 @@
 	return e
 }
 
-func title(uri string) string {
+// titleOf returns the title in an RTSP URI.
+func titleOf(uri string) string {
 	rest, _ := strings.CutPrefix(uri, "rtsp://")
 	_, t, _ := strings.Cut(rest, "/")
 	return t
 }
 
+// close closes the connection. A set-up in progress on it ends, a playing stream is kept for SessionTimeout.
 func (c *conn) close() {
 	c.nc.Close()
-	s := c.s
+	s := c.server
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
-	if _, here := s.conns[c]; !here {
+	if _, open := s.conns[c]; !open {
 		return
 	}
 	delete(s.conns, c)
-	close(c.gone)
-	close(c.work)
+	close(c.closed)
+	close(c.jobs)
 	s.farm.rec.Add(record.Event{Source: s.name(), Kind: record.ServerConnEnded, Server: s.ID, Front: c.front})
 	for _, st := range s.streams {
 		if st.conn != c {
 			continue
 		}
-		if !st.playing { // a set-up under way dies with its connection
-			s.drop(st, "connection lost")
+		if !st.playing { // a set-up in progress ends with its connection
+			s.endStream(st, "connection lost")
 			continue
 		}
-		st.conn, st.lostAt = nil, time.Now()
+		st.conn, st.connLostAt = nil, time.Now()
 	}
 }
 
-// expire ends streams that no connection holds any more.
-func (s *Server) expire(now time.Time) {
+// endExpiredStreams ends streams that have had no connection for SessionTimeout.
+func (s *Server) endExpiredStreams(now time.Time) {
 	for _, st := range s.streams {
-		if st.conn == nil && now.Sub(st.lostAt) >= s.farm.p.Keep {
-			s.drop(st, "no keep-alive")
+		if st.conn == nil && now.Sub(st.connLostAt) >= s.farm.params.Keep {
+			s.endStream(st, "no keep-alive")
 		}
 	}
 }
--- a/internal/standin/platformsim/journal.go
+++ b/internal/standin/platformsim/journal.go
@@ -11,66 +11,66 @@
 	"tealledge/internal/record"
 )
 
-// The journal service.
-
-// Journal is the journal service.
+// Journal is a stand-in for the journal service.
 type Journal struct {
-	w      *World
-	ln     net.Listener
-	mu     sync.Mutex
-	lines  []string // event N is lines[N-1]
-	conns  map[net.Conn]int
-	silent bool
-	done   sync.WaitGroup
-	stop   chan struct{}
+	world    *World
+	listener net.Listener
+	mu       sync.Mutex
+	events   []string         // as JSON; event N is events[N-1]
+	conns    map[net.Conn]int // index of the next event to send
+	silent   bool
+	running  sync.WaitGroup
+	stop     chan struct{}
 }
 
-// NewJournal starts a service that has the events of another, if not nil, and further ones.
-func NewJournal(w *World, from *Journal) (*Journal, error) {
+// NewJournal starts a journal service. It starts with a copy of the events of previous, if that is not nil.
+func NewJournal(world *World, previous *Journal) (*Journal, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	j := &Journal{w: w, ln: ln, conns: map[net.Conn]int{}, stop: make(chan struct{})}
-	if from != nil {
-		from.mu.Lock()
-		j.lines = append(j.lines, from.lines...)
-		from.mu.Unlock()
+	j := &Journal{world: world, listener: ln, conns: map[net.Conn]int{}, stop: make(chan struct{})}
+	if previous != nil {
+		previous.mu.Lock()
+		j.events = append(j.events, previous.events...)
+		previous.mu.Unlock()
 	}
-	j.done.Add(2)
+	j.running.Add(2)
 	go j.accept()
-	go j.numbers()
+	go j.sendPositions()
 	return j, nil
 }
 
-// Addr is where it listens.
-func (j *Journal) Addr() string { return j.ln.Addr().String() }
+// Addr returns the address that the service listens on.
+func (j *Journal) Addr() string { return j.listener.Addr().String() }
 
+// accept accepts connections and reads from each the request for events ("tail N").
 func (j *Journal) accept() {
-	defer j.done.Done()
+	defer j.running.Done()
 	for {
-		c, err := j.ln.Accept()
+		c, err := j.listener.Accept()
 		if err != nil {
 			return
 		}
-		j.done.Add(1)
+		j.running.Add(1)
 		go func() {
-			defer j.done.Done()
+			defer j.running.Done()
 			var from int
 			if _, err := fmt.Fscanf(c, "tail %d\n", &from); err != nil {
 				c.Close()
 				return
 			}
 			j.mu.Lock()
-			j.conns[c] = min(from, len(j.lines))
+			j.conns[c] = min(from, len(j.events))
 			j.flush()
 			j.mu.Unlock()
 		}()
 	}
 }
 
-func (j *Journal) numbers() {
-	defer j.done.Done()
+// sendPositions sends the number of events on each connection once a second.
+func (j *Journal) sendPositions() {
+	defer j.running.Done()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -82,100 +82,105 @@
 		j.mu.Lock()
 		for c := range j.conns {
 			if !j.silent {
-				fmt.Fprintf(c, "%d\n", len(j.lines))
+				fmt.Fprintf(c, "%d\n", len(j.events))
 			}
 		}
 		j.mu.Unlock()
 	}
 }
 
+// flush sends the events that each connection has not received yet.
 func (j *Journal) flush() {
 	if j.silent {
 		return
 	}
-	for c, at := range j.conns {
-		for ; at < len(j.lines); at++ {
-			fmt.Fprintln(c, j.lines[at])
+	for c, next := range j.conns {
+		for ; next < len(j.events); next++ {
+			fmt.Fprintln(c, j.events[next])
 		}
-		j.conns[c] = at
+		j.conns[c] = next
 	}
 }
 
-// Tell adds an event: servers in a state.
-func (j *Journal) Tell(whole bool, health string, list ...*Server) {
+// AddServers appends an event that lists stand-in servers with a health, and records it. whole marks a complete list.
+func (j *Journal) Tell(whole bool, health string, servers ...*Server) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	words := map[string]string{wire.HostReady: "ready", wire.HostDraining: "draining", wire.HostRemoved: "gone"}
+	healthNames := map[string]string{wire.HostReady: "ready", wire.HostDraining: "draining", wire.HostRemoved: "gone"}
 	var hosts []wire.Host
-	for _, s := range list {
-		hosts = append(hosts, wire.Host{Name: s.Name(), Address: s.Addr(), Zone: "z", Kind: "k", Cell: int(s.ID), Health: health, Share: 10})
-		j.w.add(record.Event{Source: "journal", Kind: record.ServerListed, Server: s.ID, Health: words[health]})
+	for _, s := range servers {
+		hosts = append(hosts, wire.Host{Name: s.Name(), Address: s.Addr(), Zone: "z", Kind: "k", Cell: int(s.ID),
+			Health: health, Share: 10})
+		j.world.add(record.Event{Source: "journal", Kind: record.ServerListed, Server: s.ID,
+			Health: healthNames[health]})
 	}
 	j.add(whole, hosts)
 }
 
-// List adds an event about servers of others' making.
+// AddHosts appends an event that lists any hosts; it is not recorded.
 func (j *Journal) List(whole bool, hosts ...wire.Host) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.add(whole, hosts)
 }
 
+// add appends an event and sends it.
 func (j *Journal) add(whole bool, hosts []wire.Host) {
-	b, _ := json.Marshal(wire.Event{Pos: uint64(len(j.lines) + 1), Hosts: &wire.Hosts{Seq: uint64(len(j.lines)), Whole: whole, Hosts: hosts}})
-	j.lines = append(j.lines, string(b))
+	b, _ := json.Marshal(wire.Event{Pos: uint64(len(j.events) + 1),
+		Hosts: &wire.Hosts{Seq: uint64(len(j.events)), Whole: whole, Hosts: hosts}})
+	j.events = append(j.events, string(b))
 	j.flush()
 }
 
-// Last gives the number of the last event, and the events so far as JSON.
+// Events returns the number of the last event, and all events so far as a JSON array.
 func (j *Journal) Last() (int, string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	out := ""
-	for i, l := range j.lines {
+	list := ""
+	for i, event := range j.events {
 		if i > 0 {
-			out += ","
+			list += ","
 		}
-		out += l
+		list += event
 	}
-	return len(j.lines), "[" + out + "]"
+	return len(j.events), "[" + list + "]"
 }
 
-// Silence stops it or lets it go on; connections stay open.
+// SetSilent stops all sending while on is true; connections stay open.
 func (j *Journal) Silence(on bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.silent = on
 }
 
-// Break writes half an event and ends the connections.
+// BreakConns writes half an event on each connection and closes it.
 func (j *Journal) Break() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for c := range j.conns {
-		fmt.Fprintf(c, `{"pos":%d,"hosts":{"seq`, len(j.lines)+1)
+		fmt.Fprintf(c, `{"pos":%d,"hosts":{"seq`, len(j.events)+1)
 		c.Close()
 	}
 	j.conns = map[net.Conn]int{}
 }
 
-// Twice writes the last event once more.
+// RepeatLast sends the last event a second time.
 func (j *Journal) Twice() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for c := range j.conns {
-		fmt.Fprintln(c, j.lines[len(j.lines)-1])
+		fmt.Fprintln(c, j.events[len(j.events)-1])
 	}
 }
 
-// Close ends it.
+// Close stops the service.
 func (j *Journal) Close() {
 	close(j.stop)
-	j.ln.Close()
+	j.listener.Close()
 	j.mu.Lock()
 	for c := range j.conns {
 		c.Close()
 	}
 	j.mu.Unlock()
-	j.done.Wait()
+	j.running.Wait()
 }
--- a/internal/standin/platformsim/platformsim.go
+++ b/internal/standin/platformsim/platformsim.go
@@ -1,6 +1,6 @@
-// Package platformsim stands in for the operators' platform on loopback: servers, viewers and the journal service, each
-// with the troubles that real ones have. What crosses their sockets is recorded for internal/audit, in the words of its
-// records: 200 is an answer, 453 "full" and 500 anything else.
+// Package platformsim is a stand-in for the operators' platform on loopback: servers, viewers and the journal service,
+// each with the faults that real ones have. What crosses their sockets is recorded for internal/audit with the status
+// codes of its records: 200 for a set-up that is ready, 453 for "full" and 500 for anything else.
 package platformsim
 
 import (
@@ -9,26 +9,27 @@
 	"tealledge/internal/record"
 )
 
-// Front is the name that records give the front.
+// Front is the name of the front in records.
 const Front = "n0"
 
-// World is what the stand-ins share.
+// World is the state that the stand-ins share.
 type World struct {
-	Rec     *record.Log
-	mu      sync.Mutex
-	tries   map[uint64]int // set-ups of a session that arrived
-	classes map[string]int
+	Rec          *record.Log
+	mu           sync.Mutex
+	setupCounts  map[uint64]int // set-ups received, by session
+	classIndexes map[string]int
 }
 
-// NewWorld makes one for classes by their names.
+// NewWorld returns a World for the named classes; their order gives their index in records.
 func NewWorld(classes ...string) *World {
-	w := &World{Rec: record.NewMemory(), tries: map[uint64]int{}, classes: map[string]int{}}
+	w := &World{Rec: record.NewMemory(), setupCounts: map[uint64]int{}, classIndexes: map[string]int{}}
 	for i, c := range classes {
-		w.classes[c] = i
+		w.classIndexes[c] = i
 	}
 	return w
 }
 
+// add records an event of the front.
 func (w *World) add(e record.Event) {
 	e.Front = Front
 	w.Rec.Add(e)
--- a/internal/standin/platformsim/servers.go
+++ b/internal/standin/platformsim/servers.go
@@ -12,70 +12,70 @@
 	"tealledge/internal/standin/ports"
 )
 
-// Servers, each with what is wrong with it.
-
-// Faults are what is wrong with a server.
+// Faults are the faults injected into a server.
 type Faults struct {
-	Delay   time.Duration // before an answer
-	Hang    bool          // answers nothing
-	Full    bool
-	Error   bool
-	Noise   bool // in place of an answer
-	Half    bool // of an answer, and nothing more on that connection
-	Doubled bool // an answer under an unknown id ahead, and a second copy
-	Break   bool // the connection, in place of an answer
-	Huge    bool // an answer with a description that fits its message and no line
-	Parting bool // ends what it plays in the moment that its front ends a connection, and says so there, in two halves
+	Delay   time.Duration // before the reply to a set-up
+	Hang    bool          // sends no replies to set-ups and probes
+	Full    bool          // refuses set-ups as full
+	Error   bool          // fails set-ups with an error
+	Noise   bool          // sends bytes that are no message in place of a reply
+	Half    bool          // sends half a reply, and then behaves as with NoReply
+	Doubled bool          // sends a reply with an unknown session id first, and then the reply twice
+	Break   bool          // closes the connection in place of a reply
+	Huge    bool          // sends a reply whose text fits in a message, but not in a line to the viewer
+	Parting bool          // ends the sessions of a connection that the front closes, with releases in two halves
 }
 
-// Server is one server.
+// Server is one stand-in server.
 type Server struct {
-	ID     uint32
-	w      *World
-	addr   string
-	kept   *ports.Kept // the address, also while it is down
-	mu     sync.Mutex
-	ln     net.Listener
-	faults Faults
-	conns  map[net.Conn]bool
-	plays  map[uint64]play
-	tried  map[uint64]int // the last attempt of a session that came here
-	done   sync.WaitGroup
+	ID           uint32
+	world        *World
+	addr         string
+	reservation  *ports.Kept // keeps the address reserved while the server is down
+	mu           sync.Mutex
+	listener     net.Listener
+	faults       Faults
+	conns        map[net.Conn]bool
+	sessions     map[uint64]session
+	lastAttempts map[uint64]int // number of the last attempt received here, by session
+	running      sync.WaitGroup
 }
 
-type play struct {
+// session is a playing session and the record of its set-up.
+type session struct {
 	conn  net.Conn
 	event record.Event
 }
 
-// NewServer starts a server at an address of its own.
-func NewServer(w *World, id uint32) (*Server, error) {
-	kept, err := ports.Keep(1)
+// NewServer starts a server at its own loopback address.
+func NewServer(world *World, id uint32) (*Server, error) {
+	reservation, err := ports.Keep(1)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ID: id, w: w, addr: kept.Addrs[0], kept: kept, conns: map[net.Conn]bool{}, plays: map[uint64]play{}, tried: map[uint64]int{}}
+	s := &Server{ID: id, world: world, addr: reservation.Addrs[0], reservation: reservation,
+		conns: map[net.Conn]bool{}, sessions: map[uint64]session{}, lastAttempts: map[uint64]int{}}
 	return s, s.Start()
 }
 
-// Name is the server's name on the list.
+// Name returns the server's name on the list.
 func (s *Server) Name() string { return fmt.Sprintf("s-%08x", s.ID) }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.addr }
 
-// Start listens, again at the address of before.
+// Start starts to listen, after Kill at the same address as before.
 func (s *Server) Start() error {
 	ln, err := net.Listen("tcp", s.addr)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.ln, s.addr = ln, ln.Addr().String()
+	s.listener, s.addr = ln, ln.Addr().String()
 	s.mu.Unlock()
-	s.done.Add(1)
+	s.running.Add(1)
 	go func() {
-		defer s.done.Done()
+		defer s.running.Done()
 		for {
 			c, err := ln.Accept()
 			if err != nil {
@@ -84,35 +84,35 @@
 			s.mu.Lock()
 			s.conns[c] = true
 			s.mu.Unlock()
-			s.done.Add(1)
+			s.running.Add(1)
 			go s.serve(c)
 		}
 	}()
 	return nil
 }
 
-// Fault changes what is wrong.
+// SetFaults replaces the injected faults.
 func (s *Server) Fault(f Faults) {
 	s.mu.Lock()
 	s.faults = f
 	s.mu.Unlock()
 }
 
-// Die ends the process: its connections are reset and its sessions cut.
+// Kill stops the process: its connections are reset and its sessions are lost.
 func (s *Server) Die() {
 	s.mu.Lock()
-	s.w.add(record.Event{Source: s.Name(), Kind: record.ServerDied, Server: s.ID})
-	s.ln.Close()
+	s.world.add(record.Event{Source: s.Name(), Kind: record.ServerDied, Server: s.ID})
+	s.listener.Close()
 	for c := range s.conns {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
 	}
-	s.plays = map[uint64]play{}
+	s.sessions = map[uint64]session{}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.running.Wait()
 }
 
-// Drop resets the connections; sessions stay.
+// ResetConns resets the connections; the sessions are kept.
 func (s *Server) Drop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,63 +122,66 @@
 	}
 }
 
-// End ends a session with a cause: 16 its end, 41 cut, 31 ended by its viewer. On a lost connection it is told on any
-// other, or else on the next.
+// EndSession ends a session with a cause: 16 for its regular end, 41 for a cut, 31 for an end by its viewer. If its
+// connection is lost, the release is sent on any other open connection; without one, it is not sent.
 func (s *Server) End(sid uint64, cause uint8) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p, ok := s.plays[sid]
+	p, ok := s.sessions[sid]
 	if !ok {
 		return
 	}
-	delete(s.plays, sid)
+	delete(s.sessions, sid)
 	e := p.event
 	e.At, e.Kind = 0, record.StreamEnded
-	s.w.add(e)
-	c := p.conn
-	if !s.conns[c] {
-		c = nil
+	s.world.add(e)
+	conn := p.conn
+	if !s.conns[conn] {
+		conn = nil
 		for o := range s.conns {
-			c = o
+			conn = o
 		}
 	}
-	if c != nil {
-		write(c, (&wire.Message{Type: wire.Release, Session: sid}).AddCause(cause))
+	if conn != nil {
+		writeMessage(conn, (&wire.Message{Type: wire.Release, Session: sid}).AddCause(cause))
 	}
 }
 
-// Note tells of a session that plays.
-func (s *Server) Note(sid uint64, name, figure string) {
+// SendNote sends a note about a playing session.
+func (s *Server) SendNote(sid uint64, name, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p, ok := s.plays[sid]; ok {
-		write(p.conn, (&wire.Message{Type: wire.Note, Session: sid}).Add(wire.ParamNote, name).Add(wire.ParamNoteValue, figure))
+	if p, ok := s.sessions[sid]; ok {
+		writeMessage(p.conn, (&wire.Message{Type: wire.Note, Session: sid}).
+			Add(wire.ParamNote, name).Add(wire.ParamNoteValue, value))
 	}
 }
 
-// Plays gives the sessions that stand.
+// Sessions returns the ids of the playing sessions.
 func (s *Server) Plays() (list []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for sid := range s.plays {
+	for sid := range s.sessions {
 		list = append(list, sid)
 	}
 	return list
 }
 
-func write(c net.Conn, m *wire.Message) {
+// writeMessage encodes and writes a message.
+func writeMessage(c net.Conn, m *wire.Message) {
 	b, _ := m.Append(nil)
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	c.Write(b)
 }
 
+// serve reads messages from a connection until it closes.
 func (s *Server) serve(c net.Conn) {
-	defer s.done.Done()
+	defer s.running.Done()
 	defer func() {
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
-		s.w.add(record.Event{Source: s.Name(), Kind: record.ServerConnEnded, Server: s.ID})
+		s.world.add(record.Event{Source: s.Name(), Kind: record.ServerConnEnded, Server: s.ID})
 		c.Close()
 	}()
 	var dec wire.Decoder
@@ -186,7 +189,7 @@
 	for {
 		n, err := c.Read(b)
 		if err != nil {
-			s.part(c)
+			s.endSessionsOf(c)
 			return
 		}
 		dec.Feed(b[:n])
@@ -198,25 +201,26 @@
 			if m == nil {
 				break
 			}
-			s.heard(c, m)
+			s.handle(c, m)
 		}
 	}
 }
 
-// part says on a connection that its front has ended, and on which it still reads, that the sessions set up there are over.
-func (s *Server) part(c net.Conn) {
+// endSessionsOf ends the sessions that were set up on a connection whose write side the front has closed, and sends the
+// releases on it, if EndOnFrontClose is set.
+func (s *Server) endSessionsOf(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.faults.Parting {
 		return
 	}
-	for sid, p := range s.plays {
+	for sid, p := range s.sessions {
 		if p.conn != c {
 			continue
 		}
-		delete(s.plays, sid)
+		delete(s.sessions, sid)
 		p.event.At, p.event.Kind = 0, record.StreamEnded
-		s.w.add(p.event)
+		s.world.add(p.event)
 		b, _ := (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseEnded).Append(nil)
 		c.SetWriteDeadline(time.Now().Add(time.Second))
 		c.Write(b[:len(b)/2])
@@ -225,82 +229,87 @@
 	}
 }
 
-func (s *Server) heard(c net.Conn, m *wire.Message) {
+// handle handles one message of the front.
+func (s *Server) handle(c net.Conn, m *wire.Message) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	text := func(code uint8) string { v, _ := m.Get(code); return string(v) }
 	switch m.Type {
 	case wire.SetUp:
-		s.w.mu.Lock()
-		e := record.Event{Source: s.Name(), Kind: record.SetupReceived, Session: wire.Sid(m.Session), Attempt: s.w.tries[m.Session], Server: s.ID,
-			Class: s.w.classes[text(wire.ParamClass)], Title: text(wire.ParamTitle)}
-		s.tried[m.Session] = e.Attempt
-		s.w.tries[m.Session]++
-		s.w.mu.Unlock()
-		s.w.add(e)
-		f := s.faults
-		time.AfterFunc(f.Delay, func() { s.answer(c, m.Session, e, f) })
+		s.world.mu.Lock()
+		e := record.Event{Source: s.Name(), Kind: record.SetupReceived, Session: wire.Sid(m.Session),
+			Attempt: s.world.setupCounts[m.Session], Server: s.ID,
+			Class: s.world.classIndexes[text(wire.ParamClass)], Title: text(wire.ParamTitle)}
+		s.lastAttempts[m.Session] = e.Attempt
+		s.world.setupCounts[m.Session]++
+		s.world.mu.Unlock()
+		s.world.add(e)
+		faults := s.faults
+		time.AfterFunc(faults.Delay, func() { s.replySetup(c, m.Session, e, faults) })
 	case wire.Release:
-		if p, ok := s.plays[m.Session]; ok {
-			delete(s.plays, m.Session)
+		if p, ok := s.sessions[m.Session]; ok {
+			delete(s.sessions, m.Session)
 			p.event.At, p.event.Kind = 0, record.StreamEnded
-			s.w.add(p.event)
-			write(c, &wire.Message{Type: wire.Released, Session: m.Session})
+			s.world.add(p.event)
+			writeMessage(c, &wire.Message{Type: wire.Released, Session: m.Session})
 			return
 		}
-		// Of the attempts that came here: the next may be at another server already, by another connection.
-		s.w.add(record.Event{Source: s.Name(), Kind: record.TeardownReceived, Session: wire.Sid(m.Session), Attempt: s.tried[m.Session], Server: s.ID})
+		// The number of the last attempt received here: a later attempt may already be at another server, on another
+		// connection.
+		s.world.add(record.Event{Source: s.Name(), Kind: record.TeardownReceived, Session: wire.Sid(m.Session),
+			Attempt: s.lastAttempts[m.Session], Server: s.ID})
 	case wire.Test:
 		if !s.faults.Hang {
-			tested := (&wire.Message{Type: wire.Tested, Session: m.Session}).AddCause(1)
+			reply := (&wire.Message{Type: wire.Tested, Session: m.Session}).AddCause(1)
 			if cause, _ := m.Cause(); cause == wire.CauseReport {
-				tested.Add(wire.ParamReport, "x0:0.2;x1:0.2")
+				reply.Add(wire.ParamReport, "x0:0.2;x1:0.2")
 			}
-			write(c, tested)
+			writeMessage(c, reply)
 		}
 	}
 }
 
-func (s *Server) answer(c net.Conn, sid uint64, e record.Event, f Faults) {
+// replySetup replies to a set-up, with the faults that were injected when it was received.
+func (s *Server) replySetup(c net.Conn, sid uint64, event record.Event, faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.conns[c] {
 		return
 	}
-	e.At, e.Kind, e.Status = 0, record.SetupAnswered, 500
+	event.At, event.Kind, event.Status = 0, record.SetupAnswered, 500
 	switch {
-	case f.Hang:
-	case f.Break:
+	case faults.Hang:
+	case faults.Break:
 		c.Close()
-	case f.Noise:
+	case faults.Noise:
 		c.Write([]byte("what is this noise"))
-	case f.Full:
-		e.Status = 453
-		s.w.add(e)
-		write(c, (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseFull))
-	case f.Error:
-		s.w.add(e)
-		write(c, (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseError))
-	case f.Half:
+	case faults.Full:
+		event.Status = 453
+		s.world.add(event)
+		writeMessage(c, (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseFull))
+	case faults.Error:
+		s.world.add(event)
+		writeMessage(c, (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseError))
+	case faults.Half:
 		b, _ := (&wire.Message{Type: wire.Ready, Session: sid}).Add(wire.ParamText, "half of it").Append(nil)
 		c.Write(b[:len(b)/2])
 		s.faults.Hang = true
 	default:
-		e.Status = 200
-		s.w.add(e)
-		e.Kind = record.StreamStarted
-		s.w.add(e)
-		s.plays[sid] = play{c, e}
+		event.Status = 200
+		s.world.add(event)
+		event.Kind = record.StreamStarted
+		s.world.add(event)
+		s.sessions[sid] = session{c, event}
 		m := (&wire.Message{Type: wire.Ready, Session: sid}).Add(wire.ParamText, "by "+s.Name()+"\r\n")
-		if f.Huge {
-			m.Params[0].Value = bytes.Repeat([]byte{1}, wire.MaxMessage/2) // six characters each in JSON
+		if faults.Huge {
+			m.Params[0].Value = bytes.Repeat([]byte{1}, wire.MaxMessage/2) // each byte takes six characters in JSON
 		}
-		if f.Doubled {
-			write(c, (&wire.Message{Type: wire.Ready, Session: sid ^ 1<<40}).Add(wire.ParamText, "nobody's"))
-			write(c, m)
+		if faults.Doubled {
+			writeMessage(c, (&wire.Message{Type: wire.Ready, Session: sid ^ 1<<40}).Add(wire.ParamText, "nobody's"))
+			writeMessage(c, m)
 		}
-		write(c, m)
-		e.Kind = record.PlayAnswered
-		s.w.add(e)
+		writeMessage(c, m)
+		event.Kind = record.PlayAnswered
+		s.world.add(event)
 	}
 }
--- a/internal/standin/platformsim/viewers.go
+++ b/internal/standin/platformsim/viewers.go
@@ -11,29 +11,29 @@
 	"tealledge/internal/record"
 )
 
-// Viewers.
-
-// Viewer is a connection of viewers.
+// Viewer is a client connection to a front that carries the requests of many viewers.
 type Viewer struct {
-	w     *World
-	conn  net.Conn
-	mu    sync.Mutex
-	calls map[uint64]string // open ones, with their class
-	Lines chan wire.Line
-	Ended chan struct{}
+	world        *World
+	conn         net.Conn
+	mu           sync.Mutex
+	openRequests map[uint64]string // class of each request without a reply yet
+	Lines        chan wire.Line    // received lines; further ones are dropped when it is full
+	Ended        chan struct{}     // closed when the connection has ended
 }
 
-// Dial connects to a front.
-func Dial(w *World, addr string) (*Viewer, error) {
+// Dial connects to a front and starts to read from it.
+func Dial(world *World, addr string) (*Viewer, error) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	v := &Viewer{w: w, conn: c, calls: map[uint64]string{}, Lines: make(chan wire.Line, 4096), Ended: make(chan struct{})}
+	v := &Viewer{world: world, conn: c, openRequests: map[uint64]string{}, Lines: make(chan wire.Line, 4096),
+		Ended: make(chan struct{})}
 	go v.read()
 	return v, nil
 }
 
+// read reads lines, records the replies among them, and passes them to Lines.
 func (v *Viewer) read() {
 	defer close(v.Ended)
 	r := bufio.NewReaderSize(v.conn, wire.MaxMessage)
@@ -41,76 +41,78 @@
 		b, err := r.ReadSlice('\n')
 		if err != nil {
 			v.mu.Lock()
-			for sid := range v.calls {
-				v.w.add(record.Event{Source: "viewer", Kind: record.PlayerConnLost, Ref: wire.Sid(sid)})
+			for sid := range v.openRequests {
+				v.world.add(record.Event{Source: "viewer", Kind: record.PlayerConnLost, Ref: wire.Sid(sid)})
 			}
-			v.calls = map[uint64]string{}
+			v.openRequests = map[uint64]string{}
 			v.mu.Unlock()
 			return
 		}
-		l, _ := wire.ParseLine(b[:len(b)-1])
+		line, _ := wire.ParseLine(b[:len(b)-1])
 		v.mu.Lock()
-		class, open := v.calls[l.Sid]
-		if open && (l.Msg == wire.LineReady || l.Msg == wire.LineClose) {
-			e := record.Event{Source: "viewer", Kind: record.ReplyReceived, Ref: wire.Sid(l.Sid), Session: wire.Sid(l.Sid), Class: v.w.classes[class], Text: "failed"}
+		class, open := v.openRequests[line.Sid]
+		if open && (line.Msg == wire.LineReady || line.Msg == wire.LineClose) {
+			event := record.Event{Source: "viewer", Kind: record.ReplyReceived, Ref: wire.Sid(line.Sid),
+				Session: wire.Sid(line.Sid), Class: v.world.classIndexes[class], Text: "failed"}
 			switch {
-			case l.Msg == wire.LineReady:
-				e.Text = "plays"
-			case l.Code == wire.CauseFull || l.Code == wire.CauseRefused || l.Code == wire.CauseNotRun:
-				e.Text = "refused"
+			case line.Msg == wire.LineReady:
+				event.Text = "plays"
+			case line.Code == wire.CauseFull || line.Code == wire.CauseRefused || line.Code == wire.CauseNotRun:
+				event.Text = "refused"
 			}
-			v.w.add(e)
-			if l.Msg == wire.LineClose {
-				delete(v.calls, l.Sid)
+			v.world.add(event)
+			if line.Msg == wire.LineClose {
+				delete(v.openRequests, line.Sid)
 			} else {
-				v.calls[l.Sid] = class
+				v.openRequests[line.Sid] = class
 			}
 		}
-		if l.Msg == wire.LineReady { // a later close is the session's end, and no second answer
-			delete(v.calls, l.Sid)
+		if line.Msg == wire.LineReady { // a later close ends the session and is not a second reply
+			delete(v.openRequests, line.Sid)
 		}
 		v.mu.Unlock()
 		select {
-		case v.Lines <- l:
+		case v.Lines <- line:
 		default:
 		}
 	}
 }
 
-// Write sends bytes as they are.
+// Write sends text unchanged.
 func (v *Viewer) Write(text string) error {
 	v.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
 	_, err := v.conn.Write([]byte(text))
 	return err
 }
 
-// Form gives a set-up's line.
-func Form(sid uint64, class string, left time.Duration, more string) string {
+// OpenLine returns the line that requests a session. extras is appended to the value of that name.
+func Form(sid uint64, class string, timeLeft time.Duration, extras string) string {
 	return fmt.Sprintf(`{"msg":"open","sid":"%016x","attrs":{"class":"%s","left":"%d","key":"00000000000000aa","hint":"8000.0","extras":"home:0;copies:3;top:2;viewer:%016x%s"},"text":"who %d\r\n"}`+"\n",
-		sid, class, left.Milliseconds(), sid, more, sid)
+		sid, class, timeLeft.Milliseconds(), sid, extras, sid)
 }
 
-// Open asks for a session.
-func (v *Viewer) Open(sid uint64, class string, left time.Duration) error {
+// Open requests a session.
+func (v *Viewer) Open(sid uint64, class string, timeLeft time.Duration) error {
 	v.mu.Lock()
-	v.calls[sid] = class
+	v.openRequests[sid] = class
 	v.mu.Unlock()
-	v.w.add(record.Event{Source: "viewer", Kind: record.RequestSent, Ref: wire.Sid(sid), Class: v.w.classes[class], Timeout: int64(left)})
-	return v.Write(Form(sid, class, left, ""))
+	v.world.add(record.Event{Source: "viewer", Kind: record.RequestSent, Ref: wire.Sid(sid),
+		Class: v.world.classIndexes[class], Timeout: int64(timeLeft)})
+	return v.Write(Form(sid, class, timeLeft, ""))
 }
 
-// GiveUp takes a request back, or ends a session.
+// Cancel cancels a request, or ends a session.
 func (v *Viewer) GiveUp(sid uint64) error {
 	v.mu.Lock()
-	if _, open := v.calls[sid]; open {
-		v.w.add(record.Event{Source: "viewer", Kind: record.PlayerLeft, Ref: wire.Sid(sid)})
-		delete(v.calls, sid)
+	if _, open := v.openRequests[sid]; open {
+		v.world.add(record.Event{Source: "viewer", Kind: record.PlayerLeft, Ref: wire.Sid(sid)})
+		delete(v.openRequests, sid)
 	}
 	v.mu.Unlock()
 	return v.Write(fmt.Sprintf(`{"msg":"close","sid":"%016x","attrs":{},"code":16}`+"\n", sid))
 }
 
-// Close closes the connection.
+// Close closes the connection and waits until reading has stopped.
 func (v *Viewer) Close() {
 	v.conn.Close()
 	<-v.Ended
--- a/internal/standin/playersim/hls.go
+++ b/internal/standin/playersim/hls.go
@@ -14,26 +14,29 @@
 	"tealledge/internal/record"
 )
 
-// WatchHLS runs one viewer that comes by HLS: it opens the title, reloads as RFC 8216 asks, fetches the newest segment
-// of a live title, and goes on at another front when its own is gone.
-func (c *Crowd) WatchHLS(ctx context.Context, v Viewer, pick func(int) (name, addr string)) {
-	c.Rec.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: Hash(v.Name), Class: v.ClassN, Top: v.Top, Length: v.Length.Seconds(),
-		Value: v.Worth, Title: v.Title, Text: string(v.Bad)})
+// WatchHLS runs one HLS viewer: it opens the title, reloads the playlist as RFC 8216 requires, fetches the newest segment
+// of each playlist, and continues at another front when its own is unreachable.
+func (c *Crowd) WatchHLS(ctx context.Context, viewer Viewer, pick func(int) (name, addr string)) {
+	c.Recorder.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: Hash(viewer.Name),
+		Class: viewer.ClassN, Top: viewer.Top, Length: viewer.Length.Seconds(),
+		Value: viewer.Worth, Title: viewer.Title, Text: string(viewer.Bad)})
 	tr := &http.Transport{MaxConnsPerHost: 2}
 	defer tr.CloseIdleConnections()
-	p := &hlsPlayer{c: c, v: v, pick: pick, client: &http.Client{Transport: tr, Timeout: 8 * time.Second}, end: time.Now().Add(v.Length)}
-	for try := 0; try < 20 && time.Now().Before(p.end) && ctx.Err() == nil; try++ {
-		done, after := p.watch(ctx, try)
-		if done || c.draw() > c.AgainShare {
+	p := &hlsPlayer{crowd: c, viewer: viewer, pick: pick, client: &http.Client{Transport: tr,
+		Timeout: 8 * time.Second}, endAt: time.Now().Add(viewer.Length)}
+	for attempt := 0; attempt < 20 && time.Now().Before(p.endAt) && ctx.Err() == nil; attempt++ {
+		done, retryAfter := p.openTitle(ctx, attempt)
+		if done || c.random() > c.RetryShare {
 			return
 		}
-		if wait(ctx, max(after, time.Duration((0.3+0.7*c.draw())*float64(time.Second)))) != nil {
+		if sleep(ctx, max(retryAfter, time.Duration((0.3+0.7*c.random())*float64(time.Second)))) != nil {
 			return
 		}
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -42,17 +45,19 @@
 	}
 }
 
+// hlsPlayer is one HLS viewer.
 type hlsPlayer struct {
-	c      *Crowd
-	v      Viewer
+	crowd  *Crowd
+	viewer Viewer
 	pick   func(int) (string, string)
 	client *http.Client
-	end    time.Time
+	endAt  time.Time
 	addr   string
 }
 
-func (p *hlsPlayer) get(ctx context.Context, method, u string) (code int, body string, h http.Header, err error) {
-	req, err := http.NewRequestWithContext(ctx, method, u, nil)
+// get sends a request and reads the response, at most 1 MiB of its body.
+func (p *hlsPlayer) get(ctx context.Context, method, target string) (code int, body string, h http.Header, err error) {
+	req, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
 		return 0, "", nil, err
 	}
@@ -65,122 +70,126 @@
 	return resp.StatusCode, string(b), resp.Header, err
 }
 
-// watch is one request for the title and what follows.
-func (p *hlsPlayer) watch(ctx context.Context, try int) (done bool, after time.Duration) {
-	c, v := p.c, p.v
-	c.mu.Lock()
-	c.seen++
-	n := c.seen
-	c.mu.Unlock()
+// openTitle sends one request for the title and plays it if the front accepts.
+func (p *hlsPlayer) openTitle(ctx context.Context, attempt int) (done bool, retryAfter time.Duration) {
+	crowd, viewer := p.crowd, p.viewer
+	crowd.mu.Lock()
+	crowd.picks++
+	n := crowd.picks
+	crowd.mu.Unlock()
 	front, addr := p.pick(n)
 	p.addr = addr
-	e := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: Hash(v.Name), Ref: v.Name + "#h" + strconv.Itoa(try), Class: v.ClassN, Title: v.Title}
-	q := url.Values{"class": {v.Class}, "viewer": {v.Name}, "top": {strconv.Itoa(v.Top)}}
-	if v.Tenant != "" {
-		q.Set("tenant", v.Tenant)
-	}
-	c.Rec.Add(e)
-	add := func(what, text, session string) {
-		e.At, e.Kind, e.Text, e.Session = 0, what, text, session
-		c.Rec.Add(e)
-	}
-	asking, cancel := context.WithCancel(ctx)
+	event := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: Hash(viewer.Name),
+		Ref: viewer.Name + "#h" + strconv.Itoa(attempt), Class: viewer.ClassN, Title: viewer.Title}
+	q := url.Values{"class": {viewer.Class}, "viewer": {viewer.Name}, "top": {strconv.Itoa(viewer.Top)}}
+	if viewer.Tenant != "" {
+		q.Set("tenant", viewer.Tenant)
+	}
+	crowd.Recorder.Add(event)
+	add := func(kind, text, session string) {
+		event.At, event.Kind, event.Text, event.Session = 0, kind, text, session
+		crowd.Recorder.Add(event)
+	}
+	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if v.Bad == LeaveAtOnce || v.Bad == LeaveLater { // gone before its answer
-		time.AfterFunc(time.Duration(c.draw()*float64(15*time.Millisecond)), cancel)
+	if viewer.Bad == LeaveAtOnce || viewer.Bad == LeaveLater { // leaves before the response
+		time.AfterFunc(time.Duration(crowd.random()*float64(15*time.Millisecond)), cancel)
 	}
-	code, text, h, err := p.get(asking, http.MethodGet, "http://"+addr+"/hls/"+v.Title+"/master.m3u8?"+q.Encode())
+	code, text, h, err := p.get(requestCtx, http.MethodGet,
+		"http://"+addr+"/hls/"+viewer.Title+"/master.m3u8?"+q.Encode())
 	if err != nil {
 		if errors.Is(err, context.Canceled) {
 			add(record.PlayerLeft, "", "")
 		} else {
 			add(record.PlayerConnLost, err.Error(), "")
 		}
-		return v.Bad != Good, 0
+		return viewer.Bad != Good, 0
 	}
-	kind := map[int]string{200: "plays", 503: "refused", 502: "failed"}[code]
-	if kind == "" {
-		kind = "error"
+	status := map[int]string{200: "plays", 503: "refused", 502: "failed"}[code]
+	if status == "" {
+		status = "error"
 	}
-	add(record.ReplyReceived, kind, sessionNumber(h.Get("X-Tealledge-Session")))
+	add(record.ReplyReceived, status, sessionNumber(h.Get("X-Tealledge-Session")))
 	if code != 200 {
 		seconds, _ := strconv.Atoi(h.Get("Retry-After"))
-		return kind != "refused", time.Duration(seconds) * time.Second
+		return status != "refused", time.Duration(seconds) * time.Second
 	}
 	variant := ""
-	for _, l := range strings.Split(text, "\n") {
-		if l != "" && l[0] != '#' {
-			variant = l // the best one is the last
+	for _, line := range strings.Split(text, "\n") {
+		if line != "" && line[0] != '#' {
+			variant = line // the best variant is the last
 		}
 	}
 	return p.play(ctx, variant), 0
 }
 
-// play reloads the variant's playlist until the viewer has seen enough. It gives false if it is to be opened anew.
+// play reloads the variant's playlist until the viewer has watched long enough. It returns false if the title must be
+// opened again.
 func (p *hlsPlayer) play(ctx context.Context, variant string) (done bool) {
-	misses := 0
-	for time.Now().Before(p.end) {
+	failures := 0
+	for time.Now().Before(p.endAt) {
 		code, text, h, err := p.get(ctx, http.MethodGet, "http://"+p.addr+variant)
 		switch {
 		case ctx.Err() != nil:
 			return true
-		case err != nil: // its front is gone: another one knows what to do with the address
-			if misses++; misses > 3 {
+		case err != nil: // the front is unreachable: any other front can serve this path
+			if failures++; failures > 3 {
 				return false
 			}
-			p.c.mu.Lock()
-			p.c.seen++
-			n := p.c.seen
-			p.c.mu.Unlock()
+			p.crowd.mu.Lock()
+			p.crowd.picks++
+			n := p.crowd.picks
+			p.crowd.mu.Unlock()
 			_, p.addr = p.pick(n)
 		case code == http.StatusServiceUnavailable:
-			if misses++; misses > 6 {
+			if failures++; failures > 6 {
 				return false
 			}
-			if seconds, _ := strconv.Atoi(h.Get("Retry-After")); wait(ctx, time.Duration(seconds)*time.Second) != nil {
+			if seconds, _ := strconv.Atoi(h.Get("Retry-After")); sleep(ctx, time.Duration(seconds)*time.Second) != nil {
 				return true
 			}
 			continue
 		case code != http.StatusOK:
 			return false
 		default:
-			misses = 0
-			p.told(variant, text)
-			p.segment(ctx, text)
+			failures = 0
+			p.recordPlaylist(variant, text)
+			p.fetchNewestSegment(ctx, text)
 		}
-		if wait(ctx, min(time.Second, time.Until(p.end)+time.Millisecond)) != nil {
+		if sleep(ctx, min(time.Second, time.Until(p.endAt)+time.Millisecond)) != nil {
 			return true
 		}
-		if strings.Contains(text, "#EXT-X-ENDLIST") { // a finished list is not read again
-			if wait(ctx, time.Until(p.end)) != nil {
+		if strings.Contains(text, "#EXT-X-ENDLIST") { // a complete playlist is not reloaded
+			if sleep(ctx, time.Until(p.endAt)) != nil {
 				return true
 			}
 		}
 	}
-	if p.v.Bad == Good { // others vanish without a word
+	if p.viewer.Bad == Good { // other viewers leave without closing the session
 		token, _, _ := strings.Cut(strings.TrimPrefix(variant, "/hls/s/"), "/")
 		p.get(ctx, http.MethodDelete, "http://"+p.addr+"/hls/s/"+token)
 	}
 	return true
 }
 
-// told writes down what a playlist says.
-func (p *hlsPlayer) told(variant, text string) {
-	e := record.Event{Source: "player", Kind: record.PlaylistRead, Viewer: Hash(p.v.Name), Ref: variant, Title: p.v.Title, Class: p.v.ClassN}
+// recordPlaylist records the sequence numbers of a received playlist.
+func (p *hlsPlayer) recordPlaylist(variant, text string) {
+	e := record.Event{Source: "player", Kind: record.PlaylistRead, Viewer: Hash(p.viewer.Name), Ref: variant,
+		Title: p.viewer.Title, Class: p.viewer.ClassN}
 	if m, err := hls.ParseMedia(text); err != nil {
 		e.Text = err.Error()
 	} else {
 		e.Value, e.Length = float64(m.Sequence), float64(m.DiscontinuitySequence)
 	}
-	p.c.Rec.Add(e)
+	p.crowd.Recorder.Add(e)
 }
 
-// segment fetches the newest segment of a list.
-func (p *hlsPlayer) segment(ctx context.Context, text string) {
+// fetchNewestSegment fetches the newest segment of a playlist.
+func (p *hlsPlayer) fetchNewestSegment(ctx context.Context, text string) {
 	last := ""
-	for _, l := range strings.Split(text, "\n") {
-		if l != "" && l[0] != '#' {
-			last = l
+	for _, line := range strings.Split(text, "\n") {
+		if line != "" && line[0] != '#' {
+			last = line
 		}
 	}
 	if last != "" {
--- a/internal/standin/playersim/playersim.go
+++ b/internal/standin/playersim/playersim.go
@@ -1,5 +1,5 @@
-// Package playersim is a stand-in for players: WebSocket clients that open sessions, watch, leave, come again, and
-// on command behave badly. It writes down what crossed its own sockets.
+// Package playersim is a stand-in for players: WebSocket and HLS clients that open sessions, watch, leave, retry and, on
+// command, misbehave. It records what crossed its own sockets.
 package playersim
 
 import (
@@ -21,96 +21,100 @@
 	"tealledge/internal/record"
 )
 
-// Viewer is one viewer and what it wants.
+// Viewer describes one viewer and its request.
 type Viewer struct {
-	Name   string
-	Title  string
-	Class  string
-	ClassN int
-	Tenant string
-	Top    int
-	Length time.Duration // how long it watches in all
-	Wait   time.Duration // how long it waits for an answer; 0: as the class says
-	Worth  float64       // of a second at a rung of worth 1
-	Bad    Bad
+	Name    string
+	Title   string
+	Class   string
+	ClassN  int
+	Tenant  string
+	Top     int
+	Length  time.Duration // total time that it watches
+	Timeout time.Duration // how long it waits for a reply; 0: the deadline of the class
+	Worth   float64       // worth of a second at a rung of worth 1
+	Bad     Bad
 }
 
-// Bad is a way to behave badly.
+// Misbehaviour names a way in which a player misbehaves.
 type Bad string
 
-// Ways to behave badly.
+// The misbehaviours; their values are words of day scripts.
 const (
 	Good        Bad = ""
-	LeaveAtOnce Bad = "leave"     // closes the connection right after asking
-	LeaveLater  Bad = "leave-mid" // closes it some milliseconds after asking
-	HalfFrame   Bad = "half"      // sends half a frame, then nothing
-	Garbage     Bad = "garbage"   // sends bytes that are no frame
-	Unmasked    Bad = "unmasked"
-	SlowRead    Bad = "slow-read"  // asks again and again and reads nothing
-	NeverPong   Bad = "never-pong" // stays connected and answers no ping
+	LeaveAtOnce Bad = "leave"      // closes the connection right after its request
+	LeaveLater  Bad = "leave-mid"  // closes the connection some milliseconds after its request
+	HalfFrame   Bad = "half"       // sends half a frame, then nothing
+	Garbage     Bad = "garbage"    // sends bytes that are not a frame
+	Unmasked    Bad = "unmasked"   // sends a frame without a mask
+	SlowRead    Bad = "slow-read"  // sends many requests and reads nothing
+	NeverPong   Bad = "never-pong" // stays connected and responds to no ping
 	Pipeline    Bad = "pipeline"   // sends hundreds of requests at once
 )
 
 // Crowd runs viewers.
 type Crowd struct {
-	Rec *record.Log
-	// Fronts gives the addresses to try, best first, and their names. A viewer is given its number.
+	Recorder *record.Log
+	// Pick returns the name and the address of the front that the n-th connection goes to.
 	Pick func(n int) (name, addr string)
-	// AgainShare of the viewers come again after a break or a refusal.
-	AgainShare float64
-	// ResumeFor is how long a player whose connection is lost tries to resume its session where it was; 0: not at all.
+	// RetryShare is the share of viewers that retry after a lost connection or a refusal.
+	RetryShare float64
+	// ResumeWindow is how long a player whose connection is lost tries to resume its session at the same front; 0: it
+	// does not try.
 	ResumeFor time.Duration
 	mu        sync.Mutex
 	rng       *rand.Rand
-	seen      int
+	picks     int
 }
 
-// New makes a crowd.
-func New(rec *record.Log, seed int64, again float64, pick func(int) (string, string)) *Crowd {
-	return &Crowd{Rec: rec, Pick: pick, AgainShare: again, rng: rand.New(rand.NewSource(seed))}
+// New returns a crowd that records to rec and picks fronts with pick.
+func New(rec *record.Log, seed int64, retryShare float64, pick func(int) (string, string)) *Crowd {
+	return &Crowd{Recorder: rec, Pick: pick, RetryShare: retryShare, rng: rand.New(rand.NewSource(seed))}
 }
 
-func (c *Crowd) draw() float64 {
+// random returns a random number from 0 to 1.
+func (c *Crowd) random() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rng.Float64()
 }
 
-// Hash is a viewer's number as the front passes it to media servers.
+// HashViewer returns a viewer's number as the front passes it to media servers.
 func Hash(viewer string) string { return strconv.FormatUint(xxhash.Sum64String(viewer), 10) }
 
-// Watch runs one viewer until it has watched what it wants, gives up, or ctx ends.
-func (c *Crowd) Watch(ctx context.Context, v Viewer) {
-	c.Rec.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: Hash(v.Name), Class: v.ClassN, Top: v.Top, Length: v.Length.Seconds(),
-		Value: v.Worth, Title: v.Title, Text: string(v.Bad)})
-	end := time.Now().Add(v.Length)
-	token, again := "", false
-	for try := 0; try < 20 && time.Now().Before(end) && ctx.Err() == nil; try++ {
-		o := c.once(ctx, v, try, end, token, again)
-		token, again = o.token, true
-		if o.done || o.token == "" && c.draw() > c.AgainShare {
+// Watch runs one viewer until it has watched for its time, gives up, or ctx ends.
+func (c *Crowd) Watch(ctx context.Context, viewer Viewer) {
+	c.Recorder.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: Hash(viewer.Name),
+		Class: viewer.ClassN, Top: viewer.Top, Length: viewer.Length.Seconds(),
+		Value: viewer.Worth, Title: viewer.Title, Text: string(viewer.Bad)})
+	endAt := time.Now().Add(viewer.Length)
+	token, retrying := "", false
+	for attempt := 0; attempt < 20 && time.Now().Before(endAt) && ctx.Err() == nil; attempt++ {
+		o := c.openSession(ctx, viewer, attempt, endAt, token, retrying)
+		token, retrying = o.token, true
+		if o.done || o.token == "" && c.random() > c.RetryShare {
 			return
 		}
-		pause := time.Duration((0.3 + 0.7*c.draw()) * float64(time.Second))
+		delay := time.Duration((0.3 + 0.7*c.random()) * float64(time.Second))
 		if o.token != "" {
-			pause = time.Duration((0.1 + 0.2*c.draw()) * float64(time.Second))
+			delay = time.Duration((0.1 + 0.2*c.random()) * float64(time.Second))
 		}
-		pause = max(pause, o.after)
+		delay = max(delay, o.retryAfter)
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 }
 
+// outcome is the result of one connection of a viewer.
 type outcome struct {
-	done  bool
-	token string
-	after time.Duration
+	done       bool   // no retry follows
+	token      string // of a session that was moved, for the next front
+	retryAfter time.Duration
 }
 
-// message is anything that a front sends.
+// message is a response or a notification of a front.
 type message struct {
 	ID     json.RawMessage `json:"id"`
 	Method string          `json:"method"`
@@ -147,10 +151,12 @@
 	return nc, nil
 }
 
-func (c *Crowd) once(ctx context.Context, v Viewer, try int, end time.Time, token string, again bool) (o outcome) {
+// openSession opens one connection, requests a session and watches it.
+func (c *Crowd) openSession(ctx context.Context, viewer Viewer, attempt int, endAt time.Time, token string,
+	retrying bool) (o outcome) {
 	c.mu.Lock()
-	c.seen++
-	n := c.seen
+	c.picks++
+	n := c.picks
 	c.mu.Unlock()
 	front, addr := c.Pick(n)
 	nc, err := Dial(ctx, addr)
@@ -160,78 +166,82 @@
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
-	call := v.Name + "#" + strconv.Itoa(try)
-	params := map[string]any{"title": v.Title, "class": v.Class, "viewer": v.Name, "top": v.Top, "again": again}
-	if v.Tenant != "" {
-		params["tenant"] = v.Tenant
+	ref := viewer.Name + "#" + strconv.Itoa(attempt)
+	params := map[string]any{"title": viewer.Title, "class": viewer.Class, "viewer": viewer.Name,
+		"top": viewer.Top, "again": retrying}
+	if viewer.Tenant != "" {
+		params["tenant"] = viewer.Tenant
 	}
 	if token != "" {
 		params["token"] = token
 	}
-	if v.Wait > 0 {
-		params["deadlineMs"] = v.Wait.Milliseconds()
+	if viewer.Timeout > 0 {
+		params["deadlineMs"] = viewer.Timeout.Milliseconds()
 	}
-	text, _ := json.Marshal(map[string]any{"jsonrpc": "2.0", "method": "session.open", "params": params, "id": call})
-	if c.misbehave(nc, v, text) {
+	text, _ := json.Marshal(map[string]any{"jsonrpc": "2.0", "method": "session.open", "params": params, "id": ref})
+	if c.misbehave(nc, viewer, text) {
 		return outcome{done: true}
 	}
-	ask := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: Hash(v.Name), Ref: call, Class: v.ClassN, Timeout: int64(v.Wait), Title: v.Title}
-	c.Rec.Add(ask)
-	left := func(what string) {
-		ask.At, ask.Kind = 0, what
-		c.Rec.Add(ask)
+	request := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: Hash(viewer.Name),
+		Ref: ref, Class: viewer.ClassN, Timeout: int64(viewer.Timeout), Title: viewer.Title}
+	c.Recorder.Add(request)
+	recordEnd := func(kind string) {
+		request.At, request.Kind = 0, kind
+		c.Recorder.Add(request)
 	}
 	if err := wsutil.WriteClientText(nc, text); err != nil {
-		left(record.PlayerConnLost)
+		recordEnd(record.PlayerConnLost)
 		return outcome{}
 	}
-	switch v.Bad {
+	switch viewer.Bad {
 	case LeaveAtOnce:
-		left(record.PlayerLeft)
+		recordEnd(record.PlayerLeft)
 		return outcome{done: true}
 	case LeaveLater:
-		time.Sleep(time.Duration(c.draw() * float64(15*time.Millisecond)))
-		left(record.PlayerLeft)
+		time.Sleep(time.Duration(c.random() * float64(15*time.Millisecond)))
+		recordEnd(record.PlayerLeft)
 		return outcome{done: true}
 	}
-	return c.listen(ctx, nc, addr, v, ask, end, left)
+	return c.readMessages(ctx, nc, addr, viewer, request, endAt, recordEnd)
 }
 
-// misbehave sends what is no request; it gives true if that was all.
-func (c *Crowd) misbehave(nc net.Conn, v Viewer, text []byte) bool {
-	switch v.Bad {
+// misbehave carries out a misbehaviour that replaces the request; it returns false if the viewer has none of these.
+func (c *Crowd) misbehave(nc net.Conn, viewer Viewer, text []byte) bool {
+	switch viewer.Bad {
 	case HalfFrame:
 		b := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(text)))
 		nc.Write(b[:len(b)/2])
-		time.Sleep(time.Duration((0.2 + c.draw()) * float64(time.Second)))
+		time.Sleep(time.Duration((0.2 + c.random()) * float64(time.Second)))
 	case Garbage:
 		nc.Write([]byte("\xff\xff\xff\xff\xff\xff\xff\xff\xff"))
-		readAll(nc)
+		discardReplies(nc)
 	case Unmasked:
 		nc.Write(ws.MustCompileFrame(ws.NewTextFrame(text)))
-		readAll(nc)
+		discardReplies(nc)
 	case SlowRead:
 		nc.SetWriteDeadline(time.Now().Add(2 * time.Second))
 		for range 2000 {
-			if wsutil.WriteClientText(nc, []byte(`{"jsonrpc":"2.0","method":"nothing","id":"`+strings.Repeat("x", 200)+`"}`)) != nil {
+			if wsutil.WriteClientText(nc, []byte(`{"jsonrpc":"2.0","method":"nothing","id":"`+
+				strings.Repeat("x", 200)+`"}`)) != nil {
 				break
 			}
 		}
 		time.Sleep(time.Second)
 	case NeverPong:
 		time.Sleep(2 * time.Second)
-	case Pipeline: // asks for a title that is not there: no session is begun
+	case Pipeline: // requests a title that does not exist: no session starts
 		b := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame([]byte(`{"jsonrpc":"2.0","method":"session.open","params":{"title":"none","class":"none","viewer":"p"},"id":1}`))))
 		nc.SetWriteDeadline(time.Now().Add(2 * time.Second))
 		nc.Write(bytes.Repeat(b, 300))
-		readAll(nc)
+		discardReplies(nc)
 	default:
 		return false
 	}
 	return true
 }
 
-func readAll(nc net.Conn) {
+// discardReplies reads and discards what the front sends, for half a second.
+func discardReplies(nc net.Conn) {
 	nc.SetReadDeadline(time.Now().Add(500 * time.Millisecond))
 	buf := make([]byte, 512)
 	for {
@@ -241,56 +251,58 @@
 	}
 }
 
-// listen reads answers and notifications until the viewer is through with this connection.
-func (c *Crowd) listen(ctx context.Context, nc net.Conn, addr string, v Viewer, ask record.Event, end time.Time, left func(string)) outcome {
+// readMessages reads replies and notifications until the viewer has finished with this connection.
+func (c *Crowd) readMessages(ctx context.Context, nc net.Conn, addr string, viewer Viewer, request record.Event,
+	endAt time.Time, recordEnd func(string)) outcome {
 	playing, token := "", ""
-	defer func() { nc.Close() }() // the one resumed on, if it was
-	giveUp := time.Now().Add(30 * time.Second)
+	defer func() { nc.Close() }() // the connection that the session was last resumed on, if any
+	replyDeadline := time.Now().Add(30 * time.Second)
 	for {
-		until := giveUp
+		deadline := replyDeadline
 		if playing != "" {
-			until = end
+			deadline = endAt
 		}
-		nc.SetReadDeadline(until)
+		nc.SetReadDeadline(deadline)
 		text, err := wsutil.ReadServerText(nc)
 		if err != nil {
-			if playing != "" && !time.Now().Before(end) {
-				c.close(nc, playing)
-				left(record.PlayerLeft)
+			if playing != "" && !time.Now().Before(endAt) {
+				c.closeSession(nc, playing)
+				recordEnd(record.PlayerLeft)
 				return outcome{done: true}
 			}
-			if next := c.resume(ctx, addr, playing, token, end); next != nil {
+			if next := c.resume(ctx, addr, playing, token, endAt); next != nil {
 				nc = next
 				stop := context.AfterFunc(ctx, func() { next.Close() })
 				defer stop()
 				continue
 			}
-			left(record.PlayerConnLost)
+			recordEnd(record.PlayerConnLost)
 			return outcome{}
 		}
 		var m message
 		if json.Unmarshal(text, &m) != nil {
 			continue
 		}
-		reply := ask
+		reply := request
 		reply.At, reply.Kind = 0, record.ReplyReceived
 		switch {
-		case m.Result != nil && string(m.ID) == strconv.Quote(ask.Ref):
+		case m.Result != nil && string(m.ID) == strconv.Quote(request.Ref):
 			reply.Text, reply.Rung = m.Result.Status, m.Result.Rung
 			reply.Session = sessionNumber(m.Result.Session)
-			c.Rec.Add(reply)
+			c.Recorder.Add(reply)
 			playing, token = m.Result.Session, m.Result.Token
-		case m.Error != nil && string(m.ID) == strconv.Quote(ask.Ref):
+		case m.Error != nil && string(m.ID) == strconv.Quote(request.Ref):
 			reply.Text = map[int]string{-32001: "refused", -32002: "failed"}[m.Error.Code]
 			if reply.Text == "" {
 				reply.Text = "error"
 			}
 			reply.Session = sessionNumber(m.Error.Data.Session)
-			c.Rec.Add(reply)
-			time.Sleep(5 * time.Millisecond) // a second answer would still be read
-			c.drain(nc, ask)
-			// Paid viewers who were told "failed" stay away: their set-up may have run.
-			return outcome{done: reply.Text != "refused", after: time.Duration(m.Error.Data.RetryAfterMs) * time.Millisecond}
+			c.Recorder.Add(reply)
+			time.Sleep(5 * time.Millisecond) // so that a second reply would still be read
+			c.readSecondReply(nc, request)
+			// There is no retry after "failed": the set-up of a paid viewer may have run.
+			return outcome{done: reply.Text != "refused",
+				retryAfter: time.Duration(m.Error.Data.RetryAfterMs) * time.Millisecond}
 		case m.Method == "session.moved":
 			return outcome{token: m.Params.Token}
 		case m.Method == "session.ended":
@@ -299,27 +311,29 @@
 	}
 }
 
-// resume looks for the front where the session was, and takes the session up there; nil if it is not to be had.
-func (c *Crowd) resume(ctx context.Context, addr, session, token string, end time.Time) net.Conn {
+// resume reconnects to the front that held the session and resumes it there; it returns nil if that fails.
+func (c *Crowd) resume(ctx context.Context, addr, session, token string, endAt time.Time) net.Conn {
 	if session == "" || token == "" || c.ResumeFor <= 0 {
 		return nil
 	}
-	until := time.Now().Add(c.ResumeFor)
-	for wait := 50 * time.Millisecond; ctx.Err() == nil && time.Now().Before(until) && time.Now().Before(end); wait = min(2*wait, 400*time.Millisecond) {
-		time.Sleep(wait/2 + time.Duration(c.draw()*float64(wait)))
+	resumeDeadline := time.Now().Add(c.ResumeFor)
+	for delay := 50 * time.Millisecond; ctx.Err() == nil && time.Now().Before(resumeDeadline) &&
+		time.Now().Before(endAt); delay = min(2*delay, 400*time.Millisecond) {
+		time.Sleep(delay/2 + time.Duration(c.random()*float64(delay)))
 		nc, err := Dial(ctx, addr)
 		if err != nil {
 			continue
 		}
 		nc.SetDeadline(time.Now().Add(2 * time.Second))
-		text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.resume","params":{"session":%q,"token":%q},"id":"resume"}`, session, token)
+		text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.resume","params":{"session":%q,"token":%q},"id":"resume"}`,
+			session, token)
 		if wsutil.WriteClientText(nc, []byte(text)) == nil {
-			if answer, err := wsutil.ReadServerText(nc); err == nil {
-				if strings.Contains(string(answer), `"plays"`) {
+			if reply, err := wsutil.ReadServerText(nc); err == nil {
+				if strings.Contains(string(reply), `"plays"`) {
 					return nc
 				}
 				nc.Close()
-				return nil // not known any more: it is to be asked for anew
+				return nil // the front no longer knows the session: the viewer has to open a new one
 			}
 		}
 		nc.Close()
@@ -327,16 +341,17 @@
 	return nil
 }
 
-// drain looks for a second answer on the connection.
-func (c *Crowd) drain(nc net.Conn, ask record.Event) {
+// readSecondReply checks for a second reply to the request and records it.
+func (c *Crowd) readSecondReply(nc net.Conn, request record.Event) {
 	nc.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-	if text, err := wsutil.ReadServerText(nc); err == nil && strings.Contains(string(text), strconv.Quote(ask.Ref)) {
-		ask.At, ask.Kind, ask.Text = 0, record.ReplyReceived, "second"
-		c.Rec.Add(ask)
+	if text, err := wsutil.ReadServerText(nc); err == nil && strings.Contains(string(text), strconv.Quote(request.Ref)) {
+		request.At, request.Kind, request.Text = 0, record.ReplyReceived, "second"
+		c.Recorder.Add(request)
 	}
 }
 
-func (c *Crowd) close(nc net.Conn, session string) {
+// closeSession closes the session and waits for the response.
+func (c *Crowd) closeSession(nc net.Conn, session string) {
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"close"}`, session)
 	nc.SetDeadline(time.Now().Add(500 * time.Millisecond))
 	if wsutil.WriteClientText(nc, []byte(text)) == nil {
@@ -349,6 +364,7 @@
 	}
 }
 
+// sessionNumber returns the part of a session name after the last "-".
 func sessionNumber(name string) string {
 	if i := strings.LastIndex(name, "-"); i >= 0 {
 		return name[i+1:]
--- a/internal/standin/ports/ports.go
+++ b/internal/standin/ports/ports.go
@@ -1,4 +1,4 @@
-// Package ports keeps addresses on loopback for what listens later, or again after an end.
+// Package ports reserves loopback addresses for programs that listen later, or listen again after a restart.
 package ports
 
 import (
@@ -9,46 +9,48 @@
 	"syscall"
 )
 
-// Kept are addresses that are kept until Close, or until nobody has them any more.
+// Reservation is a set of addresses that stay reserved until Close, or until nothing refers to the Reservation any more.
 type Kept struct {
-	Addrs []string
-	held  []*os.File
+	Addrs   []string
+	sockets []*os.File
 }
 
-// Keep gives addresses for TCP. Danger: a port that was free a moment ago is given to the next connect of anybody on this
-// machine. Harm: the process that it was meant for ends at its start, or at its restart; a trial fails for nothing. The system
-// gives a port that is bound here to nobody who asks for any, and to whoever asks for this one.
+// Reserve reserves count TCP addresses. Without a reservation, the system may assign a port that was just found free to
+// the next connection of any process on this machine; the process that it was meant for then fails to start or restart,
+// and a test fails without a real fault. The system never assigns a port that is bound here (with SO_REUSEADDR, and not
+// listening) to a caller that asks for any port, but still grants it to a caller that asks for this port.
 func Keep(count int) (*Kept, error) {
-	k := &Kept{}
+	r := &Kept{}
 	for range count {
-		if err := k.one(); err != nil {
-			return nil, errors.Join(err, k.Close())
+		if err := r.add(); err != nil {
+			return nil, errors.Join(err, r.Close())
 		}
 	}
-	return k, nil
+	return r, nil
 }
 
-func (k *Kept) one() error {
+// add reserves one more address.
+func (r *Kept) add() error {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
 	}
-	k.held = append(k.held, os.NewFile(uintptr(fd), "kept port"))
+	r.sockets = append(r.sockets, os.NewFile(uintptr(fd), "reserved port"))
 	err = errors.Join(syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1),
 		syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	sa, named := syscall.Getsockname(fd)
-	if err = errors.Join(err, named); err != nil {
+	sa, nameErr := syscall.Getsockname(fd)
+	if err = errors.Join(err, nameErr); err != nil {
 		return err
 	}
-	k.Addrs = append(k.Addrs, net.JoinHostPort("127.0.0.1", strconv.Itoa(sa.(*syscall.SockaddrInet4).Port)))
+	r.Addrs = append(r.Addrs, net.JoinHostPort("127.0.0.1", strconv.Itoa(sa.(*syscall.SockaddrInet4).Port)))
 	return nil
 }
 
-// Close lets go of all.
-func (k *Kept) Close() (err error) {
-	for _, f := range k.held {
+// Close releases all addresses.
+func (r *Kept) Close() (err error) {
+	for _, f := range r.sockets {
 		err = errors.Join(err, f.Close())
 	}
-	k.held = nil
+	r.sockets = nil
 	return err
 }
--- a/internal/standin/ports/ports_test.go
+++ b/internal/standin/ports/ports_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Kept addresses go to nobody who asks for any, and to whoever asks for them, also again after an end.
-func TestPortsAreKept(t *testing.T) {
+// TestReservedPortsNotAssignedToOthers checks that a reserved address is never assigned to a caller that asks for any
+// port, and that a caller that asks for this address gets it, also a second time after closing it.
+func TestReservedPortsNotAssignedToOthers(t *testing.T) {
 	kept, err := Keep(20)
 	if err != nil {
 		t.Fatal(err)
@@ -18,7 +19,7 @@
 			t.Fatal(err)
 		}
 		if slices.Contains(kept.Addrs, ln.Addr().String()) {
-			t.Errorf("%v is given away", ln.Addr())
+			t.Errorf("reserved address %v was assigned to another listener", ln.Addr())
 		}
 		ln.Close()
 	}
@@ -33,6 +34,6 @@
 		}
 	}
 	if len(kept.Addrs) != 20 || kept.Close() != nil || kept.Close() != nil {
-		t.Error("not as many as asked for, or not let go")
+		t.Error("wrong number of addresses, or Close failed")
 	}
 }
