--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -72,7 +72,8 @@
 	}
 	c.seq++
 	id := fmt.Sprintf("c%d-%d", c.index, c.seq)
-	req.event.Kind, req.event.Source, req.event.Ref, req.event.Front, req.event.At = record.RequestSent, "player", id, c.front, time.Now().UnixNano()
+	req.event.Kind, req.event.Source, req.event.Ref, req.event.Front, req.event.At =
+		record.RequestSent, "player", id, c.front, time.Now().UnixNano()
 	c.pending[id] = req
 	nc := c.nc
 	c.runner.rec.Add(req.event)
@@ -100,7 +101,8 @@
 		return
 	}
 	delete(c.playing, session)
-	writeText(c.nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"x"}`, session))
+	writeText(c.nc, fmt.Appendf(nil, `{"jsonrpc":"2.0","method":"session.close","params":{"session":%q},"id":"x"}`,
+		session))
 }
 
 // message holds the parts of a front's messages that are used here.
@@ -178,7 +180,8 @@
 		c.playing[session] = struct{}{}
 	}
 	c.mu.Unlock()
-	e := record.Event{Source: "player", Kind: record.ReplyReceived, Front: c.front, Ref: id, Text: kind, Session: sessionNumber(session)}
+	e := record.Event{Source: "player", Kind: record.ReplyReceived, Front: c.front, Ref: id, Text: kind,
+		Session: sessionNumber(session)}
 	if req != nil {
 		e.Class, e.Viewer, e.Title = req.event.Class, req.event.Viewer, req.event.Title
 	}
--- a/internal/load/echo.go
+++ b/internal/load/echo.go
@@ -31,9 +31,10 @@
 		return nil, err
 	}
 	e := &Echo{listener: ln}
-	e.eventLoop, err = netpoll.NewEventLoop(e.handle, netpoll.WithOnConnect(func(ctx context.Context, _ netpoll.Connection) context.Context {
-		return context.WithValue(ctx, echoKey{}, &echoConn{})
-	}))
+	e.eventLoop, err = netpoll.NewEventLoop(e.handle, netpoll.WithOnConnect(
+		func(ctx context.Context, _ netpoll.Connection) context.Context {
+			return context.WithValue(ctx, echoKey{}, &echoConn{})
+		}))
 	return e, err
 }
 
--- a/internal/load/hls.go
+++ b/internal/load/hls.go
@@ -34,7 +34,8 @@
 
 // HLS runs a plan. onHeld is called when all sessions are held, before reloads are counted.
 func HLS(ctx context.Context, plan HLSPlan, onHeld func()) (*HLSResult, error) {
-	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: plan.Workers, MaxConnsPerHost: plan.Workers}}
+	client := &http.Client{Timeout: 10 * time.Second,
+		Transport: &http.Transport{MaxIdleConnsPerHost: plan.Workers, MaxConnsPerHost: plan.Workers}}
 	defer client.CloseIdleConnections()
 	get := func(path string) (int, string, error) {
 		resp, err := client.Get("http://" + plan.Addr + path)
@@ -65,7 +66,8 @@
 				path := variants[d.n]
 				mu.Unlock()
 				if path == "" {
-					code, text, err := get(fmt.Sprintf("/hls/%s/master.m3u8?class=%s&viewer=h%d", plan.Titles[d.n%len(plan.Titles)], plan.Class, d.n))
+					code, text, err := get(fmt.Sprintf("/hls/%s/master.m3u8?class=%s&viewer=h%d",
+						plan.Titles[d.n%len(plan.Titles)], plan.Class, d.n))
 					mu.Lock()
 					if err == nil && code == 200 {
 						for _, line := range strings.Split(text, "\n") {
@@ -131,6 +133,7 @@
 		result.PerSecond = float64(result.Reloads) / time.Since(countingSince).Seconds()
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	result.Latency = Quantiles{ms(histogram.ValueAtQuantile(50)), ms(histogram.ValueAtQuantile(90)), ms(histogram.ValueAtQuantile(99)), ms(histogram.ValueAtQuantile(99.9)), ms(histogram.Max())}
+	result.Latency = Quantiles{ms(histogram.ValueAtQuantile(50)), ms(histogram.ValueAtQuantile(90)),
+		ms(histogram.ValueAtQuantile(99)), ms(histogram.ValueAtQuantile(99.9)), ms(histogram.Max())}
 	return result, nil
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -32,19 +32,19 @@
 
 // Plan describes a load.
 type Plan struct {
-	Front     func(n int) (name, addr string)
-	Clients   int
-	Length    time.Duration
-	Rate      float64 // requests per second of all clients together
+	Front     func(n int) (name, addr string) // the front of the n-th client
+	Clients   int                             // number of client connections
+	Length    time.Duration                   // how long requests are sent
+	Rate      float64                         // requests per second of all clients together
 	Shape     Shape
-	Hold      [2]time.Duration
+	Hold      [2]time.Duration // minimum and maximum time for which a session is held
 	Titles    []string
 	Classes   []string
 	Mix       []float64 // shares of the classes; nil: equal shares
 	Tenant    string
 	Top       int
-	Bad       float64 // number of further clients that misbehave meanwhile, as a share of Clients
-	Reconnect time.Duration
+	Bad       float64       // number of further clients that misbehave meanwhile, as a share of Clients
+	Reconnect time.Duration // delay before a lost connection is dialled again; 0: 100 ms
 	Seed      int64
 	Echo      bool          // the peer is an Echo
 	Wait      time.Duration // each player gives up after this; 0: the deadline of its class
@@ -146,7 +146,8 @@
 // summarize computes the figures of the result.
 func (r *Runner) summarize() {
 	histogram, ms := r.result.histogram, func(us int64) float64 { return float64(us) / 1000 }
-	r.result.Latency = Quantiles{ms(histogram.ValueAtQuantile(50)), ms(histogram.ValueAtQuantile(90)), ms(histogram.ValueAtQuantile(99)), ms(histogram.ValueAtQuantile(99.9)), ms(histogram.Max())}
+	r.result.Latency = Quantiles{ms(histogram.ValueAtQuantile(50)), ms(histogram.ValueAtQuantile(90)),
+		ms(histogram.ValueAtQuantile(99)), ms(histogram.ValueAtQuantile(99.9)), ms(histogram.Max())}
 	r.result.Opened = float64(histogram.TotalCount()) / r.result.Seconds
 	r.result.Goodput = float64(r.result.goodReplies) / r.result.Seconds
 }
@@ -197,7 +198,8 @@
 		fields["top"] = r.plan.Top
 	}
 	b, _ := json.Marshal(fields)
-	return string(b), record.Event{Class: class, Title: r.plan.Titles[title], Viewer: playersim.Hash(name), Timeout: int64(r.plan.Wait)}
+	return string(b), record.Event{Class: class, Title: r.plan.Titles[title], Viewer: playersim.Hash(name),
+		Timeout: int64(r.plan.Wait)}
 }
 
 // drawHoldTime returns a random time within HoldTime.
@@ -270,7 +272,10 @@
 			replies := make(chan string, 1)
 			for time.Now().Before(endAt) && r.ctx.Err() == nil {
 				due := time.Now()
-				req := &request{due: due, event: event, done: func(kind, session string) { r.countReply(kind, due); replies <- session }}
+				req := &request{due: due, event: event, done: func(kind, session string) {
+					r.countReply(kind, due)
+					replies <- session
+				}}
 				if !c.send(req, params) {
 					time.Sleep(10 * time.Millisecond)
 					continue
@@ -290,8 +295,8 @@
 // runMisbehaving runs misbehaving players beside the regular ones until ctx ends.
 func (r *Runner) runMisbehaving() *sync.WaitGroup {
 	var wg sync.WaitGroup
-	misbehaviours := []playersim.Bad{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame, playersim.Garbage, playersim.Unmasked,
-		playersim.SlowRead, playersim.NeverPong, playersim.Pipeline}
+	misbehaviours := []playersim.Bad{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame,
+		playersim.Garbage, playersim.Unmasked, playersim.SlowRead, playersim.NeverPong, playersim.Pipeline}
 	crowd := playersim.New(r.rec, r.plan.Seed+1, 0, r.plan.Front)
 	for i := range int(r.plan.Bad * float64(r.plan.Clients)) {
 		wg.Add(1)
@@ -299,8 +304,10 @@
 			defer wg.Done()
 			for k := 0; r.ctx.Err() == nil; k++ {
 				class := (i + k) % len(r.plan.Classes)
-				crowd.Watch(r.ctx, playersim.Viewer{Name: fmt.Sprintf("bad-%d-%d", i, k), Title: r.plan.Titles[(i+k)%len(r.plan.Titles)],
-					Class: r.plan.Classes[class], ClassN: class, Tenant: r.plan.Tenant, Length: time.Second, Bad: misbehaviours[(i+k)%len(misbehaviours)]})
+				crowd.Watch(r.ctx, playersim.Viewer{Name: fmt.Sprintf("bad-%d-%d", i, k),
+					Title: r.plan.Titles[(i+k)%len(r.plan.Titles)],
+					Class: r.plan.Classes[class], ClassN: class, Tenant: r.plan.Tenant, Length: time.Second,
+					Bad: misbehaviours[(i+k)%len(misbehaviours)]})
 				select {
 				case <-r.ctx.Done():
 				case <-time.After(20 * time.Millisecond):
@@ -319,7 +326,8 @@
 		fmt.Fprintf(&b, "  %-8s %d\n", k, r.Kinds[k])
 	}
 	latency := r.Latency
-	fmt.Fprintf(&b, "  of them after a second or not at all: %d\ndue to answer, ms: p50 %.2f  p90 %.2f  p99 %.2f  p99.9 %.2f  max %.2f\n", r.Late, latency.P50, latency.P90, latency.P99, latency.P999, latency.Max)
+	fmt.Fprintf(&b, "  of them after a second or not at all: %d\ndue to answer, ms: p50 %.2f  p90 %.2f  p99 %.2f  p99.9 %.2f  max %.2f\n",
+		r.Late, latency.P50, latency.P90, latency.P99, latency.P999, latency.Max)
 	return b.String()
 }
 
