--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,8 +1,9 @@
-// Package audit judges a run by the records of what crossed the stand-ins' sockets, never by a front's own
-// counters. It states each of the six rules once, in rules.go, and names the first message that breaks it.
+// Package audit checks a run against the rules that fronts have to keep. It uses only the records of the messages on
+// the stand-ins' sockets, never a front's own counters. Each rule is implemented once, in rules.go and upkeep.go, and a
+// violation names the first message that breaks the rule.
 //
-// Records of different sockets carry times of one clock, but arrive by different goroutines: an order that is
-// closer than Rules.Skew is not judged.
+// The records of different sockets share one clock but are written by different goroutines, so the order of two
+// events that are closer together than Rules.Skew is not judged.
 package audit
 
 import (
@@ -14,56 +15,58 @@
 	"tealledge/internal/record"
 )
 
-// Class is what the rules need to know of a class.
+// Class holds the properties of a class that the rules depend on.
 type Class struct {
 	Name     string
 	Paid     bool
 	Floor    int
 	Seats    int
-	Aim      time.Duration
+	Aim      time.Duration // an answer after this earns no worth
 	Deadline time.Duration
 }
 
-// Rules are the figures that the rules go by.
+// Rules holds the parameters of the rules.
 type Rules struct {
 	Classes     []Class
-	AnswerGrace time.Duration // an answer may be read so long after the deadline
-	DrainGrace  time.Duration
-	Skew        time.Duration // see the package comment
-	ColdSpan    time.Duration
-	ColdFrom    float64
-	FallTimes   float64
-	FallSpan    time.Duration
-	Budgeted    bool
-	Spare       float64
-	Ratio       float64
+	AnswerGrace time.Duration // how long after the deadline an answer may still arrive
+	DrainGrace  time.Duration // how long after a drain notice a set-up may still arrive
+	Skew        time.Duration // events closer than this have no known order
+	ColdSpan    time.Duration // warm-up time of a server
+	ColdFrom    float64       // share of its capacity that a server has at its start
+	FallTimes   float64       // multiple of its capacity that overloads a cold server
+	FallSpan    time.Duration // window that FallTimes applies to
+	Budgeted    bool          // further attempts are limited
+	Spare       float64       // further attempts that are always allowed within BudgetSpan
+	Ratio       float64       // further attempts allowed per request within BudgetSpan
 	BudgetSpan  time.Duration
 	RungWorth   []float64
 	StallCost   float64
-	ChangeCost  float64 // seconds
+	ChangeCost  float64 // in seconds of play
 }
 
-// Event makes the record that carries the rules.
+// Event returns the record event that carries the rules.
 func (r Rules) Event() record.Event {
 	b, _ := json.Marshal(r)
 	return record.Event{Source: "day", Kind: record.AuditRules, Text: string(b)}
 }
 
-// The rules by name, in the order of the brief.
+// The names of the rules on sessions and playlists. They are printed in reports.
 const (
-	RuleAnswer  = "1 one answer, in time"
-	RuleOnce    = "2 no set-up twice, no two out"
-	RuleDrain   = "3 drains kept"
-	RuleCold    = "4 cold servers not pushed over"
-	RuleTerms   = "5 floors and seats kept"
-	RuleBudget  = "6 further attempts within budget"
-	RuleOrphans = "7 no stream left over"
-	RuleList    = "8 manifests true, never backwards"
+	RuleAnswer         = "1 one answer, in time"
+	RuleOnce           = "2 no set-up twice, no two out"
+	RuleDrain          = "3 drains kept"
+	RuleCold           = "4 cold servers not pushed over"
+	RuleFloorsAndSeats = "5 floors and seats kept"
+	RuleBudget         = "6 further attempts within budget"
+	RuleOrphans        = "7 no stream left over"
+	RulePlaylists      = "8 manifests true, never backwards"
 )
 
-// RuleNames gives all rules. The seventh follows from the first two: a stream that nobody watches. The eighth is what
-// the HLS front adds: its playlists name only segments that exist, at servers that hold the viewer's session.
-var RuleNames = []string{RuleAnswer, RuleOnce, RuleDrain, RuleCold, RuleTerms, RuleBudget, RuleOrphans, RuleList}
+// RuleNames lists the rules on sessions and playlists. The seventh, no stream that nobody watches, follows from the
+// first two. The eighth applies to HLS: playlists name only segments that exist, on servers that hold the viewer's
+// session.
+var RuleNames = []string{RuleAnswer, RuleOnce, RuleDrain, RuleCold, RuleFloorsAndSeats, RuleBudget, RuleOrphans,
+	RulePlaylists}
 
 // Violation is a broken rule and the message that broke it.
 type Violation struct {
@@ -77,31 +80,31 @@
 	return fmt.Sprintf("rule %s: %s\n  at %s", v.Rule, v.Text, b)
 }
 
-// Report is a judgement.
+// Report is the result of an audit.
 type Report struct {
-	Violations []Violation // in the order of time
+	Violations []Violation // ordered by time
 	Checked    map[string]int
-	Asks       int
-	Replies    map[string]int // by kind
-	Open       []time.Duration
+	Asks       int             // requests sent by players
+	Replies    map[string]int  // by status
+	Open       []time.Duration // from each request to its first reply
 	Setups     int
-	Further    int
-	Worth      float64 // earned over asked
-	Troubles   []Trouble
+	Further    int     // set-ups that are further attempts
+	Worth      float64 // worth earned divided by worth requested
+	Troubles   []FaultSummary
 }
 
-// Trouble is what happened while a trouble lasted.
-type Trouble struct {
+// FaultSummary counts the requests sent and the rules broken while a fault lasted.
+type FaultSummary struct {
 	Name    string
 	Asks    int
 	Plays   int
 	Refused int
 	Failed  int
-	Broken  int // rules broken
+	Broken  int // violations of rules
 	P99     time.Duration
 }
 
-// Count gives how often a rule was broken.
+// Count returns how many times a rule was broken.
 func (r *Report) Count(rule string) (n int) {
 	for _, v := range r.Violations {
 		if v.Rule == rule {
@@ -111,100 +114,105 @@
 	return n
 }
 
-// attempt is one SETUP that arrived whole.
+// attempt is one SETUP that a server received in full.
 type attempt struct {
 	record.Event
-	ends     int64 // when it was surely over: 0 if never
-	answered int64
-	status   int
-	stream   bool
-	told     bool // the answer to PLAY reached the front
+	endedAt      int64 // when it was certainly over; 0: never
+	answeredAt   int64
+	status       int
+	streaming    bool
+	playAnswered bool // the reply to PLAY reached the front
 }
 
+// call is a request of a player with its replies.
 type call struct {
-	ask     record.Event
+	request record.Event
 	replies []record.Event
-	ended   *record.Event // left or broken
+	end     *record.Event // the player left or its connection was lost
 }
 
+// judge holds the state of an audit.
 type judge struct {
-	rules    Rules
-	report   Report
-	events   []record.Event
-	attempts map[string]*attempt   // by key
-	order    []*attempt            // by arrival
-	pipes    map[string]*attempt   // by server, front and pipelined id
-	sessions map[string][]*attempt // by front and session
-	calls    map[string]*call
-	asks     map[string][]int64 // by front
-	outages  map[string][]span  // by front: killed until up, or stopped
-	leaving  map[string]int64
-	finished int64
+	rules         Rules
+	report        Report
+	events        []record.Event
+	attempts      map[string]*attempt   // by key
+	arrived       []*attempt            // in the order of arrival
+	byPipelineID  map[string]*attempt   // by server, front and id of the pipelined request
+	sessions      map[string][]*attempt // by front and session
+	calls         map[string]*call
+	requestTimes  map[string][]int64  // by front
+	outages       map[string][]outage // by front: from its kill to its next start, or while it was paused
+	drainingSince map[string]int64    // by front
+	finishedAt    int64
 }
 
-type span struct {
+// outage is a time in which a front did not run.
+type outage struct {
 	from, to int64
 	killed   bool
 }
 
-// Judge reads a record, in the order of time, and judges it. It fails if the record does not hold the rules.
+// Judge audits events, which are ordered by time. It fails if they do not include the rules.
 func Judge(events []record.Event) (*Report, error) {
-	j := &judge{events: events, attempts: map[string]*attempt{}, pipes: map[string]*attempt{}, sessions: map[string][]*attempt{},
-		calls: map[string]*call{}, asks: map[string][]int64{}, outages: map[string][]span{}, leaving: map[string]int64{}}
+	j := &judge{events: events, attempts: map[string]*attempt{}, byPipelineID: map[string]*attempt{},
+		sessions: map[string][]*attempt{},
+		calls:    map[string]*call{}, requestTimes: map[string][]int64{}, outages: map[string][]outage{},
+		drainingSince: map[string]int64{}}
 	j.report.Checked, j.report.Replies = map[string]int{}, map[string]int{}
 	found := false
 	for _, e := range events {
 		if e.Kind == record.AuditRules {
 			if err := json.Unmarshal([]byte(e.Text), &j.rules); err != nil {
-				return nil, fmt.Errorf("the record's rules: %w", err)
+				return nil, fmt.Errorf("rules in the record: %w", err)
 			}
 			found = true
 		}
 	}
 	if !found {
-		return nil, fmt.Errorf("the record does not hold the rules that it is to be judged by")
+		return nil, fmt.Errorf("the record has no rules event")
 	}
 	for i := range events {
-		j.read(&events[i])
+		j.apply(&events[i])
 	}
-	j.answers()
-	j.once()
-	j.drains()
-	j.cold()
-	j.terms()
-	j.budget()
-	j.orphans()
-	j.manifests()
+	j.checkAnswers()
+	j.checkOnce()
+	j.checkDrains()
+	j.checkColdServers()
+	j.checkFloorsAndSeats()
+	j.checkRetryBudget()
+	j.checkOrphans()
+	j.checkPlaylists()
 	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return int(min(max(a.Event.At-b.Event.At, -1), 1)) })
-	j.worth()
-	j.troubles()
+	j.computeWorth()
+	j.summarizeFaults()
 	return &j.report, nil
 }
 
-// read books one event.
-func (j *judge) read(e *record.Event) {
+// apply updates the state with one event.
+func (j *judge) apply(e *record.Event) {
 	switch e.Kind {
 	case record.RequestSent:
-		j.calls[e.Ref] = &call{ask: *e}
-		j.asks[e.Front] = append(j.asks[e.Front], e.At)
+		j.calls[e.Ref] = &call{request: *e}
+		j.requestTimes[e.Front] = append(j.requestTimes[e.Front], e.At)
 		j.report.Asks++
 	case record.ReplyReceived:
 		if c := j.calls[e.Ref]; c != nil {
 			c.replies = append(c.replies, *e)
 			if len(c.replies) == 1 {
 				j.report.Replies[e.Text]++
-				j.report.Open = append(j.report.Open, time.Duration(e.At-c.ask.At))
+				j.report.Open = append(j.report.Open, time.Duration(e.At-c.request.At))
 			}
 		}
 	case record.PlayerLeft, record.PlayerConnLost:
-		if c := j.calls[e.Ref]; c != nil && c.ended == nil {
-			c.ended = e
+		if c := j.calls[e.Ref]; c != nil && c.end == nil {
+			c.end = e
 		}
 	case record.SetupReceived:
 		a := &attempt{Event: *e}
 		j.attempts[e.AttemptKey()] = a
-		j.order = append(j.order, a)
-		j.pipes[pipeKey(e)] = a
+		j.arrived = append(j.arrived, a)
+		j.byPipelineID[pipelineKey(e)] = a
 		id := e.Front + "/" + e.Session
 		j.sessions[id] = append(j.sessions[id], a)
 		j.report.Setups++
@@ -212,80 +220,84 @@
 			j.report.Further++
 		}
 	case record.SetupAnswered:
-		if a := j.attempts[e.AttemptKey()]; a != nil && !e.Lost && a.answered == 0 {
-			a.answered, a.status = e.At, e.Status
+		if a := j.attempts[e.AttemptKey()]; a != nil && !e.Lost && a.answeredAt == 0 {
+			a.answeredAt, a.status = e.At, e.Status
 			if e.Status != 200 {
-				a.end(e.At)
+				a.markEnded(e.At)
 			}
 		}
 	case record.StreamStarted:
 		if a := j.attempts[e.AttemptKey()]; a != nil {
-			a.stream = true
+			a.streaming = true
 		}
 	case record.PlayAnswered:
 		if a := j.attempts[e.AttemptKey()]; a != nil && !e.Lost {
-			a.told = true
+			a.playAnswered = true
 		}
 	case record.TeardownReceived:
 		a := j.attempts[e.AttemptKey()]
 		if e.Session == "" {
-			a = j.pipes[pipeKey(e)]
+			a = j.byPipelineID[pipelineKey(e)]
 		}
 		if a != nil {
-			a.end(e.At)
+			a.markEnded(e.At)
 		}
 	case record.StreamEnded:
 		if a := j.attempts[e.AttemptKey()]; a != nil {
-			a.end(e.At)
-			a.stream = false
+			a.markEnded(e.At)
+			a.streaming = false
 		}
 	case record.ServerConnEnded:
-		for _, a := range j.order {
-			// A stream whose PLAY's answer reached the front may live on over a new connection; whatever else was out is over
-			// for the front, and what it left at the server ends there by itself.
-			if a.Server == e.Server && a.Front == e.Front && !(a.stream && a.told && a.answered > 0) {
-				a.end(e.At)
+		for _, a := range j.arrived {
+			// A stream whose PLAY reply reached the front can continue on a new connection. For the front, all other
+			// attempts on the connection are over, and the server ends what remains of them by itself.
+			if a.Server == e.Server && a.Front == e.Front && !(a.streaming && a.playAnswered && a.answeredAt > 0) {
+				a.markEnded(e.At)
 			}
 		}
 	case record.ServerDied:
-		for _, a := range j.order {
+		for _, a := range j.arrived {
 			if a.Server == e.Server {
-				a.end(e.At)
-				a.stream = false
+				a.markEnded(e.At)
+				a.streaming = false
 			}
 		}
 	case record.FrontKilled:
-		j.outages[e.Front] = append(j.outages[e.Front], span{from: e.At, to: 1 << 62, killed: true})
-		for _, a := range j.order {
+		j.outages[e.Front] = append(j.outages[e.Front], outage{from: e.At, to: 1 << 62, killed: true})
+		for _, a := range j.arrived {
 			if a.Front == e.Front {
-				a.end(e.At)
+				a.markEnded(e.At)
 			}
 		}
 	case record.FrontPaused:
-		j.outages[e.Front] = append(j.outages[e.Front], span{from: e.At, to: 1 << 62})
+		j.outages[e.Front] = append(j.outages[e.Front], outage{from: e.At, to: 1 << 62})
 	case record.FrontStarted, record.FrontResumed:
 		if list := j.outages[e.Front]; len(list) > 0 && list[len(list)-1].to == 1<<62 {
 			list[len(list)-1].to = e.At
 		}
 	case record.FrontDraining:
-		j.leaving[e.Front] = e.At
+		j.drainingSince[e.Front] = e.At
 	case record.DayFinished:
-		j.finished = e.At
+		j.finishedAt = e.At
 	}
 }
 
-func pipeKey(e *record.Event) string { return fmt.Sprintf("%d/%s/%s", e.Server, e.Front, e.Text) }
+// pipelineKey returns the key of an event in byPipelineID.
+func pipelineKey(e *record.Event) string { return fmt.Sprintf("%d/%s/%s", e.Server, e.Front, e.Text) }
 
-func (a *attempt) end(t int64) {
-	if a.ends == 0 {
-		a.ends = t
+// markEnded records the time at which the attempt ended, unless it had ended before.
+func (a *attempt) markEnded(t int64) {
+	if a.endedAt == 0 {
+		a.endedAt = t
 	}
 }
 
-func (j *judge) broken(rule string, e record.Event, format string, args ...any) {
+// addViolation adds a violation of a rule by event e to the report.
+func (j *judge) addViolation(rule string, e record.Event, format string, args ...any) {
 	j.report.Violations = append(j.report.Violations, Violation{rule, e, fmt.Sprintf(format, args...)})
 }
 
+// class returns the class with number n, or the zero Class if there is none.
 func (j *judge) class(n int) Class {
 	if n >= 0 && n < len(j.rules.Classes) {
 		return j.rules.Classes[n]
@@ -293,13 +305,13 @@
 	return Class{}
 }
 
-// paused gives how long a front stood still between two times, and whether it was killed then.
-func (j *judge) paused(front string, from, to int64) (still time.Duration, killed bool) {
+// pausedTime returns how long a front did not run between two times, and whether it was killed in that time.
+func (j *judge) pausedTime(front string, from, to int64) (total time.Duration, killed bool) {
 	for _, o := range j.outages[front] {
 		if a, b := max(o.from, from), min(o.to, to); b > a {
-			still += time.Duration(b - a)
+			total += time.Duration(b - a)
 			killed = killed || o.killed
 		}
 	}
-	return still, killed
+	return total, killed
 }
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -7,75 +7,79 @@
 	"tealledge/internal/record"
 )
 
-// answers is the first rule. A request that a running front has taken gets exactly one answer before its player
-// gives up. Not owed: to players that left, by fronts that were killed meanwhile, and to requests written to a
-// front that had begun to leave and closed before it read them. Time in which a front stood still does not count.
-func (j *judge) answers() {
+// checkAnswers checks the first rule: a request that a running front has accepted gets exactly one answer before the
+// player's deadline. No answer is required if the player left, if the front was killed meanwhile, or if the request
+// was written to a front that was already draining and closed the connection before it read the request. Time in
+// which a front was paused does not count.
+func (j *judge) checkAnswers() {
 	for _, e := range j.events {
 		if e.Kind != record.RequestSent {
 			continue
 		}
 		c := j.calls[e.Ref]
-		if c.ask.At != e.At {
+		if c.request.At != e.At {
 			continue
 		}
 		j.report.Checked[RuleAnswer]++
-		wait := j.class(e.Class).Deadline
+		timeout := j.class(e.Class).Deadline
 		if e.Timeout > 0 {
-			wait = min(wait, time.Duration(e.Timeout))
+			timeout = min(timeout, time.Duration(e.Timeout))
 		}
-		limit := e.At + int64(wait+j.rules.AnswerGrace)
+		limit := e.At + int64(timeout+j.rules.AnswerGrace)
 		if len(c.replies) > 1 {
-			j.broken(RuleAnswer, c.replies[1], "a second answer to %s", e.Ref)
+			j.addViolation(RuleAnswer, c.replies[1], "second answer to request %s", e.Ref)
 		}
 		if len(c.replies) > 0 {
-			still, _ := j.paused(e.Front, e.At, c.replies[0].At)
-			if late := time.Duration(c.replies[0].At-limit) - still; late > 0 {
-				j.broken(RuleAnswer, c.replies[0], "answer to %s came %v late", e.Ref, late)
+			paused, _ := j.pausedTime(e.Front, e.At, c.replies[0].At)
+			if late := time.Duration(c.replies[0].At-limit) - paused; late > 0 {
+				j.addViolation(RuleAnswer, c.replies[0], "answer to request %s came %v late", e.Ref, late)
 			}
 			continue
 		}
 		until := j.events[len(j.events)-1].At
-		if c.ended != nil {
-			until = c.ended.At
+		if c.end != nil {
+			until = c.end.At
 		}
-		_, killed := j.paused(e.Front, e.At-int64(j.rules.Skew), until+int64(j.rules.Skew))
-		at, leaving := j.leaving[e.Front]
+		_, killed := j.pausedTime(e.Front, e.At-int64(j.rules.Skew), until+int64(j.rules.Skew))
+		drainingSince, draining := j.drainingSince[e.Front]
 		switch {
-		case killed, c.ended != nil && c.ended.Kind == record.PlayerLeft, leaving && e.At >= at && c.ended != nil:
-		case c.ended != nil:
-			j.broken(RuleAnswer, *c.ended, "the connection of %s was closed without an answer", e.Ref)
+		case killed, c.end != nil && c.end.Kind == record.PlayerLeft, draining && e.At >= drainingSince && c.end != nil:
+		case c.end != nil:
+			j.addViolation(RuleAnswer, *c.end, "the connection was closed without an answer to request %s", e.Ref)
 		default:
-			still, _ := j.paused(e.Front, e.At, until)
-			if until-int64(still) > limit {
-				j.broken(RuleAnswer, e, "no answer to %s", e.Ref)
+			paused, _ := j.pausedTime(e.Front, e.At, until)
+			if until-int64(paused) > limit {
+				j.addViolation(RuleAnswer, e, "no answer to request %s", e.Ref)
 			}
 		}
 	}
 }
 
-// neverRan tells whether an attempt was answered, by a time, in a way that proves that it never ran.
+// neverRan reports whether an answer received by the given time proves that the attempt never ran.
 func (a *attempt) neverRan(by int64) bool {
-	return a.answered > 0 && a.answered <= by && (a.status == 453 || a.status == 503)
+	return a.answeredAt > 0 && a.answeredAt <= by && (a.status == 453 || a.status == 503)
 }
 
-// once is the second rule. A paid session is set up again, or refused, only if every earlier attempt provably never
-// ran, and no session ever has two attempts out. A killed front's sessions end with it; ids are never used again.
-func (j *judge) once() {
-	for _, a := range j.order {
+// checkOnce checks the second rule: a paid session is set up again, or refused, only if every earlier attempt provably
+// never ran, and no session ever has two attempts in flight. The sessions of a killed front end with it; ids are never
+// reused.
+func (j *judge) checkOnce() {
+	for _, later := range j.arrived {
 		j.report.Checked[RuleOnce]++
-		for _, b := range j.sessions[a.Front+"/"+a.Session] {
-			if b == a || b.At > a.At || b.At == a.At && b.Attempt >= a.Attempt {
+		for _, earlier := range j.sessions[later.Front+"/"+later.Session] {
+			if earlier == later || earlier.At > later.At || earlier.At == later.At && earlier.Attempt >= later.Attempt {
 				continue
 			}
-			if b.Attempt == a.Attempt {
-				j.broken(RuleOnce, a.Event, "attempt %s arrived twice", a.AttemptKey())
+			if earlier.Attempt == later.Attempt {
+				j.addViolation(RuleOnce, later.Event, "attempt %s arrived twice", later.AttemptKey())
 			}
-			if b.ends == 0 || b.ends-a.At > int64(j.rules.Skew) {
-				j.broken(RuleOnce, a.Event, "attempt %s arrived while %s was out at server %d", a.AttemptKey(), b.AttemptKey(), b.Server)
+			if earlier.endedAt == 0 || earlier.endedAt-later.At > int64(j.rules.Skew) {
+				j.addViolation(RuleOnce, later.Event, "attempt %s arrived while %s was in flight at server %d",
+					later.AttemptKey(), earlier.AttemptKey(), earlier.Server)
 			}
-			if j.class(a.Class).Paid && !b.neverRan(a.At) {
-				j.broken(RuleOnce, a.Event, "paid set-up %s again, though %s may have run", a.AttemptKey(), b.AttemptKey())
+			if j.class(later.Class).Paid && !earlier.neverRan(later.At) {
+				j.addViolation(RuleOnce, later.Event, "paid session set up again by %s although %s may have run",
+					later.AttemptKey(), earlier.AttemptKey())
 			}
 		}
 	}
@@ -84,53 +88,56 @@
 			continue
 		}
 		j.report.Checked[RuleOnce]++
-		for _, b := range j.sessions[e.Front+"/"+e.Session] {
-			if !b.neverRan(e.At) {
-				j.broken(RuleOnce, e, "paid session %s refused, though %s may have run", e.Session, b.AttemptKey())
+		for _, earlier := range j.sessions[e.Front+"/"+e.Session] {
+			if !earlier.neverRan(e.At) {
+				j.addViolation(RuleOnce, e, "paid session %s refused although %s may have run", e.Session,
+					earlier.AttemptKey())
 			}
 		}
 	}
 }
 
-// drains is the third rule: nothing new arrives at a server later than the grace after this front was told that it
-// drains or is gone. A front that was killed knows only what it is told after its start.
-func (j *judge) drains() {
+// checkDrains checks the third rule: a server receives no set-up from a front later than DrainGrace after the server
+// list reported to this front that the server drains or is removed. A front that was killed knows only what the list
+// reports after its restart.
+func (j *judge) checkDrains() {
 	type pair struct {
 		front  string
 		server uint32
 	}
-	told := map[pair]record.Event{}
+	listed := map[pair]record.Event{}
 	for _, e := range j.events {
 		switch e.Kind {
 		case record.ServerListed:
-			p := pair{e.Front, e.Server}
-			if was, ok := told[p]; ok && was.Health != "ready" && e.Health != "ready" {
-				continue // the first word counts
+			key := pair{e.Front, e.Server}
+			if previous, ok := listed[key]; ok && previous.Health != "ready" && e.Health != "ready" {
+				continue // the first notice counts
 			}
-			told[p] = e
+			listed[key] = e
 		case record.FrontKilled:
-			for p := range told {
-				if p.front == e.Front {
-					delete(told, p)
+			for key := range listed {
+				if key.front == e.Front {
+					delete(listed, key)
 				}
 			}
 		case record.SetupReceived:
 			j.report.Checked[RuleDrain]++
-			t, ok := told[pair{e.Front, e.Server}]
-			if !ok || t.Health == "ready" {
+			entry, ok := listed[pair{e.Front, e.Server}]
+			if !ok || entry.Health == "ready" {
 				continue
 			}
-			still, _ := j.paused(e.Front, t.At, e.At)
-			if after := time.Duration(e.At-t.At) - still; after > j.rules.DrainGrace+j.rules.Skew {
-				j.broken(RuleDrain, e, "set-up at server %d, %v after the front was told that it is %s", e.Server, after, t.Health)
+			paused, _ := j.pausedTime(e.Front, entry.At, e.At)
+			if elapsed := time.Duration(e.At-entry.At) - paused; elapsed > j.rules.DrainGrace+j.rules.Skew {
+				j.addViolation(RuleDrain, e, "set-up at server %d, %v after the list reported it to the front as %s",
+					e.Server, elapsed, entry.Health)
 			}
 		}
 	}
 }
 
-// cold is the fourth rule: within any span, a server that just started is sent no more than the stated multiple of
-// what it can take then.
-func (j *judge) cold() {
+// checkColdServers checks the fourth rule: within any FallSpan, a server that has just started receives no more
+// set-ups than FallTimes of what it can handle at that time.
+func (j *judge) checkColdServers() {
 	type state struct {
 		from  int64
 		slots float64
@@ -146,28 +153,31 @@
 			}
 		case record.ServerDied:
 			if e.Text == "pushed over while cold" {
-				j.broken(RuleCold, e, "server %d was pushed over", e.Server)
+				j.addViolation(RuleCold, e, "server %d was overloaded while it was cold", e.Server)
 			}
 		case record.SetupReceived:
-			s := servers[e.Server]
-			if s == nil || e.At-s.from > int64(j.rules.ColdSpan) || j.rules.ColdSpan <= 0 {
+			server := servers[e.Server]
+			if server == nil || e.At-server.from > int64(j.rules.ColdSpan) || j.rules.ColdSpan <= 0 {
 				continue
 			}
 			j.report.Checked[RuleCold]++
-			s.sent = append(s.sent, e.At)
-			s.sent = slices.DeleteFunc(s.sent, func(t int64) bool { return e.At-t > int64(j.rules.FallSpan) })
-			warm := j.rules.ColdFrom + (1-j.rules.ColdFrom)*float64(e.At-s.from)/float64(j.rules.ColdSpan)
-			most := s.slots/j.rules.ColdSpan.Seconds()*warm*j.rules.FallTimes*j.rules.FallSpan.Seconds() + 2 // slack for chance
-			if float64(len(s.sent)) > most {
-				j.broken(RuleCold, e, "%d set-ups within %v at server %d, which takes %.1f then", len(s.sent), j.rules.FallSpan, e.Server, most)
+			server.sent = append(server.sent, e.At)
+			server.sent = slices.DeleteFunc(server.sent, func(t int64) bool { return e.At-t > int64(j.rules.FallSpan) })
+			capacity := j.rules.ColdFrom + (1-j.rules.ColdFrom)*float64(e.At-server.from)/float64(j.rules.ColdSpan)
+			// The 2 is a tolerance for random variation.
+			limit := server.slots/j.rules.ColdSpan.Seconds()*capacity*j.rules.FallTimes*j.rules.FallSpan.Seconds() + 2
+			if float64(len(server.sent)) > limit {
+				j.addViolation(RuleCold, e,
+					"%d set-ups within %v at server %d, which was limited to %.1f at that time", len(server.sent),
+					j.rules.FallSpan, e.Server, limit)
 			}
 		}
 	}
 }
 
-// terms is the fifth rule: no rung under the class's floor, no more sessions of a title and class at a front than
-// seats, set-ups included.
-func (j *judge) terms() {
+// checkFloorsAndSeats checks the fifth rule: no rung is below the floor of the class, and the sessions of a title and
+// class at a front, set-ups included, do not exceed the seats.
+func (j *judge) checkFloorsAndSeats() {
 	type seat struct {
 		front, title string
 		class        int
@@ -176,36 +186,38 @@
 	for _, e := range j.events {
 		switch e.Kind {
 		case record.SetupReceived, record.RungSet, record.StreamStarted:
-			j.report.Checked[RuleTerms]++
+			j.report.Checked[RuleFloorsAndSeats]++
 			if floor := j.class(e.Class).Floor; e.Rung < floor {
-				j.broken(RuleTerms, e, "rung %d, under the floor %d of class %s", e.Rung, floor, j.class(e.Class).Name)
+				j.addViolation(RuleFloorsAndSeats, e, "rung %d is below the floor %d of class %s", e.Rung, floor,
+					j.class(e.Class).Name)
 			}
 		}
 		seats := j.class(e.Class).Seats
 		if e.Kind != record.SetupReceived || seats == 0 {
 			continue
 		}
-		k := seat{e.Front, e.Title, e.Class}
+		key := seat{e.Front, e.Title, e.Class}
 		a := j.attempts[e.AttemptKey()]
-		list := slices.DeleteFunc(held[k], func(o *attempt) bool {
-			return o.ends != 0 && o.ends-int64(j.rules.Skew) <= e.At || o.Session == e.Session
+		list := slices.DeleteFunc(held[key], func(o *attempt) bool {
+			return o.endedAt != 0 && o.endedAt-int64(j.rules.Skew) <= e.At || o.Session == e.Session
 		})
-		held[k] = append(list, a)
-		if len(held[k]) > seats {
-			j.broken(RuleTerms, e, "%d sessions of title %s and class %s at front %s, which has %d seats", len(held[k]), e.Title,
+		held[key] = append(list, a)
+		if len(held[key]) > seats {
+			j.addViolation(RuleFloorsAndSeats, e,
+				"%d sessions of title %s and class %s at front %s, which has %d seats", len(held[key]), e.Title,
 				j.class(e.Class).Name, e.Front, seats)
 		}
 	}
 }
 
-// budget is the sixth rule: a front's attempts beyond each session's first, within any span, number no more than a
-// few plus a share of the requests that it took.
-func (j *judge) budget() {
+// checkRetryBudget checks the sixth rule: within any BudgetSpan, a front makes no more attempts after the first one of
+// each session than Spare plus Ratio times the requests that it received.
+func (j *judge) checkRetryBudget() {
 	if !j.rules.Budgeted {
 		return
 	}
 	further := map[string][]int64{}
-	for _, a := range j.order {
+	for _, a := range j.arrived {
 		if a.Attempt == 0 {
 			continue
 		}
@@ -213,39 +225,42 @@
 		from := a.At - int64(j.rules.BudgetSpan)
 		list := slices.DeleteFunc(further[a.Front], func(t int64) bool { return t <= from+int64(j.rules.Skew) })
 		further[a.Front] = append(list, a.At)
-		taken := 0
-		for _, t := range j.asks[a.Front] {
+		requests := 0
+		for _, t := range j.requestTimes[a.Front] {
 			if t > from-int64(j.rules.Skew) && t <= a.At {
-				taken++
+				requests++
 			}
 		}
-		if most := j.rules.Spare + j.rules.Ratio*float64(taken); float64(len(further[a.Front])) > most {
-			j.broken(RuleBudget, a.Event, "%d further attempts within %v by front %s, which may make %.1f", len(further[a.Front]),
-				j.rules.BudgetSpan, a.Front, most)
+		if limit := j.rules.Spare + j.rules.Ratio*float64(requests); float64(len(further[a.Front])) > limit {
+			j.addViolation(RuleBudget, a.Event,
+				"%d further attempts within %v by front %s, which is limited to %.1f", len(further[a.Front]),
+				j.rules.BudgetSpan, a.Front, limit)
 		}
 	}
 }
 
-// orphans looks for streams that nobody ended.
-func (j *judge) orphans() {
-	if j.finished == 0 {
+// checkOrphans checks the seventh rule: every stream has ended when the run is over.
+func (j *judge) checkOrphans() {
+	if j.finishedAt == 0 {
 		return
 	}
-	for _, a := range j.order {
+	for _, a := range j.arrived {
 		j.report.Checked[RuleOrphans]++
-		if a.stream {
-			j.broken(RuleOrphans, a.Event, "stream %s still plays at server %d when all is over", a.AttemptKey(), a.Server)
+		if a.streaming {
+			j.addViolation(RuleOrphans, a.Event, "stream %s still plays at server %d after the end of the run",
+				a.AttemptKey(), a.Server)
 		}
 	}
 }
 
-// told is how long a segment may still be fetched from a server after the viewer's stream there ended: the player was
-// told of it while the server held the session, and plays it from its buffer's end.
-const told = int64(12 * time.Second)
+// segmentWindow is how long a segment may still be requested from a server after the viewer's stream there ended. The
+// playlist named the segment while the server held the session, and the player requests it when its buffer runs out.
+const segmentWindow = int64(12 * time.Second)
 
-// manifests is the eighth rule: every playlist that a player read is one, its sequence and discontinuity sequence never
-// go back, its segments exist, and they lie at a server that plays the viewer's session or did just before.
-func (j *judge) manifests() {
+// checkPlaylists checks the eighth rule: every playlist that a player read is valid, its media sequence and
+// discontinuity sequence never decrease, its segments exist, and they are on a server that plays the viewer's session
+// or did so until just before.
+func (j *judge) checkPlaylists() {
 	type span struct{ from, to int64 }
 	type holder struct {
 		server uint32
@@ -254,13 +269,13 @@
 	}
 	held := map[holder][]*span{}
 	running := map[string]*span{}
-	last := map[string]record.Event{}
+	lastRead := map[string]record.Event{}
 	for _, e := range j.events {
-		h := holder{e.Server, e.Viewer, e.Title}
+		key := holder{e.Server, e.Viewer, e.Title}
 		switch e.Kind {
 		case record.StreamStarted:
 			s := &span{e.At, 1 << 62}
-			held[h] = append(held[h], s)
+			held[key] = append(held[key], s)
 			running[e.AttemptKey()] = s
 		case record.StreamEnded:
 			if s := running[e.AttemptKey()]; s != nil {
@@ -271,27 +286,30 @@
 	for _, e := range j.events {
 		switch e.Kind {
 		case record.PlaylistRead:
-			j.report.Checked[RuleList]++
-			was, seen := last[e.Ref]
+			j.report.Checked[RulePlaylists]++
+			previous, seen := lastRead[e.Ref]
 			switch {
 			case e.Text != "":
-				j.broken(RuleList, e, "a playlist that is none: %s", e.Text)
+				j.addViolation(RulePlaylists, e, "invalid playlist: %s", e.Text)
 				continue
-			case seen && (e.Value < was.Value || e.Length < was.Length):
-				j.broken(RuleList, e, "a playlist went back: sequence %.0f after %.0f, discontinuity %.0f after %.0f", e.Value, was.Value, e.Length, was.Length)
+			case seen && (e.Value < previous.Value || e.Length < previous.Length):
+				j.addViolation(RulePlaylists, e,
+					"playlist went back: sequence %.0f after %.0f, discontinuity %.0f after %.0f", e.Value,
+					previous.Value, e.Length, previous.Length)
 			}
-			last[e.Ref] = e
+			lastRead[e.Ref] = e
 		case record.SegmentRequested:
-			j.report.Checked[RuleList]++
+			j.report.Checked[RulePlaylists]++
 			if e.Status == 404 {
-				j.broken(RuleList, e, "a segment that does not exist: %s of %s", e.Text, e.Title)
+				j.addViolation(RulePlaylists, e, "request for a segment that does not exist: %s of %s", e.Text, e.Title)
 			}
-			ok := false
+			allowed := false
 			for _, s := range held[holder{e.Server, e.Viewer, e.Title}] {
-				ok = ok || e.At >= s.from-int64(j.rules.Skew) && e.At <= s.to+told
+				allowed = allowed || e.At >= s.from-int64(j.rules.Skew) && e.At <= s.to+segmentWindow
 			}
-			if !ok {
-				j.broken(RuleList, e, "a segment at server %d, which does not hold the viewer's session", e.Server)
+			if !allowed {
+				j.addViolation(RulePlaylists, e,
+					"request for a segment at server %d, which does not hold the viewer's session", e.Server)
 			}
 		}
 	}
--- a/internal/audit/upkeep.go
+++ b/internal/audit/upkeep.go
@@ -9,77 +9,80 @@
 	"tealledge/internal/record"
 )
 
-// Machines out for work: what is judged is what servers saw and what whoever works on them did, never what fronts say.
+// The rules on machines that are out for work are checked against what the servers received and what the operator did,
+// never against what fronts report.
 
-// Upkeep is what the rules on machines out for work go by.
+// UpkeepLimits holds the parameters of the rules on machines that are out for work.
 type Upkeep struct {
-	Rack, Zone, Whole int
-	Racks, Zones      int // how many there are: a server's rack is its cell's, and racks take zones in turn
-	Cells             int
-	Grace             time.Duration // an order of messages closer than this is not judged
+	Rack, Zone, Whole int           // servers that may be out at one time: in a rack, in a zone, in all
+	Racks, Zones      int           // their number; a server is in its cell's rack, racks take zones in turn
+	Cells             int           // their number
+	Grace             time.Duration // events closer than this have no known order
 }
 
-// The rules on machines out for work.
+// The names of the rules on machines that are out for work. They are printed in reports.
 const (
-	RuleOut   = "9 never more out than agreed"
-	RuleFree  = "10 nothing new at a machine out for work"
-	RuleLost  = "11 no session lost that could have moved"
-	RuleEnded = "12 every ask ends, with a reason"
+	RuleMaxOut        = "9 never more out than agreed"
+	RuleNoNewSetup    = "10 nothing new at a machine out for work"
+	RuleNoLostSession = "11 no session lost that could have moved"
+	RuleRequestEnds   = "12 every ask ends, with a reason"
 )
 
-// noticed is how long after a server's death nobody can be blamed for not knowing of it: the list tells of it, the leader looks,
-// and whoever works on machines looks.
-const noticed = 1500 * time.Millisecond
+// failureNoticeWindow is how long after a server's failure nobody is expected to know of it: the list has to report it,
+// and the leader and the operator have to read the list.
+const failureNoticeWindow = 1500 * time.Millisecond
 
-type outMachine struct {
-	since, until int64
-	call         string
+// outageForWork is the time that a machine is out for a work.
+type outageForWork struct {
+	takenOutAt, returnedAt int64
+	work                   string
 }
 
-// JudgeUpkeep judges a record by the rules on machines out for work.
-func JudgeUpkeep(events []record.Event, u Upkeep) (broken []Violation, checked map[string]int) {
+// JudgeUpkeep checks events, which are ordered by time, against the rules on machines that are out for work.
+func JudgeUpkeep(events []record.Event, limits Upkeep) (violations []Violation, checked map[string]int) {
 	checked = map[string]int{}
-	say := func(rule string, e record.Event, text string) {
-		broken = append(broken, Violation{Rule: rule, Event: e, Text: text})
+	report := func(rule string, e record.Event, text string) {
+		violations = append(violations, Violation{Rule: rule, Event: e, Text: text})
 	}
-	out := map[uint32]*outMachine{} // taken out, or brought back a moment ago
-	failed := map[uint32]int64{}    // died by itself, and when
-	deaf := map[string]int64{}      // fronts cut off, since when
-	healed := map[string]int64{}
-	asked, ended := map[string]bool{}, map[string]bool{}                               // by key, by number
-	rack := func(s uint32) int { return int(s-1) % max(u.Cells, 1) % max(u.Racks, 1) } // stand-ins fill the cells in order
-	zone := func(s uint32) int { return rack(s) % max(u.Zones, 1) }
+	out := map[uint32]*outageForWork{} // by server: out now or returned
+	failedAt := map[uint32]int64{}     // by server: when it failed on its own
+	isolated := map[string]int64{}     // by front: since when it has been isolated
+	rejoinedAt := map[string]int64{}
+	requested, ended := map[string]bool{}, map[string]bool{} // by key; by number
+	// Stand-ins fill the cells in the order of their ids.
+	rack := func(s uint32) int { return int(s-1) % max(limits.Cells, 1) % max(limits.Racks, 1) }
+	zone := func(s uint32) int { return rack(s) % max(limits.Zones, 1) }
 	for _, e := range events {
 		switch e.Kind {
 		case record.WorkRequested:
-			asked[e.Ref] = true
+			requested[e.Ref] = true
 		case record.WorkEnded:
 			ended[e.Ref] = true
-			checked[RuleEnded]++
-			how, why, _ := strings.Cut(e.Text, ":")
-			if how != "done" && how != "cancelled" && (how != "refused" || strings.TrimSpace(why) == "") {
-				say(RuleEnded, e, "neither done nor cancelled nor refused with a reason")
+			checked[RuleRequestEnds]++
+			outcome, reason, _ := strings.Cut(e.Text, ":")
+			if outcome != "done" && outcome != "cancelled" && (outcome != "refused" || strings.TrimSpace(reason) == "") {
+				report(RuleRequestEnds, e, "the work ended neither done, cancelled nor refused with a reason")
 			}
 		case record.FrontIsolated:
-			deaf[e.Front] = e.At
+			isolated[e.Front] = e.At
 		case record.FrontRejoined:
-			delete(deaf, e.Front)
-			healed[e.Front] = e.At
+			delete(isolated, e.Front)
+			rejoinedAt[e.Front] = e.At
 		case record.ServerTakenOut:
-			checked[RuleOut]++
-			now := map[uint32]bool{e.Server: true}
+			checked[RuleMaxOut]++
+			outNow := map[uint32]bool{e.Server: true}
 			for s, o := range out {
-				if o.until == 0 {
-					now[s] = true
+				if o.returnedAt == 0 {
+					outNow[s] = true
 				}
 			}
-			for s, at := range failed {
-				if e.At-at > int64(noticed) {
-					now[s] = true
+			for s, at := range failedAt {
+				if e.At-at > int64(failureNoticeWindow) {
+					outNow[s] = true
 				}
 			}
 			racks, zones := 0, 0
-			for s := range now {
+			for s := range outNow {
 				if rack(s) == rack(e.Server) {
 					racks++
 				}
@@ -87,52 +90,54 @@
 					zones++
 				}
 			}
-			if racks > u.Rack || zones > u.Zone || len(now) > u.Whole {
-				say(RuleOut, e, sprintOut(racks, zones, len(now), u))
+			if racks > limits.Rack || zones > limits.Zone || len(outNow) > limits.Whole {
+				report(RuleMaxOut, e, formatOutCounts(racks, zones, len(outNow), limits))
 			}
-			if o := out[e.Server]; o != nil && o.until == 0 {
-				say(RuleOut, e, "it is out already, for work "+o.call)
+			if o := out[e.Server]; o != nil && o.returnedAt == 0 {
+				report(RuleMaxOut, e, "the server is already out for work "+o.work)
 			}
-			out[e.Server] = &outMachine{since: e.At, call: e.Ref}
+			out[e.Server] = &outageForWork{takenOutAt: e.At, work: e.Ref}
 		case record.ServerReturned:
 			if o := out[e.Server]; o != nil {
-				o.until = e.At
+				o.returnedAt = e.At
 			}
 		case record.ServerDied:
-			if o := out[e.Server]; o == nil || o.until != 0 {
-				failed[e.Server] = e.At
+			if o := out[e.Server]; o == nil || o.returnedAt != 0 {
+				failedAt[e.Server] = e.At
 			}
 		case record.ServerStarted:
-			delete(failed, e.Server)
+			delete(failedAt, e.Server)
 		case record.SetupReceived:
 			o := out[e.Server]
-			if o == nil || o.until != 0 || e.At < o.since+int64(u.Grace) {
+			if o == nil || o.returnedAt != 0 || e.At < o.takenOutAt+int64(limits.Grace) {
 				continue
 			}
-			checked[RuleFree]++
-			if _, cut := deaf[e.Front]; !cut && e.At > healed[e.Front]+int64(10*time.Second) {
-				say(RuleFree, e, "a set-up from a front that could have known")
+			checked[RuleNoNewSetup]++
+			// A front that rejoined less than 10 s ago may not know yet.
+			if _, isIsolated := isolated[e.Front]; !isIsolated && e.At > rejoinedAt[e.Front]+int64(10*time.Second) {
+				report(RuleNoNewSetup, e, "a set-up from a front that was not isolated and should have known")
 			}
 		case record.StreamEnded:
 			o := out[e.Server]
-			if o == nil || o.until != 0 || e.Text != "killed" {
+			if o == nil || o.returnedAt != 0 || e.Text != "killed" {
 				continue
 			}
-			checked[RuleLost]++
-			if _, cut := deaf[e.Front]; !cut && e.At > healed[e.Front]+int64(10*time.Second) {
-				say(RuleLost, e, "a stream was cut by the work, though others had room")
+			checked[RuleNoLostSession]++
+			if _, isIsolated := isolated[e.Front]; !isIsolated && e.At > rejoinedAt[e.Front]+int64(10*time.Second) {
+				report(RuleNoLostSession, e, "a stream was ended by the work although other servers had room")
 			}
 		case record.FleetSettled:
-			if len(ended) < len(asked) {
-				say(RuleEnded, e, "works are open still")
+			if len(ended) < len(requested) {
+				report(RuleRequestEnds, e, "some works have not ended")
 			}
 		}
 	}
-	checked[RuleEnded] += len(asked)
-	slices.SortStableFunc(broken, func(a, b Violation) int { return int(a.Event.At - b.Event.At) })
-	return broken, checked
+	checked[RuleRequestEnds] += len(requested)
+	slices.SortStableFunc(violations, func(a, b Violation) int { return int(a.Event.At - b.Event.At) })
+	return violations, checked
 }
 
-func sprintOut(racks, zones, whole int, u Upkeep) string {
-	return fmt.Sprintf("out with it: %d in its rack, %d in its zone, %d in all; %d, %d and %d may be", racks, zones, whole, u.Rack, u.Zone, u.Whole)
+// formatOutCounts describes how many servers are out and how many may be.
+func formatOutCounts(racks, zones, total int, limits Upkeep) string {
+	return fmt.Sprintf("servers out, this one included: %d in its rack, %d in its zone, %d in all; limits: %d, %d and %d", racks, zones, total, limits.Rack, limits.Zone, limits.Whole)
 }
--- a/internal/audit/worth.go
+++ b/internal/audit/worth.go
@@ -9,29 +9,30 @@
 	"tealledge/internal/record"
 )
 
-// worth works out the worth earned over the worth asked. Each second that a viewer wants is asked for at its highest
-// rung and earned, on the newest of its streams and while its player has it, at the rung in force, less what was missing of the rate and what changes of rung cost. A try that
-// was answered after its class's aim earns nothing. Viewers that misbehave on purpose are left out.
-func (j *judge) worth() {
+// computeWorth computes the worth earned divided by the worth requested. A viewer requests each second of its watch
+// time at its highest rung. It earns each second that its most recent stream plays, while the player holds the
+// session, at the current rung, less the cost of missing rate and of rung changes. A session that was answered after
+// the Aim of its class earns nothing. Viewers that misbehave on purpose are excluded.
+func (j *judge) computeWorth() {
 	type viewer struct {
 		worth float64
 		bad   bool
 	}
 	viewers := map[string]viewer{}
-	asked, earned := 0.0, 0.0
+	requested, earned := 0.0, 0.0
 	for _, e := range j.events {
 		if e.Kind == record.ViewerArrived {
 			viewers[e.Viewer] = viewer{e.Value, e.Text != ""}
 			if e.Text == "" {
-				asked += e.Value * e.Length * j.rung(e.Top)
+				requested += e.Value * e.Length * j.rungWorth(e.Top)
 			}
 		}
 	}
 	inTime := map[string]bool{} // by front and session
 	for _, c := range j.calls {
 		if len(c.replies) > 0 && c.replies[0].Text == "plays" {
-			r := c.replies[0]
-			inTime[r.Front+"/"+r.Session] = time.Duration(r.At-c.ask.At) <= j.class(c.ask.Class).Aim
+			reply := c.replies[0]
+			inTime[reply.Front+"/"+reply.Session] = time.Duration(reply.At-c.request.At) <= j.class(c.request.Class).Aim
 		}
 	}
 	type stream struct {
@@ -40,49 +41,51 @@
 		v     viewer
 	}
 	playing := map[string]*stream{}
-	session := map[string]string{} // of a call, by front and call
-	newest := map[string]string{}  // stream by viewer, and by front and session
-	at := map[uint32]map[string]*stream{}
+	sessionOf := map[string]string{} // by front and call
+	newest := map[string]string{}    // most recent stream: by viewer, and by front and session
+	byServer := map[uint32]map[string]*stream{}
 	share := map[uint32]float64{}
 	settle := func(s *stream, server uint32, now int64) {
-		sh, known := share[server]
-		if !known {
-			sh = 1
+		rate, reported := share[server]
+		if !reported {
+			rate = 1
 		}
-		part := max(0, 1-j.rules.StallCost*max(0, 0.98-sh))
-		earned += s.v.worth * j.rung(s.rung) * part * time.Duration(now-s.since).Seconds()
+		// A shortage of up to 2% of the rate costs nothing.
+		delivered := max(0, 1-j.rules.StallCost*max(0, 0.98-rate))
+		earned += s.v.worth * j.rungWorth(s.rung) * delivered * time.Duration(now-s.since).Seconds()
 		s.since = now
 	}
-	stop := func(key string, server uint32, now int64) {
+	stopStream := func(key string, server uint32, now int64) {
 		if s := playing[key]; s != nil {
 			settle(s, server, now)
 			delete(playing, key)
-			delete(at[server], key)
+			delete(byServer[server], key)
 		}
 	}
-	servers := map[string]uint32{}
+	serverOf := map[string]uint32{}
 	for _, e := range j.events {
 		switch e.Kind {
 		case record.ReplyReceived:
 			if e.Text == "plays" {
-				session[e.Front+"#"+e.Ref] = e.Front + "/" + e.Session
+				sessionOf[e.Front+"#"+e.Ref] = e.Front + "/" + e.Session
 			}
-		case record.PlayerConnLost, record.PlayerLeft: // the player has given it up, whatever its server still sends
-			if key := newest[session[e.Front+"#"+e.Ref]]; key != "" {
-				stop(key, servers[key], e.At)
+		case record.PlayerConnLost, record.PlayerLeft: // the player no longer holds it, even if the server still sends
+			if key := newest[sessionOf[e.Front+"#"+e.Ref]]; key != "" {
+				stopStream(key, serverOf[key], e.At)
 			}
 		case record.StreamStarted:
-			if old := newest["viewer "+e.Viewer]; old != "" {
-				stop(old, servers[old], e.At)
+			if previous := newest["viewer "+e.Viewer]; previous != "" {
+				stopStream(previous, serverOf[previous], e.At)
 			}
-			newest["viewer "+e.Viewer], newest[e.Front+"/"+e.Session], servers[e.AttemptKey()] = e.AttemptKey(), e.AttemptKey(), e.Server
+			newest["viewer "+e.Viewer], newest[e.Front+"/"+e.Session], serverOf[e.AttemptKey()] = e.AttemptKey(),
+				e.AttemptKey(), e.Server
 			if v, ok := viewers[e.Viewer]; ok && !v.bad && inTime[e.Front+"/"+e.Session] {
 				s := &stream{e.At, e.Rung, v}
 				playing[e.AttemptKey()] = s
-				if at[e.Server] == nil {
-					at[e.Server] = map[string]*stream{}
+				if byServer[e.Server] == nil {
+					byServer[e.Server] = map[string]*stream{}
 				}
-				at[e.Server][e.AttemptKey()] = s
+				byServer[e.Server][e.AttemptKey()] = s
 			}
 		case record.RungSet:
 			if s := playing[e.AttemptKey()]; s != nil {
@@ -91,64 +94,65 @@
 				earned -= s.v.worth * j.rules.ChangeCost
 			}
 		case record.StreamEnded:
-			stop(e.AttemptKey(), e.Server, e.At)
+			stopStream(e.AttemptKey(), e.Server, e.At)
 		case record.RateShare:
-			for _, s := range at[e.Server] {
+			for _, s := range byServer[e.Server] {
 				settle(s, e.Server, e.At)
 			}
 			share[e.Server] = e.Value
 		}
 	}
-	if asked > 0 {
-		j.report.Worth = earned / asked
+	if requested > 0 {
+		j.report.Worth = earned / requested
 	}
 }
 
-func (j *judge) rung(n int) float64 {
+// rungWorth returns the worth of rung n, or 0 if there is none.
+func (j *judge) rungWorth(n int) float64 {
 	if n < 0 || n >= len(j.rules.RungWorth) {
 		return 0
 	}
 	return j.rules.RungWorth[n]
 }
 
-// troubles gathers what happened while each trouble lasted. The record gives its seconds as Length.
-func (j *judge) troubles() {
+// summarizeFaults adds a summary of each fault to the report. Length is the fault's duration in seconds.
+func (j *judge) summarizeFaults() {
 	for _, e := range j.events {
 		if e.Kind != record.FaultStarted {
 			continue
 		}
-		t := Trouble{Name: e.Text}
+		summary := FaultSummary{Name: e.Text}
 		from, to := e.At, e.At+int64(e.Length*float64(time.Second))
-		var took []time.Duration
+		var delays []time.Duration
 		for _, c := range j.calls {
-			if c.ask.At < from || c.ask.At >= to {
+			if c.request.At < from || c.request.At >= to {
 				continue
 			}
-			t.Asks++
+			summary.Asks++
 			if len(c.replies) == 0 {
 				continue
 			}
-			took = append(took, time.Duration(c.replies[0].At-c.ask.At))
+			delays = append(delays, time.Duration(c.replies[0].At-c.request.At))
 			switch c.replies[0].Text {
 			case "plays":
-				t.Plays++
+				summary.Plays++
 			case "refused":
-				t.Refused++
+				summary.Refused++
 			case "failed":
-				t.Failed++
+				summary.Failed++
 			}
 		}
 		for _, v := range j.report.Violations {
 			if v.Event.At >= from && v.Event.At < to {
-				t.Broken++
+				summary.Broken++
 			}
 		}
-		t.P99 = Quantile(took, 0.99)
-		j.report.Troubles = append(j.report.Troubles, t)
+		summary.P99 = Quantile(delays, 0.99)
+		j.report.Troubles = append(j.report.Troubles, summary)
 	}
 }
 
-// Quantile gives a quantile of times, 0 for none. It sorts them.
+// Quantile returns a quantile of the durations, or 0 if there are none. It sorts the list.
 func Quantile(list []time.Duration, q float64) time.Duration {
 	if len(list) == 0 {
 		return 0
@@ -157,7 +161,7 @@
 	return list[min(int(q*float64(len(list))), len(list)-1)]
 }
 
-// Table writes the report as text.
+// Table formats the report as text.
 func (r *Report) Table() string {
 	var b strings.Builder
 	row := func(cells ...string) {
@@ -183,12 +187,13 @@
 	for _, t := range r.Troubles {
 		row(t.Name, n(t.Asks), n(t.Plays), n(t.Refused), n(t.Failed), n(t.Broken), ms(t.P99))
 	}
-	row("the whole day", n(r.Asks), n(r.Replies["plays"]), n(r.Replies["refused"]), n(r.Replies["failed"]), n(len(r.Violations)),
+	row("the whole day", n(r.Asks), n(r.Replies["plays"]), n(r.Replies["refused"]), n(r.Replies["failed"]),
+		n(len(r.Violations)),
 		ms(Quantile(r.Open, 0.99)))
 	b.WriteByte('\n')
 	row("set-ups, of them further attempts", n(r.Setups), n(r.Further))
 	row("open to answer p50, p99, max", ms(Quantile(r.Open, 0.5)), ms(Quantile(r.Open, 0.99)), ms(Quantile(r.Open, 1)))
-	if r.Worth == 0 { // players that did not say what they want, as a load run's
+	if r.Worth == 0 { // no ViewerArrived events, as in a load run
 		return b.String()
 	}
 	row("worth earned over worth asked", strconv.FormatFloat(r.Worth, 'f', 3, 64))
