--- a/internal/day/bad.sexp
+++ b/internal/day/bad.sexp
@@ -1,5 +1,5 @@
-; The built-in bad day: three fronts, fourteen media servers, and most kinds of trouble that the operators have
-; recorded, several at once. About 45 s.
+; The built-in day with many faults: three fronts, fourteen media servers and most kinds of faults that the operators
+; have recorded, several at a time. It takes about 45 s.
 (day
   (seed 11) (length 34s) (fronts 3) (servers 14) (titles 24) (copies 5)
   (rate 11) (swing 0.4) (watch 3s 9s) (bad 0.06)
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -16,7 +16,7 @@
 	"tealledge/internal/serve"
 )
 
-// TestMain serves as a front when asked to: the day starts its fronts as processes.
+// TestMain runs as a front if AS_FRONT is set: a day starts its fronts as processes.
 func TestMain(m *testing.M) {
 	if os.Getenv("AS_FRONT") == "" {
 		os.Exit(m.Run())
@@ -42,8 +42,8 @@
 	}
 }
 
-// short is a day of a few seconds with a fault of each place: server, front, list, player.
-const short = `
+// shortDay is a day of a few seconds with faults in servers, fronts, the server list and players.
+const shortDay = `
 (day (seed 3) (length 5s) (fronts 2) (servers 8) (titles 12) (copies 4) (rate 14) (watch 500ms 1500ms) (bad 0.15) (hls 0.4)
   (media (slots 40) (link-kb 9000) (uplink-kb 40000) (setup 2ms) (keep 500ms))
   (at 500ms (hang (servers 1) (for 2s)))
@@ -54,9 +54,9 @@
   (at 2500ms (half (servers 1) (for 1s)))
   (at 3s (stop-front (front 0) (for 500ms)))
   (at 3500ms (list-rewind)))
-` + serviceForm
+` + serviceText
 
-const serviceForm = `
+const serviceText = `
 (service
   (ladder (rung 200 0.25) (rung 400 0.6) (rung 800 1))
   (classes (class "safe" (aim 1s) (deadline 3s) (worth 2)) (class "paid" (aim 1s) (deadline 2s) (effect paid) (seats 6))
@@ -67,9 +67,9 @@
   (stall-cost 8) (change-cost 0.5) (max-attempts 4) (retry-after-most 500ms) (connect-wait 250ms) (drain-grace 250ms)
   (price-move 0.02) (cold (span 2s) (from 0.4) (times 3) (over 1s)) (budget (spare 20) (ratio 0.5) (span 10s)))`
 
-func TestAShortBadDayKeepsEveryRule(t *testing.T) {
+func TestShortDayWithFaultsKeepsAllRules(t *testing.T) {
 	t.Setenv("AS_FRONT", "1")
-	s, err := Parse("short", short)
+	s, err := Parse("short", shortDay)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,17 +83,17 @@
 		t.Error(v)
 	}
 	if r.Asks < 40 || r.Replies["plays"] < r.Asks/3 || len(r.Troubles) != 8 {
-		t.Errorf("%d asks, replies %v, %d troubles", r.Asks, r.Replies, len(r.Troubles))
+		t.Errorf("%d requests, replies %v, %d faults", r.Asks, r.Replies, len(r.Troubles))
 	}
 	t.Log("\n" + r.Table())
 }
 
-func TestMistakesInScriptsAreTold(t *testing.T) {
+func TestReportsMistakesInScripts(t *testing.T) {
 	if _, err := Bad(); err != nil {
 		t.Fatal(err)
 	}
 	for from, want := range map[[2]string]string{
-		{"(hang (servers 1)", "(hung (servers 1)"}:                       `no trouble "hung"`,
+		{"(hang (servers 1)", "(hung (servers 1)"}:                       `unknown kind of fault "hung"`,
 		{"(at 1s (kill-front (front 1)", "(at 1s (kill-front (front 7)"}: "names a front",
 		{"(watch 500ms 1500ms)", "(watch 500ms)"}:                        "want (watch",
 		{"(fronts 2)", "(fronts 99)"}:                                    "from 1 to 16",
@@ -102,13 +102,14 @@
 		{`(class "paid"`, `(klass "paid"`}:                               "want (class",
 		{"(day (seed 3)", "(day (seed 3) (mix 0.5 0.5)"}:                 "mix has 2 parts for 3 classes",
 	} {
-		if _, err := Parse("short", strings.Replace(short, from[0], from[1], 1)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse("short", strings.Replace(shortDay, from[0], from[1], 1)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", from[1], err)
 		}
 	}
 }
 
-func TestArrivalsAreDrawnAheadAndAlike(t *testing.T) {
+// TestArrivalsAreDeterministic checks that one seed always gives the same viewers, and that a hot title draws many.
+func TestArrivalsAreDeterministic(t *testing.T) {
 	s, _ := Bad()
 	a, b := s.arrivals(), s.arrivals()
 	if len(a) < 200 || len(a) != len(b) || a[100] != b[100] {
@@ -121,6 +122,6 @@
 		}
 	}
 	if hot < 10 {
-		t.Error("no crowd for the hot title:", hot)
+		t.Error("too few viewers for the hot title:", hot)
 	}
 }
--- a/internal/day/fronts_test.go
+++ b/internal/day/fronts_test.go
@@ -20,15 +20,18 @@
 	"tealledge/internal/standin/playersim"
 )
 
-// open starts a site whose first front is to be hurt.
-func open(t *testing.T, fronts string) *World { t.Helper(); return openKeep(t, fronts, "500ms") }
+// openWorld starts a day without faults of its own.
+func openWorld(t *testing.T, fronts string) *World {
+	t.Helper()
+	return openWorldWithTTL(t, fronts, "500ms")
+}
 
-// openKeep has servers keep streams of a lost connection for a while.
-func openKeep(t *testing.T, fronts, keep string) *World {
+// openWorldWithTTL starts a day in which servers keep a stream of a lost connection for streamTTL.
+func openWorldWithTTL(t *testing.T, fronts, streamTTL string) *World {
 	t.Helper()
 	t.Setenv("AS_FRONT", "1")
 	s, err := Parse("t", `(day (seed 3) (fronts `+fronts+`) (servers 8) (titles 12) (copies 4) (media (slots 400) (link-kb 90000)
-  (uplink-kb 400000) (setup 1ms) (keep `+keep+`)))`+serviceForm)
+  (uplink-kb 400000) (setup 1ms) (keep `+streamTTL+`)))`+serviceText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,18 +44,19 @@
 	return w
 }
 
-func (w *world) fault(set func(f *mediasim.Faults)) {
+// setFaultOnAll sets a fault on all servers.
+func (w *world) setFaultOnAll(set func(f *mediasim.Faults)) {
 	for _, m := range w.farm.Servers() {
 		m.Fault(set)
 	}
 }
 
-// load runs players in the background; what it gives waits for them.
-func (w *world) load(t *testing.T, rate float64, length time.Duration, clients int) func() *load.Result {
+// startLoad runs players in the background. The function it returns waits for their end.
+func (w *world) startLoad(t *testing.T, rate float64, length time.Duration, clients int) func() *load.Result {
 	done := make(chan *load.Result, 1)
 	go func() {
 		r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: clients, Rate: rate, Length: length, Shape: load.Poisson,
-			Hold: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.s.TitleNames(), Classes: []string{"safe"}, Seed: 1}, w.rec)
+			Hold: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.script.TitleNames(), Classes: []string{"safe"}, Seed: 1}, w.records)
 		if err != nil {
 			t.Error(err)
 		}
@@ -61,7 +65,8 @@
 	return func() *load.Result { return <-done }
 }
 
-func (w *world) keptAll(t *testing.T) {
+// checkAllRules ends the day and fails the test for each broken rule.
+func (w *world) checkAllRules(t *testing.T) {
 	t.Helper()
 	r, err := w.Judge(context.Background())
 	if err != nil {
@@ -72,26 +77,29 @@
 	}
 }
 
-func TestAFrontKilledWithHundredsOfRequestsOpen(t *testing.T) {
-	w := open(t, "1")
-	w.fault(func(f *mediasim.Faults) { f.Stalled = true })
-	wait := w.load(t, 500, 2500*time.Millisecond, 40)
+// TestFrontKilledWithHundredsOfOpenRequests checks that a front that is killed while its servers stall serves again
+// after its restart and breaks no rule.
+func TestFrontKilledWithHundredsOfOpenRequests(t *testing.T) {
+	w := openWorld(t, "1")
+	w.setFaultOnAll(func(f *mediasim.Faults) { f.Stalled = true })
+	wait := w.startLoad(t, 500, 2500*time.Millisecond, 40)
 	time.Sleep(800 * time.Millisecond)
 	w.fronts[0].kill()
-	w.fault(func(f *mediasim.Faults) { f.Stalled = false })
+	w.setFaultOnAll(func(f *mediasim.Faults) { f.Stalled = false })
 	if err := w.fronts[0].start(); err != nil {
 		t.Fatal(err)
 	}
 	r := wait()
 	if r.Kinds["broken"] < 150 || r.Kinds["plays"] < 100 {
-		t.Errorf("%v: the front died with few requests open, or never served again", r.Kinds)
+		t.Errorf("%v: too few requests were open when the front was killed, or it did not serve again", r.Kinds)
 	}
-	w.keptAll(t)
+	w.checkAllRules(t)
 }
 
-func TestAFrontThatStoodStillForTwoSeconds(t *testing.T) {
-	w := open(t, "1")
-	wait := w.load(t, 100, 3500*time.Millisecond, 40)
+// TestFrontPausedForTwoSeconds checks that a pause of the process closes no connections and breaks no rule.
+func TestFrontPausedForTwoSeconds(t *testing.T) {
+	w := openWorld(t, "1")
+	wait := w.startLoad(t, 100, 3500*time.Millisecond, 40)
 	time.Sleep(700 * time.Millisecond)
 	w.fronts[0].signal(syscall.SIGSTOP, record.FrontPaused)
 	time.Sleep(2 * time.Second)
@@ -100,39 +108,43 @@
 	if r.Kinds["broken"] > 0 || r.Kinds["plays"] < 200 {
 		t.Errorf("%v", r.Kinds)
 	}
-	w.keptAll(t)
+	w.checkAllRules(t)
 }
 
-func TestClassesOfThirtyOverTwoFronts(t *testing.T) {
-	w := open(t, "2")
+// TestBurstsOfThirtyAcrossTwoFronts checks that all players of bursts are answered in time although a tenth of
+// them misbehave.
+func TestBurstsOfThirtyAcrossTwoFronts(t *testing.T) {
+	w := openWorld(t, "2")
 	r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: 60, Rate: 200, Length: 2 * time.Second, Shape: load.Classes, Bad: 0.1,
-		Hold: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.s.TitleNames(), Classes: []string{"safe", "floored"}, Seed: 2}, w.rec)
+		Hold: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.script.TitleNames(), Classes: []string{"safe", "floored"}, Seed: 2}, w.records)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if r.Kinds["plays"]+r.Kinds["refused"] != r.Sent || r.Late > 0 {
 		t.Errorf("%+v", r)
 	}
-	w.keptAll(t)
+	w.checkAllRules(t)
 }
 
-// client is a player by hand.
-type client struct {
+// testPlayer is a player whose requests the test sends one by one.
+type testPlayer struct {
 	t  *testing.T
 	nc net.Conn
 }
 
-func dialFront(t *testing.T, addr string) *client {
+// dialPlayer connects a player to a front.
+func dialPlayer(t *testing.T, addr string) *testPlayer {
 	t.Helper()
 	nc, err := playersim.Dial(context.Background(), addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	return &client{t, nc}
+	return &testPlayer{t, nc}
 }
 
-func (c *client) call(method, params string) string {
+// call sends a request and returns its response.
+func (c *testPlayer) call(method, params string) string {
 	c.t.Helper()
 	c.nc.SetDeadline(time.Now().Add(5 * time.Second))
 	if err := wsutil.WriteClientText(c.nc, []byte(`{"jsonrpc":"2.0","method":"`+method+`","params":`+params+`,"id":"x"}`)); err != nil {
@@ -149,17 +161,17 @@
 	}
 }
 
-// TestAKilledFrontTakesItsSessionsUp: after SIGKILL its players resume where they were, by their tokens alone; nothing is
-// set up again, and a session that nobody resumes is torn down at its server.
-func TestAKilledFrontTakesItsSessionsUp(t *testing.T) {
-	w := openKeep(t, "1", "20s")
+// TestKilledFrontRestoresSessions checks that after SIGKILL and a restart, players resume their sessions with their
+// tokens alone. No session is set up again, and one that nobody resumes is torn down at its server.
+func TestKilledFrontRestoresSessions(t *testing.T) {
+	w := openWorldWithTTL(t, "1", "20s")
 	_, addr := w.Front(0)
 	type open struct{ session, token string }
 	var list []open
-	c := dialFront(t, addr)
+	c := dialPlayer(t, addr)
 	for i := range 20 {
 		class := []string{"safe", "floored"}[i%2]
-		answer := c.call("session.open", fmt.Sprintf(`{"title":%q,"class":%q,"viewer":"v%d"}`, w.s.TitleNames()[i%4], class, i))
+		answer := c.call("session.open", fmt.Sprintf(`{"title":%q,"class":%q,"viewer":"v%d"}`, w.script.TitleNames()[i%4], class, i))
 		var m struct {
 			Result struct{ Session, Token string }
 		}
@@ -168,17 +180,17 @@
 		}
 		list = append(list, open{m.Result.Session, m.Result.Token})
 	}
-	time.Sleep(200 * time.Millisecond) // their records are written behind
+	time.Sleep(200 * time.Millisecond) // the front stores its sessions asynchronously
 	w.fronts[0].kill()
 	if err := w.fronts[0].start(); err != nil {
 		t.Fatal(err)
 	}
 	_, addr = w.Front(0)
-	c = dialFront(t, addr)
+	c = dialPlayer(t, addr)
 	for i, o := range list[:15] {
 		if i == 3 {
 			if answer := c.call("session.resume", fmt.Sprintf(`{"session":%q,"token":"123"}`, o.session)); !strings.Contains(answer, "no such session") {
-				t.Fatal("resumed with another's token", answer)
+				t.Fatal("resumed with a wrong token", answer)
 			}
 		}
 		if answer := c.call("session.resume", fmt.Sprintf(`{"session":%q,"token":%q}`, o.session, o.token)); !strings.Contains(answer, `"plays"`) {
@@ -190,7 +202,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	if n := w.farm.Streams(); n != 15 {
-		t.Errorf("%d streams play, 15 are wanted", n)
+		t.Errorf("%d streams play, want 15", n)
 	}
 	for _, o := range list[:15] {
 		c.call("session.close", fmt.Sprintf(`{"session":%q}`, o.session))
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -13,24 +13,23 @@
 	"tealledge/internal/record"
 )
 
-// Fronts as processes.
-
-// start starts the process and waits until it serves.
+// start starts the front's process and waits until it is ready.
 func (p *process) start() error {
-	dir := filepath.Join(p.w.o.Dir, p.name)
+	dir := filepath.Join(p.world.options.Dir, p.name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
 	path := filepath.Join(dir, "settings.sexp")
-	text := p.w.s.Settings(Place{p.name, p.addr, p.hls, p.w.list.Addr(), filepath.Join(dir, "state"), p.me}, p.w.o.Baseline)
-	if p.w.o.NoRecover {
+	text := p.world.script.Settings(Place{p.name, p.addr, p.hlsAddr, p.world.serverList.Addr(), filepath.Join(dir,
+		"state"), p.index}, p.world.options.Baseline)
+	if p.world.options.NoRecover {
 		text = strings.Replace(text, "(front ", "(front (recover no) ", 1)
 	}
-	if p.w.o.Limits != "" {
-		text = strings.Replace(text, "(front ", "(front "+p.w.o.Limits+" ", 1)
+	if p.world.options.Limits != "" {
+		text = strings.Replace(text, "(front ", "(front "+p.world.options.Limits+" ", 1)
 	}
-	if p.w.o.Extra != nil {
-		text += p.w.o.Extra(p.me)
+	if p.world.options.Extra != nil {
+		text += p.world.options.Extra(p.index)
 	}
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return err
@@ -39,11 +38,11 @@
 	if err != nil {
 		return err
 	}
-	args := append(append([]string(nil), p.w.o.Command[1:]...), path)
-	p.cmd = exec.Command(p.w.o.Command[0], args...)
+	args := append(append([]string(nil), p.world.options.Command[1:]...), path)
+	p.cmd = exec.Command(p.world.options.Command[0], args...)
 	p.cmd.Stderr = log
-	p.cmd.Env = append(os.Environ(), p.w.o.Env...)
-	p.log = log
+	p.cmd.Env = append(os.Environ(), p.world.options.Env...)
+	p.logFile = log
 	out, err := p.cmd.StdoutPipe()
 	if err != nil {
 		return err
@@ -58,14 +57,14 @@
 		for lines.Scan() {
 			if addr, ok := strings.CutPrefix(lines.Text(), "hls http://"); ok {
 				addr, _, _ = strings.Cut(addr, "/")
-				p.w.mu.Lock()
-				p.hls = addr
-				p.w.mu.Unlock()
+				p.world.mu.Lock()
+				p.hlsAddr = addr
+				p.world.mu.Unlock()
 			}
 			if addr, ok := strings.CutPrefix(lines.Text(), "control "); ok {
-				p.w.mu.Lock()
-				p.control = addr
-				p.w.mu.Unlock()
+				p.world.mu.Lock()
+				p.controlAddr = addr
+				p.world.mu.Unlock()
 			}
 			if addr, ok := strings.CutPrefix(lines.Text(), "ready ws://"); ok {
 				addr, _, _ = strings.Cut(addr, "/")
@@ -78,57 +77,60 @@
 	}()
 	select {
 	case addr := <-ready:
-		p.w.mu.Lock()
+		p.world.mu.Lock()
 		p.addr = addr
-		p.w.mu.Unlock()
-		p.w.rec.Add(record.Event{Source: "day", Kind: record.FrontStarted, Front: p.name})
+		p.world.mu.Unlock()
+		p.world.records.Add(record.Event{Source: "day", Kind: record.FrontStarted, Front: p.name})
 		return nil
 	case <-p.exited:
-		said, _ := os.ReadFile(log.Name())
-		return fmt.Errorf("front %s ended at its start; its log, %s, ends: %s", p.name, log.Name(), said[max(0, len(said)-1000):])
+		logged, _ := os.ReadFile(log.Name())
+		return fmt.Errorf("front %s exited during start-up; the end of its log %s: %s", p.name, log.Name(),
+			logged[max(0, len(logged)-1000):])
 	case <-time.After(10 * time.Second):
-		return fmt.Errorf("front %s does not serve after 10 s", p.name)
+		return fmt.Errorf("front %s is not ready after 10 s", p.name)
 	}
 }
 
+// kill kills the process and waits for its end. SIGCONT comes first, for a process that is paused.
 func (p *process) kill() {
-	p.w.rec.Add(record.Event{Source: "day", Kind: record.FrontKilled, Front: p.name})
+	p.world.records.Add(record.Event{Source: "day", Kind: record.FrontKilled, Front: p.name})
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	p.cmd.Process.Kill()
 	<-p.exited
 }
 
-func (p *process) signal(s os.Signal, what string) {
-	if s == syscall.SIGSTOP { // written down before it acts, and its end after
-		p.w.rec.Add(record.Event{Source: "day", Kind: what, Front: p.name})
+// signal sends a signal that pauses or resumes the process, and records an event of the given kind.
+func (p *process) signal(s os.Signal, kind string) {
+	if s == syscall.SIGSTOP { // the recorded pause includes the real one: its start is recorded before, its end after
+		p.world.records.Add(record.Event{Source: "day", Kind: kind, Front: p.name})
 		p.cmd.Process.Signal(s)
 		return
 	}
 	p.cmd.Process.Signal(s)
-	p.w.rec.Add(record.Event{Source: "day", Kind: what, Front: p.name})
+	p.world.records.Add(record.Event{Source: "day", Kind: kind, Front: p.name})
 }
 
-// Leave has all fronts leave service.
-func (w *world) Leave() { w.leave() }
+// ShutdownFronts shuts down all fronts gracefully.
+func (w *world) Leave() { w.shutdownFronts() }
 
-// leave tells all fronts to leave service and waits for them, in bounded time.
-func (w *world) leave() {
+// shutdownFronts sends SIGTERM to all fronts and waits for them. A front that has not exited after 15 s is killed.
+func (w *world) shutdownFronts() {
 	for _, p := range w.fronts {
-		w.rec.Add(record.Event{Source: "day", Kind: record.FrontDraining, Front: p.name})
+		w.records.Add(record.Event{Source: "day", Kind: record.FrontDraining, Front: p.name})
 		p.cmd.Process.Signal(syscall.SIGTERM)
 	}
 	for _, p := range w.fronts {
 		select {
 		case <-p.exited:
 		case <-time.After(15 * time.Second):
-			fmt.Fprintf(w.o.Out, "front %s did not leave in 15 s\n", p.name)
+			fmt.Fprintf(w.options.Out, "front %s did not shut down within 15 s\n", p.name)
 			p.kill()
 		}
 	}
 }
 
-// stopAll ends what still runs, after a day that was cut short.
-func (w *world) stopAll() {
+// killRemaining kills the fronts that still run, as after a day that was cancelled.
+func (w *world) killRemaining() {
 	for _, p := range w.fronts {
 		if p.cmd != nil && p.exited != nil {
 			select {
--- a/internal/day/quiet.sexp
+++ b/internal/day/quiet.sexp
@@ -1,4 +1,4 @@
-; A quiet day: two fronts, twelve media servers, nothing goes wrong. What a load run uses if no script is named.
+; The built-in day without faults: two fronts and twelve media servers. Load runs use it if no script is given.
 (day
   (seed 5) (length 20s) (fronts 2) (servers 12) (titles 24) (copies 5) (rate 10) (watch 2s 5s)
   (media (slots 400) (link-kb 90000) (uplink-kb 400000) (setup 2ms) (report 200ms) (keep 1s)))
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -21,65 +21,65 @@
 	"tealledge/internal/standin/ports"
 )
 
-// Options of a run.
+// Options are the options of a run.
 type Options struct {
-	Command   []string // starts a front; the path of its settings file is added
-	NoRecover bool     // fronts that restart know nothing: as it was before recovery
-	Dir       string   // keeps settings, states and records
+	Command   []string // starts a front; the path of its settings file is appended
+	NoRecover bool     // fronts restore no state when they restart, for comparison with recovery
+	Dir       string   // for settings, states, logs and records
 	Baseline  string   // "": the decision module
 	Out       io.Writer
-	Env       []string               // more for the fronts' environment
-	Limits    string                 // a (limits ...) form for the fronts
-	Extra     func(front int) string // more forms for a front's settings
-	NoRecord  bool                   // for measuring only: nothing is written down, nothing can be judged
+	Env       []string               // additional environment variables of the fronts
+	Limits    string                 // a (limits ...) form for the settings of the fronts
+	Extra     func(front int) string // additional forms for a front's settings
+	NoRecord  bool                   // for measurements: no events are recorded, so the run can't be audited
 }
 
-// world is a day under way.
+// world is a running day.
 type world struct {
-	s      *Script
-	o      Options
-	rng    *rand.Rand
-	rec    *record.Log
-	farm   *mediasim.Farm
-	list   *listsim.List
-	crowd  *playersim.Crowd
-	fronts []*process
-	ports  *ports.Kept // addresses of fronts
-	mu     sync.Mutex
-	busy   map[uint32]bool // servers that a trouble holds
-	ends   sync.WaitGroup
+	script     *Script
+	options    Options
+	rng        *rand.Rand
+	records    *record.Log
+	farm       *mediasim.Farm
+	serverList *listsim.List
+	players    *playersim.Crowd
+	fronts     []*process
+	ports      *ports.Kept // addresses of fronts
+	mu         sync.Mutex
+	inFault    map[uint32]bool // servers that a fault uses
+	faultsDone sync.WaitGroup
 }
 
-// process is one front.
+// process is a front that runs as a process.
 type process struct {
-	w       *world
-	name    string
-	me      int
-	addr    string
-	hls     string
-	control string // where it takes commands for its fleet
-	cmd     *exec.Cmd
-	exited  chan struct{}
-	log     *os.File
+	world       *world
+	name        string
+	index       int
+	addr        string
+	hlsAddr     string
+	controlAddr string // where it accepts commands for its fleet
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	logFile     *os.File
 }
 
-// Run plays a day and judges it.
+// Run plays a day and audits its records.
 func Run(ctx context.Context, s *Script, o Options) (*audit.Report, error) {
 	w, err := Open(ctx, s, o)
 	if err != nil {
 		return nil, err
 	}
 	defer w.Close()
-	if err := w.play(ctx); err != nil {
+	if err := w.playDay(ctx); err != nil {
 		return nil, err
 	}
 	return w.Judge(ctx)
 }
 
-// World is a day's stand-ins and fronts, running.
+// World is a running day: its stand-ins and fronts.
 type World = world
 
-// Open starts stand-ins and fronts. Close is to be called in any case.
+// Open starts the stand-ins and fronts of a day. The caller has to call Close if it succeeds.
 func Open(ctx context.Context, s *Script, o Options) (*World, error) {
 	var rec *record.Log
 	if !o.NoRecord {
@@ -88,8 +88,8 @@
 			return nil, err
 		}
 	}
-	w := &world{s: s, o: o, rng: rand.New(rand.NewSource(s.Seed)), rec: rec, busy: map[uint32]bool{}}
-	w.rec.Add(w.rules().Event())
+	w := &world{script: s, options: o, rng: rand.New(rand.NewSource(s.Seed)), records: rec, inFault: map[uint32]bool{}}
+	w.records.Add(w.auditRules().Event())
 	if err := w.open(ctx); err != nil {
 		w.Close()
 		return nil, err
@@ -97,12 +97,13 @@
 	return w, nil
 }
 
+// open starts the server list, the media servers and the fronts.
 func (w *world) open(ctx context.Context) (err error) {
-	s, set := w.s, w.s.Service.Service
-	if w.list, err = listsim.New("127.0.0.1:0", w.rec); err != nil {
+	s, service := w.script, w.script.Service.Service
+	if w.serverList, err = listsim.New("127.0.0.1:0", w.records); err != nil {
 		return err
 	}
-	key, err := hex.DecodeString(hlsKey)
+	key, err := hex.DecodeString(hlsKeyHex)
 	if err != nil {
 		return err
 	}
@@ -110,52 +111,56 @@
 	if err != nil {
 		return err
 	}
-	w.farm, err = mediasim.New(mediasim.Params{Ladder: set.RungKB, Slots: s.Slots, LinkKB: s.LinkKB, UplinkKB: s.UplinkKB, Uneven: s.Uneven,
-		Racks: set.Racks, Cells: set.Cells, SetupTime: s.SetupTime, ReportEvery: s.ReportEvery, NotesLate: second(set.NoteDelay),
-		TellEvery: second(set.NoteInterval), FullFrom: set.FullThreshold, Inline: set.InlineReports, ColdSpan: second(set.WarmupTime), ColdFrom: set.ColdCapacity,
-		FallTimes: set.OverloadFactor, FallOver: second(set.OverloadWindow), Keep: s.Keep, Holds: s.holds, Seed: s.Seed,
-		Families: s.Families, Dir: w.o.Dir, HTTP: s.HLS > 0, Keys: keys}, s.Servers, w.rec)
+	w.farm, err = mediasim.New(mediasim.Params{Ladder: service.RungKB, Slots: s.Slots, LinkKB: s.LinkKB,
+		UplinkKB: s.UplinkKB, Uneven: s.LinkSpread,
+		Racks: service.Racks, Cells: service.Cells, SetupTime: s.SetupTime, ReportEvery: s.ReportEvery,
+		NotesLate: toDuration(service.NoteDelay),
+		TellEvery: toDuration(service.NoteInterval), FullFrom: service.FullThreshold, Inline: service.InlineReports,
+		ColdSpan: toDuration(service.WarmupTime), ColdFrom: service.ColdCapacity,
+		FallTimes: service.OverloadFactor, FallOver: toDuration(service.OverloadWindow), Keep: s.Keep,
+		Holds: s.holdsTitle, Seed: s.Seed,
+		Families: s.Families, Dir: w.options.Dir, HTTP: s.HLS > 0, Keys: keys}, s.Servers, w.records)
 	if err != nil {
 		return err
 	}
 	for _, m := range w.farm.Servers() {
-		w.list.Set(w.entry(m, "ready"))
+		w.serverList.Set(w.listEntry(m, "ready"))
 	}
 	if w.ports, err = ports.Keep(2 * s.Fronts); err != nil {
 		return err
 	}
 	for i := range s.Fronts {
-		p := &process{w: w, name: fmt.Sprintf("front-%d", i), me: i, addr: w.ports.Addrs[2*i]}
+		p := &process{world: w, name: fmt.Sprintf("front-%d", i), index: i, addr: w.ports.Addrs[2*i]}
 		if s.HLS > 0 {
-			p.hls = w.ports.Addrs[2*i+1]
+			p.hlsAddr = w.ports.Addrs[2*i+1]
 		}
 		w.fronts = append(w.fronts, p)
 		if err := p.start(); err != nil {
 			return err
 		}
 	}
-	return sleep(ctx, 300*time.Millisecond) // the first list is in
+	return sleep(ctx, 300*time.Millisecond) // the fronts have read the server list by then
 }
 
-// Close ends whatever still runs.
+// Close stops everything that still runs and closes the record.
 func (w *world) Close() {
-	w.stopAll()
+	w.killRemaining()
 	if w.farm != nil {
 		w.farm.Close()
 	}
-	if w.list != nil {
-		w.list.Close()
+	if w.serverList != nil {
+		w.serverList.Close()
 	}
 	if w.ports != nil {
 		w.ports.Close()
 	}
-	w.rec.Close()
+	w.records.Close()
 }
 
-// Record is where players write down what crossed their sockets.
-func (w *world) Record() *record.Log { return w.rec }
+// Record returns the log in which players record the messages on their sockets.
+func (w *world) Record() *record.Log { return w.records }
 
-// Front gives a front's name and address; n wraps round.
+// Front returns the name and address of front n modulo the number of fronts.
 func (w *world) Front(n int) (name, addr string) {
 	p := w.fronts[n%len(w.fronts)]
 	w.mu.Lock()
@@ -163,81 +168,84 @@
 	return p.name, p.addr
 }
 
-// FrontHLS gives a front's name and the address of its manifests.
+// FrontHLS returns the name of front n modulo the number of fronts and the address at which it serves manifests.
 func (w *world) FrontHLS(n int) (name, addr string) {
 	p := w.fronts[n%len(w.fronts)]
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return p.name, p.hls
+	return p.name, p.hlsAddr
 }
 
-// Pid gives a front's process.
+// FrontPID returns the process id of a front.
 func (w *world) Pid(n int) int { return w.fronts[n].cmd.Process.Pid }
 
-// Troubles plays the script's troubles from now on; what it gives waits for their end.
+// StartFaults starts the faults of the script, whose times count from now. The function it returns waits for their end.
 func (w *world) Troubles(ctx context.Context) (wait func()) {
-	began := time.Now()
-	for _, t := range w.s.Troubles {
-		w.ends.Add(1)
+	startedAt := time.Now()
+	for _, t := range w.script.Troubles {
+		w.faultsDone.Add(1)
 		go func() {
-			defer w.ends.Done()
-			if sleep(ctx, time.Until(began.Add(t.At))) == nil {
-				w.trouble(ctx, t)
+			defer w.faultsDone.Done()
+			if sleep(ctx, time.Until(startedAt.Add(t.At))) == nil {
+				w.playFault(ctx, t)
 			}
 		}()
 	}
-	return w.ends.Wait
+	return w.faultsDone.Wait
 }
 
-// Judge has the fronts leave, lets what is left over end, and judges the record.
+// Judge shuts down the fronts, waits until the servers have ended orphaned streams, and audits the records.
 func (w *world) Judge(ctx context.Context) (*audit.Report, error) {
-	w.leave()
-	if err := sleep(ctx, w.s.Keep+500*time.Millisecond); err != nil {
+	w.shutdownFronts()
+	if err := sleep(ctx, w.script.Keep+500*time.Millisecond); err != nil {
 		return nil, err
 	}
-	w.rec.Add(record.Event{Source: "day", Kind: record.DayFinished})
+	w.records.Add(record.Event{Source: "day", Kind: record.DayFinished})
 	w.Close()
-	events, err := record.ReadDir(w.o.Dir)
+	events, err := record.ReadDir(w.options.Dir)
 	if err != nil {
 		return nil, err
 	}
 	return audit.Judge(events)
 }
 
-func (w *world) play(ctx context.Context) error {
-	w.crowd = playersim.New(w.rec, w.s.Seed, 0.88, func(n int) (string, string) { return w.Front(n + n/7) }) // unevenly
-	w.crowd.ResumeFor = 3 * time.Second
+// playDay plays the viewers and faults of the script.
+func (w *world) playDay(ctx context.Context) error {
+	// n + n/7 loads the fronts unevenly.
+	w.players = playersim.New(w.records, w.script.Seed, 0.88, func(n int) (string, string) { return w.Front(n + n/7) })
+	w.players.ResumeFor = 3 * time.Second
 	viewers, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wait := w.Troubles(viewers)
-	var watching sync.WaitGroup
-	began := time.Now()
-	for _, a := range w.s.arrivals() {
-		if err := sleep(ctx, time.Until(began.Add(a.at))); err != nil {
+	waitForFaults := w.Troubles(viewers)
+	var activeViewers sync.WaitGroup
+	startedAt := time.Now()
+	for _, a := range w.script.arrivals() {
+		if err := sleep(ctx, time.Until(startedAt.Add(a.at))); err != nil {
 			return err
 		}
-		watching.Add(1)
+		activeViewers.Add(1)
 		go func() {
-			defer watching.Done()
+			defer activeViewers.Done()
 			if a.hls {
-				w.crowd.WatchHLS(viewers, w.viewer(a), w.FrontHLS)
+				w.players.WatchHLS(viewers, w.viewerFor(a), w.FrontHLS)
 				return
 			}
-			w.crowd.Watch(viewers, w.viewer(a))
+			w.players.Watch(viewers, w.viewerFor(a))
 		}()
 	}
-	wait()
+	waitForFaults()
 	done := make(chan struct{})
-	go func() { watching.Wait(); close(done) }()
+	go func() { activeViewers.Wait(); close(done) }()
 	select {
 	case <-done:
-	case <-time.After(w.s.Longest + 3*time.Second):
+	case <-time.After(w.script.MaxWatch + 3*time.Second):
 	}
 	cancel()
 	<-done
 	return nil
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -250,43 +258,53 @@
 	}
 }
 
-// skew is an order of messages on different sockets that is too close to be judged, on a loaded machine.
-const skew = 60 * time.Millisecond
+// auditSkew is the audit's tolerance for the order of messages on different sockets, on a loaded machine.
+const auditSkew = 60 * time.Millisecond
 
-func (w *world) rules() audit.Rules {
-	set := w.s.Service.Service
-	r := audit.Rules{AnswerGrace: 40 * time.Millisecond, DrainGrace: second(set.DrainGrace), Skew: skew, ColdSpan: second(set.WarmupTime),
-		ColdFrom: set.ColdCapacity, FallTimes: set.OverloadFactor, FallSpan: second(set.OverloadWindow), Budgeted: set.RetriesLimited, Spare: set.SpareRetries,
-		Ratio: set.RetryRatio, BudgetSpan: second(set.RetryWindow), RungWorth: set.RungWorth, StallCost: set.StallCost, ChangeCost: set.ChangeCost}
-	for i, k := range set.Classes {
-		r.Classes = append(r.Classes, audit.Class{Name: w.s.Service.Classes[i], Paid: k.Paid, Floor: k.Floor, Seats: k.Seats,
-			Aim: second(k.SetupTarget), Deadline: second(k.Deadline)})
+// auditRules returns the rules that fit the settings of the service.
+func (w *world) auditRules() audit.Rules {
+	service := w.script.Service.Service
+	r := audit.Rules{AnswerGrace: 40 * time.Millisecond, DrainGrace: toDuration(service.DrainGrace), Skew: auditSkew,
+		ColdSpan: toDuration(service.WarmupTime),
+		ColdFrom: service.ColdCapacity, FallTimes: service.OverloadFactor,
+		FallSpan: toDuration(service.OverloadWindow), Budgeted: service.RetriesLimited, Spare: service.SpareRetries,
+		Ratio: service.RetryRatio, BudgetSpan: toDuration(service.RetryWindow), RungWorth: service.RungWorth,
+		StallCost: service.StallCost, ChangeCost: service.ChangeCost}
+	for i, class := range service.Classes {
+		r.Classes = append(r.Classes, audit.Class{Name: w.script.Service.Classes[i], Paid: class.Paid,
+			Floor: class.Floor, Seats: class.Seats,
+			Aim: toDuration(class.SetupTarget), Deadline: toDuration(class.Deadline)})
 	}
 	return r
 }
 
-func (w *world) entry(m *mediasim.Server, health string) listsim.Server {
+// listEntry returns the entry of a server in the server list.
+func (w *world) listEntry(m *mediasim.Server, health string) listsim.Server {
 	kind, zone := "", ""
-	if len(w.s.Service.Kinds) > 0 {
-		kind = w.s.Service.Kinds[0]
+	if len(w.script.Service.Kinds) > 0 {
+		kind = w.script.Service.Kinds[0]
 	}
-	if n := len(w.s.Service.Zones); n > 0 { // racks take turns
-		zone = w.s.Service.Zones[m.Cell%max(w.s.Service.Service.Racks, 1)%n]
+	if n := len(w.script.Service.Zones); n > 0 { // racks take zones in turn
+		zone = w.script.Service.Zones[m.Cell%max(w.script.Service.Service.Racks, 1)%n]
 	}
-	return listsim.Server{ID: m.ID, Addr: m.Addr(), Cell: m.Cell, Zone: zone, Kind: kind, Size: 1, Started: m.Started(), Health: health, More: m.Addrs()[1:],
+	return listsim.Server{ID: m.ID, Addr: m.Addr(), Cell: m.Cell, Zone: zone, Kind: kind, Size: 1,
+		Started: m.Started(), Health: health, More: m.Addrs()[1:],
 		HTTP: m.HTTPAddr()}
 }
 
-func (w *world) viewer(a arrival) playersim.Viewer {
-	class := w.s.Service.Service.Classes[a.class]
-	v := playersim.Viewer{Name: fmt.Sprintf("viewer-%d", a.n), Title: w.s.titleName(a.title), Class: w.s.Service.Classes[a.class], ClassN: a.class,
-		Top: a.top, Length: a.watch, Worth: class.Worth}
-	if len(w.s.Service.Tenants) > 0 {
-		v.Tenant = w.s.Service.Tenants[0]
+// viewerFor returns the viewer that an arrival stands for.
+func (w *world) viewerFor(a arrival) playersim.Viewer {
+	class := w.script.Service.Service.Classes[a.class]
+	v := playersim.Viewer{Name: fmt.Sprintf("viewer-%d", a.index), Title: w.script.titleName(a.title),
+		Class: w.script.Service.Classes[a.class], ClassN: a.class,
+		Top: a.topRung, Length: a.watch, Worth: class.Worth}
+	if len(w.script.Service.Tenants) > 0 {
+		v.Tenant = w.script.Service.Tenants[0]
 	}
-	ways := []playersim.Bad{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame, playersim.Garbage, playersim.Unmasked}
-	if a.bad < w.s.Bad {
-		v.Bad = ways[int(a.bad/w.s.Bad*float64(len(ways)))]
+	behaviors := []playersim.Bad{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame, playersim.Garbage,
+		playersim.Unmasked}
+	if a.badDraw < w.script.BadShare {
+		v.Bad = behaviors[int(a.badDraw/w.script.BadShare*float64(len(behaviors)))]
 	}
 	return v
 }
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -1,5 +1,5 @@
-// Package day runs a scripted day: fronts as processes, media servers, a server list and players as stand-ins, and
-// troubles at their times. What it was like is judged by internal/audit from the records alone.
+// Package day runs a scripted day: fronts as processes, stand-ins for media servers, the server list and players, and
+// faults at given times. Package internal/audit checks the run from the records alone.
 package day
 
 import (
@@ -25,80 +25,80 @@
 //go:embed quiet.sexp
 var quietDay string
 
-// Script is a whole day.
+// Script describes a day.
 type Script struct {
 	Seed            int64
 	Length          time.Duration
 	Fronts, Servers int
 	Titles, Copies  int
-	Rate, Swing     float64
-	Shortest        time.Duration
-	Longest         time.Duration
-	Bad             float64
-	HLS             float64 // share of the viewers that come by HLS
-	Mix             []float64
+	Rate, RateSwing float64 // viewers per second, and by which share that varies over the day
+	MinWatch        time.Duration
+	MaxWatch        time.Duration
+	BadShare        float64   // share of the viewers that misbehave
+	HLS             float64   // share of the viewers that use HLS
+	Mix             []float64 // share of the viewers of each class; empty: equal shares
 	Slots           float64
 	LinkKB          float64
 	UplinkKB        float64
-	Uneven          float64
+	LinkSpread      float64 // links and uplinks differ from their mean by up to this share
 	SetupTime       time.Duration
-	ReportEvery     time.Duration
-	Keep            time.Duration
-	Families        []string // further addresses of each server: ipv6, unix
-	Troubles        []Trouble
+	ReportEvery     time.Duration // interval at which servers refresh their load values
+	Keep            time.Duration // how long servers keep a stream whose connection was lost
+	Families        []string      // additional addresses of each server: ipv6, unix
+	Troubles        []Fault
 	ServiceText     string // the (service ...) form as written
 	Service         *config.Config
 }
 
-// Trouble is one thing that goes wrong.
-type Trouble struct {
-	At      time.Duration
-	Kind    string
-	Servers int
-	Front   int
-	Rack    int
-	For     time.Duration
-	Lag     time.Duration
-	Notice  time.Duration
-	Part    float64
-	Times   float64
-	Network string // tcp, tcp6 or unix
+// Fault is a fault at a time of the day.
+type Fault struct {
+	At         time.Duration // since the start of the day
+	Kind       string
+	Servers    int // how many servers it affects
+	Front      int
+	Rack       int
+	Duration   time.Duration
+	Lag        time.Duration // delay of changes to the server list
+	Notice     time.Duration // from the announcement of a drain to the server's end
+	Share      float64       // share of the requests, viewers or link affected; sag: share of the uplink left
+	RateFactor float64       // multiplies the rate of arrivals
+	Network    string        // tcp, tcp6 or unix
 }
 
-// Kinds of trouble, and what each means.
-var Kinds = map[string]string{
-	"hang":        "servers take work and answer nothing; their streams get nothing",
-	"vanish":      "servers go silent and come back cold",
-	"crash":       "servers die with resets and come back cold",
-	"errors":      "servers fail part of the set-ups fast",
-	"lose":        "part of the answers to set-ups is lost; their streams play",
-	"garbage":     "part of the answers is no RTSP",
-	"half":        "part of the answers breaks off in the middle",
+// FaultKinds lists the kinds of faults with their meanings.
+var FaultKinds = map[string]string{
+	"hang":        "servers accept requests but do not answer; their streams get no data",
+	"vanish":      "servers go silent and restart cold",
+	"crash":       "servers die with connection resets and restart cold",
+	"errors":      "servers fail a share of the set-ups at once",
+	"lose":        "a share of the replies to set-ups is lost; their streams play",
+	"garbage":     "a share of the replies is not RTSP",
+	"half":        "a share of the replies is truncated",
 	"slow-reader": "servers read slowly",
-	"take-link":   "another program takes part of the link",
-	"sag":         "a rack's uplink gives only part of the usual",
-	"drain":       "servers are listed as draining, die after the notice and come back cold",
-	"redirect":    "servers say themselves that they leave, then come back cold",
-	"path-silent": "one address of servers accepts and never answers",
-	"path-resets": "one address of servers accepts and resets",
-	"path-stalls": "one address of servers answers OPTIONS but no set-up",
-	"list-lag":    "changes of the list come later",
-	"list-fail":   "calls to the list fail",
-	"list-empty":  "the list looks empty",
-	"list-rewind": "the list's index goes backwards",
-	"kill-front":  "a front is killed and comes back after a while",
-	"stop-front":  "a front stands still",
-	"hot-title":   "part of the viewers want one title",
-	"burst":       "more viewers come",
+	"take-link":   "another program uses a share of the link",
+	"sag":         "a rack's uplink has only a share of its usual rate",
+	"drain":       "servers are listed as draining, die after the notice and restart cold",
+	"redirect":    "servers announce by REDIRECT that they drain, die after the notice and restart cold",
+	"path-silent": "one address of servers accepts connections and never answers",
+	"path-resets": "one address of servers accepts connections and resets them",
+	"path-stalls": "one address of servers answers OPTIONS but no SETUP",
+	"list-lag":    "changes to the server list are delayed",
+	"list-fail":   "requests to the server list fail",
+	"list-empty":  "the server list is reported as empty",
+	"list-rewind": "the index of the server list goes backwards",
+	"kill-front":  "a front is killed and restarted after a while",
+	"stop-front":  "a front is paused",
+	"hot-title":   "a share of the viewers request the same title",
+	"burst":       "more viewers arrive",
 }
 
-// Bad gives the built-in bad day.
+// BadDay returns the built-in day with many faults.
 func Bad() (*Script, error) { return Parse("bad.sexp", badDay) }
 
-// Quiet gives the built-in quiet day.
+// QuietDay returns the built-in day without faults.
 func Quiet() (*Script, error) { return Parse("quiet.sexp", quietDay) }
 
-// TitleNames gives the titles that the day knows.
+// TitleNames returns the names of the titles.
 func (s *Script) TitleNames() (list []string) {
 	for i := range s.Titles {
 		list = append(list, s.titleName(i))
@@ -106,7 +106,7 @@
 	return list
 }
 
-// Scale has the fronts told of links as large as the stand-ins' are, after those were changed.
+// SyncCapacities sets the capacities in the service's settings to those of the stand-ins, after these were changed.
 func (s *Script) Scale() {
 	for _, f := range [][2]string{{"weight-kb", fmt.Sprint(int64(s.LinkKB))}, {"rack-kb", fmt.Sprint(int64(s.UplinkKB))},
 		{"fleet-kb", fmt.Sprint(int64(s.LinkKB) * int64(s.Servers))}, {"slots", fmt.Sprint(int64(s.Slots))}} {
@@ -123,26 +123,29 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads a script: a (day ...) form and a (service ...) form as in settings files.
+// Parse reads a script: a (day ...) form, and a (service ...) form as in settings files.
 func Parse(path, text string) (*Script, error) {
 	nodes, err := sexp.Read(path, text)
 	if err != nil {
 		return nil, err
 	}
-	s := &Script{Seed: 1, Length: 20 * time.Second, Fronts: 2, Servers: 12, Titles: 20, Copies: 4, Rate: 5, Shortest: 2 * time.Second,
-		Longest: 6 * time.Second, Slots: 24, LinkKB: 5000, UplinkKB: 20000, SetupTime: 4 * time.Millisecond,
+	s := &Script{Seed: 1, Length: 20 * time.Second, Fronts: 2, Servers: 12, Titles: 20, Copies: 4, Rate: 5,
+		MinWatch: 2 * time.Second,
+		MaxWatch: 6 * time.Second, Slots: 24, LinkKB: 5000, UplinkKB: 20000, SetupTime: 4 * time.Millisecond,
 		ReportEvery: 300 * time.Millisecond, Keep: 2 * time.Second}
 	r := &config.Reader{}
-	root := &sexp.Node{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, IsList: true, List: append([]*sexp.Node{{Text: "file"}}, nodes...)}
+	root := &sexp.Node{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, IsList: true,
+		List: append([]*sexp.Node{{Text: "file"}}, nodes...)}
 	r.Fields(root, []string{"day", "service"}, map[string]func(*sexp.Node){
-		"day":     func(n *sexp.Node) { s.day(r, n) },
-		"service": func(n *sexp.Node) { s.ServiceText = write(n) },
+		"day":     func(n *sexp.Node) { s.readDay(r, n) },
+		"service": func(n *sexp.Node) { s.ServiceText = formatNode(n) },
 	})
 	if errs := r.Errors(); len(errs) > 0 {
 		return nil, errors.Join(errs...)
 	}
-	// The service is read as a front would read it, so that its mistakes are told now.
-	s.Service, err = config.Parse(path+" (service)", s.Settings(Place{Name: "front-0", Listen: "127.0.0.1:0", List: "127.0.0.1:1"}, ""))
+	// The service is parsed as by a front, to report its mistakes now.
+	s.Service, err = config.Parse(path+" (service)", s.Settings(Place{Name: "front-0", Listen: "127.0.0.1:0",
+		List: "127.0.0.1:1"}, ""))
 	if err != nil {
 		return nil, err
 	}
@@ -151,73 +154,76 @@
 	}
 	for _, t := range s.Troubles {
 		if t.Front >= s.Fronts || t.Rack >= s.Service.Service.Racks || t.Servers > s.Servers {
-			return nil, fmt.Errorf("%s: %s at %v names a front, rack or servers that the day does not have", path, t.Kind, t.At)
+			return nil, fmt.Errorf("%s: %s at %v names a front, rack or servers that the day does not have", path,
+				t.Kind, t.At)
 		}
 	}
 	return s, nil
 }
 
-func (s *Script) day(r *config.Reader, n *sexp.Node) {
-	num := func(to *float64, least, most float64) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = r.Float(n, least, most) }
+// readDay reads the (day ...) form.
+func (s *Script) readDay(r *config.Reader, n *sexp.Node) {
+	floatField := func(to *float64, minValue, maxValue float64) func(*sexp.Node) {
+		return func(n *sexp.Node) { *to = r.Float(n, minValue, maxValue) }
 	}
-	whole := func(to *int, least, most int) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = r.Int(n, least, most) }
+	intField := func(to *int, minValue, maxValue int) func(*sexp.Node) {
+		return func(n *sexp.Node) { *to = r.Int(n, minValue, maxValue) }
 	}
-	span := func(to *time.Duration, most time.Duration) func(*sexp.Node) {
-		return func(n *sexp.Node) { *to = r.Duration(n, 0, most) }
+	durationField := func(to *time.Duration, maxValue time.Duration) func(*sexp.Node) {
+		return func(n *sexp.Node) { *to = r.Duration(n, 0, maxValue) }
 	}
-	plain := &sexp.Node{Pos: n.Pos, IsList: true, List: n.List[:1:1]}
+	withoutFaults := &sexp.Node{Pos: n.Pos, IsList: true, List: n.List[:1:1]}
 	for _, f := range n.Args() {
-		if f.Head() == "at" { // may stand many times
-			s.trouble(r, f)
+		if f.Head() == "at" { // may occur many times
+			s.readFault(r, f)
 			continue
 		}
-		plain.List = append(plain.List, f)
+		withoutFaults.List = append(withoutFaults.List, f)
 	}
-	r.Fields(plain, nil, map[string]func(*sexp.Node){
+	r.Fields(withoutFaults, nil, map[string]func(*sexp.Node){
 		"seed":    func(n *sexp.Node) { s.Seed = int64(r.Int(n, 0, math.MaxInt32)) },
-		"length":  span(&s.Length, time.Hour),
-		"fronts":  whole(&s.Fronts, 1, 16),
-		"servers": whole(&s.Servers, 1, 200),
-		"titles":  whole(&s.Titles, 1, 100_000),
-		"copies":  whole(&s.Copies, 1, 200),
-		"rate":    num(&s.Rate, 0.1, 1000),
-		"swing":   num(&s.Swing, 0, 1),
-		"bad":     num(&s.Bad, 0, 1),
-		"hls":     num(&s.HLS, 0, 1),
+		"length":  durationField(&s.Length, time.Hour),
+		"fronts":  intField(&s.Fronts, 1, 16),
+		"servers": intField(&s.Servers, 1, 200),
+		"titles":  intField(&s.Titles, 1, 100_000),
+		"copies":  intField(&s.Copies, 1, 200),
+		"rate":    floatField(&s.Rate, 0.1, 1000),
+		"swing":   floatField(&s.RateSwing, 0, 1),
+		"bad":     floatField(&s.BadShare, 0, 1),
+		"hls":     floatField(&s.HLS, 0, 1),
 		"watch": func(n *sexp.Node) {
 			if len(n.List) != 3 {
 				r.Fail(n, "want (watch SHORTEST LONGEST)")
 				return
 			}
-			one := func(i int) time.Duration {
-				return r.Duration(&sexp.Node{Pos: n.Pos, IsList: true, List: []*sexp.Node{n.List[0], n.List[i]}}, 0, time.Hour)
+			readOne := func(i int) time.Duration {
+				return r.Duration(&sexp.Node{Pos: n.Pos, IsList: true, List: []*sexp.Node{n.List[0], n.List[i]}}, 0,
+					time.Hour)
 			}
-			s.Shortest, s.Longest = one(1), one(2)
+			s.MinWatch, s.MaxWatch = readOne(1), readOne(2)
 		},
 		"mix": func(n *sexp.Node) {
 			for _, a := range n.Args() {
 				v, err := strconv.ParseFloat(a.Text, 64)
 				if err != nil || v < 0 {
-					r.Fail(a, "mix: %q is no share", a.Text)
+					r.Fail(a, "mix: %q is not a share", a.Text)
 				}
 				s.Mix = append(s.Mix, v)
 			}
 		},
 		"media": func(n *sexp.Node) {
 			r.Fields(n, nil, map[string]func(*sexp.Node){
-				"slots":     num(&s.Slots, 1, 1e6),
-				"link-kb":   num(&s.LinkKB, 1, 1e12),
-				"uplink-kb": num(&s.UplinkKB, 1, 1e12),
-				"uneven":    num(&s.Uneven, 0, 0.9),
-				"setup":     span(&s.SetupTime, time.Minute),
-				"report":    span(&s.ReportEvery, time.Minute),
-				"keep":      span(&s.Keep, time.Minute),
+				"slots":     floatField(&s.Slots, 1, 1e6),
+				"link-kb":   floatField(&s.LinkKB, 1, 1e12),
+				"uplink-kb": floatField(&s.UplinkKB, 1, 1e12),
+				"uneven":    floatField(&s.LinkSpread, 0, 0.9),
+				"setup":     durationField(&s.SetupTime, time.Minute),
+				"report":    durationField(&s.ReportEvery, time.Minute),
+				"keep":      durationField(&s.Keep, time.Minute),
 				"families": func(n *sexp.Node) {
 					for _, a := range n.Args() {
 						if a.Text != "ipv6" && a.Text != "unix" {
-							r.Fail(a, "families: %q is none of ipv6, unix", a.Text)
+							r.Fail(a, "families: %q is neither ipv6 nor unix", a.Text)
 						}
 						s.Families = append(s.Families, a.Text)
 					}
@@ -227,35 +233,36 @@
 	})
 }
 
-// trouble reads (at TIME (KIND ...)).
-func (s *Script) trouble(r *config.Reader, n *sexp.Node) {
+// readFault reads an (at TIME (KIND ...)) form.
+func (s *Script) readFault(r *config.Reader, n *sexp.Node) {
 	if len(n.List) != 3 || !n.List[2].IsList {
-		r.Fail(n, "want (at TIME (TROUBLE ...))")
+		r.Fail(n, "want (at TIME (KIND ...))")
 		return
 	}
-	f := n.List[2]
-	t := Trouble{Kind: f.Head(), Servers: 1, Part: 0.5, Times: 2, For: 5 * time.Second, Lag: 2 * time.Second, Notice: time.Second, Network: "tcp6"}
-	t.At = r.Duration(&sexp.Node{Pos: n.Pos, IsList: true, List: n.List[:2]}, 0, time.Hour)
-	if Kinds[t.Kind] == "" {
-		r.Fail(f, "no trouble %q", t.Kind)
+	form := n.List[2]
+	fault := Fault{Kind: form.Head(), Servers: 1, Share: 0.5, RateFactor: 2, Duration: 5 * time.Second,
+		Lag: 2 * time.Second, Notice: time.Second, Network: "tcp6"}
+	fault.At = r.Duration(&sexp.Node{Pos: n.Pos, IsList: true, List: n.List[:2]}, 0, time.Hour)
+	if FaultKinds[fault.Kind] == "" {
+		r.Fail(form, "unknown kind of fault %q", fault.Kind)
 		return
 	}
-	r.Fields(f, nil, map[string]func(*sexp.Node){
-		"servers": func(n *sexp.Node) { t.Servers = r.Int(n, 1, 200) },
-		"front":   func(n *sexp.Node) { t.Front = r.Int(n, 0, 15) },
-		"rack":    func(n *sexp.Node) { t.Rack = r.Int(n, 0, 100) },
-		"for":     func(n *sexp.Node) { t.For = r.Duration(n, 0, time.Hour) },
-		"lag":     func(n *sexp.Node) { t.Lag = r.Duration(n, 0, time.Minute) },
-		"notice":  func(n *sexp.Node) { t.Notice = r.Duration(n, 0, time.Minute) },
-		"network": func(n *sexp.Node) { t.Network = r.Choice(n, "tcp", "tcp6", "unix") },
-		"part":    func(n *sexp.Node) { t.Part = r.Float(n, 0, 1) },
-		"times":   func(n *sexp.Node) { t.Times = r.Float(n, 1, 100) },
+	r.Fields(form, nil, map[string]func(*sexp.Node){
+		"servers": func(n *sexp.Node) { fault.Servers = r.Int(n, 1, 200) },
+		"front":   func(n *sexp.Node) { fault.Front = r.Int(n, 0, 15) },
+		"rack":    func(n *sexp.Node) { fault.Rack = r.Int(n, 0, 100) },
+		"for":     func(n *sexp.Node) { fault.Duration = r.Duration(n, 0, time.Hour) },
+		"lag":     func(n *sexp.Node) { fault.Lag = r.Duration(n, 0, time.Minute) },
+		"notice":  func(n *sexp.Node) { fault.Notice = r.Duration(n, 0, time.Minute) },
+		"network": func(n *sexp.Node) { fault.Network = r.Choice(n, "tcp", "tcp6", "unix") },
+		"part":    func(n *sexp.Node) { fault.Share = r.Float(n, 0, 1) },
+		"times":   func(n *sexp.Node) { fault.RateFactor = r.Float(n, 1, 100) },
 	})
-	s.Troubles = append(s.Troubles, t)
+	s.Troubles = append(s.Troubles, fault)
 }
 
-// write gives an expression as text again.
-func write(n *sexp.Node) string {
+// formatNode formats an expression as text.
+func formatNode(n *sexp.Node) string {
 	if !n.IsList {
 		if n.Quoted {
 			return strconv.Quote(n.Text)
@@ -267,40 +274,41 @@
 		if i > 0 {
 			out += " "
 		}
-		out += write(x)
+		out += formatNode(x)
 	}
 	return out + ")"
 }
 
-// Place is where one front is and what it talks to.
+// FrontParams are the settings in which the fronts of a day differ.
 type Place struct {
-	Name, Listen, HLS, List, State string
-	Me                             int
+	Name, Listen, HLSListen, List, State string
+	FrontIndex                           int
 }
 
-// hlsKey signs the addresses of a day's HLS players, in hex: it protects nothing but the stand-ins.
-const hlsKey = "00112233445566778899aabbccddeeff"
+// hlsKeyHex is the key, in hex, that signs the URLs of HLS players. It protects only stand-ins.
+const hlsKeyHex = "00112233445566778899aabbccddeeff"
 
-// Settings gives the settings file of one front.
+// Settings returns the text of the settings file of one front.
 func (s *Script) Settings(p Place, baseline string) string {
-	out := fmt.Sprintf("(front (name %q) (listen %q) (fleet %d) (me %d) (list (consul %q) (service \"media\"))", p.Name, p.Listen, s.Fronts, p.Me, p.List)
+	out := fmt.Sprintf("(front (name %q) (listen %q) (fleet %d) (me %d) (list (consul %q) (service \"media\"))",
+		p.Name, p.Listen, s.Fronts, p.FrontIndex, p.List)
 	if p.State != "" {
 		out += fmt.Sprintf(" (state %q)", p.State)
 	}
-	if p.HLS != "" {
-		out += fmt.Sprintf(" (hls (listen %q) (keys %q))", p.HLS, hlsKey)
+	if p.HLSListen != "" {
+		out += fmt.Sprintf(" (hls (listen %q) (keys %q))", p.HLSListen, hlsKeyHex)
 	}
 	if baseline != "" {
 		out += fmt.Sprintf(" (baseline %s)", baseline)
 	}
 	out += ")\n" + s.ServiceText + "\n(titles"
 	for i := range s.Titles {
-		out += fmt.Sprintf(" (title %q (home %d) (copies %d))", s.titleName(i), s.home(i), s.Copies)
+		out += fmt.Sprintf(" (title %q (home %d) (copies %d))", s.titleName(i), s.homeCell(i), s.Copies)
 	}
 	return out + ")\n"
 }
 
-// titleName names a title; on days with HLS every other one is live.
+// titleName returns the name of title i; on days with HLS every other title is live.
 func (s *Script) titleName(i int) string {
 	if s.HLS > 0 && i%2 == 1 {
 		return fmt.Sprintf("live-guide-%d", i)
@@ -308,46 +316,46 @@
 	return fmt.Sprintf("guide-%d", i)
 }
 
-// home spreads titles over the cells.
-func (s *Script) home(title int) int { return (title * 5) % max(s.Servers, 1) }
+// homeCell returns the home cell of a title. Titles are spread over the cells.
+func (s *Script) homeCell(title int) int { return (title * 5) % max(s.Servers, 1) }
 
-// holds tells whether a cell holds a title.
-func (s *Script) holds(title string, cell int) bool {
+// holdsTitle reports whether a cell holds a title.
+func (s *Script) holdsTitle(title string, cell int) bool {
 	var n int
 	if _, err := fmt.Sscanf(strings.TrimPrefix(title, "live-"), "guide-%d", &n); err != nil || n >= s.Titles {
 		return false
 	}
 	cells := s.Service.Service.Cells
-	return ((cell-s.home(n))%cells+cells)%cells < s.Copies
+	return ((cell-s.homeCell(n))%cells+cells)%cells < s.Copies
 }
 
-// arrival is a viewer at its time.
+// arrival is the arrival of a viewer.
 type arrival struct {
-	at    time.Duration
-	title int
-	class int
-	top   int
-	watch time.Duration
-	hls   bool
-	bad   float64 // drawn; under Script.Bad it misbehaves
-	n     int
+	at      time.Duration
+	title   int
+	class   int
+	topRung int
+	watch   time.Duration
+	hls     bool
+	badDraw float64 // random from 0 to 1; below Script.BadShare the viewer misbehaves
+	index   int
 }
 
-// arrivals draws the whole day's viewers ahead: they do not wait for answers.
+// arrivals generates all viewers of the day in advance, from the seed: arrivals do not depend on answers.
 func (s *Script) arrivals() (list []arrival) {
 	rng := rand.New(rand.NewSource(s.Seed))
 	zipf := rand.NewZipf(rng, 1.3, 4, uint64(s.Titles-1))
 	at := 0.0
 	for n := 0; ; n++ {
-		rate := s.Rate * (1 + s.Swing*math.Sin(at/s.Length.Seconds()*2*math.Pi*2))
-		hot := 0.0
+		rate := s.Rate * (1 + s.RateSwing*math.Sin(at/s.Length.Seconds()*2*math.Pi*2))
+		hotShare := 0.0
 		for _, t := range s.Troubles {
-			if at >= t.At.Seconds() && at < (t.At+t.For).Seconds() {
+			if at >= t.At.Seconds() && at < (t.At+t.Duration).Seconds() {
 				if t.Kind == "burst" {
-					rate *= t.Times
+					rate *= t.RateFactor
 				}
 				if t.Kind == "hot-title" {
-					hot = t.Part
+					hotShare = t.Share
 				}
 			}
 		}
@@ -355,31 +363,32 @@
 		if at >= s.Length.Seconds() {
 			return list
 		}
-		a := arrival{at: time.Duration(at * float64(time.Second)), title: int(zipf.Uint64()), n: n, bad: rng.Float64()}
+		a := arrival{at: time.Duration(at * float64(time.Second)), title: int(zipf.Uint64()), index: n,
+			badDraw: rng.Float64()}
 		a.hls = s.HLS > 0 && float64(n*7919%1000)/1000 < s.HLS
-		if rng.Float64() < hot {
+		if rng.Float64() < hotShare {
 			a.title = s.Titles / 2
 		}
-		draw, sum := rng.Float64(), 0.0
+		classDraw, cumulative := rng.Float64(), 0.0
 		for i := range s.Service.Classes {
-			part := 1 / float64(len(s.Service.Classes))
+			share := 1 / float64(len(s.Service.Classes))
 			if len(s.Mix) > 0 {
-				part = s.Mix[i]
+				share = s.Mix[i]
 			}
-			if a.class = i; draw < sum+part {
+			if a.class = i; classDraw < cumulative+share {
 				break
 			}
-			sum += part
+			cumulative += share
 		}
 		class := s.Service.Service.Classes[a.class]
-		a.top = class.Top
-		if rng.Float64() < 0.25 { // can't use the upper rungs
-			a.top = max(class.Floor, class.Top-1-rng.Intn(2))
+		a.topRung = class.Top
+		if rng.Float64() < 0.25 { // the viewer can't use the upper rungs
+			a.topRung = max(class.Floor, class.Top-1-rng.Intn(2))
 		}
-		a.watch = s.Shortest + time.Duration(rng.Float64()*float64(s.Longest-s.Shortest))
+		a.watch = s.MinWatch + time.Duration(rng.Float64()*float64(s.MaxWatch-s.MinWatch))
 		list = append(list, a)
 	}
 }
 
-// second is a module time as a duration.
-func second(t policy.Time) time.Duration { return time.Duration(t) }
+// toDuration converts a time span of the decision module to a duration.
+func toDuration(t policy.Time) time.Duration { return time.Duration(t) }
