--- a/cmd/tealledge/capacity.go
+++ b/cmd/tealledge/capacity.go
@@ -39,11 +39,11 @@
 	}
 	fmt.Printf("carried with p99 under %d ms: %.0f requests a second (front on %d core(s), loopback)\n\n",
 		maxP99Ms, capacity, c.Cores)
-	var lines []load.Line
+	var lines []load.Series
 	for _, overloadControl := range []bool{true, false} {
 		name := map[bool]string{true: "with overload decisions", false: "without"}[overloadControl]
 		fmt.Println(name)
-		line := load.Line{Name: name}
+		line := load.Series{Name: name}
 		for _, factor := range []float64{0.5, 1, 1.5, 2, 3, 4} {
 			result, err := c.runStep(ctx, capacity*factor, overloadControl)
 			if err != nil {
@@ -103,16 +103,16 @@
 		command = []string{command[0], "serve", "--cpuprofile", c.CPU, "-c"}
 	}
 	world, err := day.Open(ctx, script, day.Options{Command: command, Dir: dir, Out: os.Stderr, NoRecord: true,
-		Limits: limits,
-		Env:    []string{fmt.Sprintf("GOMAXPROCS=%d", c.Cores)}})
+		LimitsForm: limits,
+		Env:        []string{fmt.Sprintf("GOMAXPROCS=%d", c.Cores)}})
 	if err != nil {
 		return nil, err
 	}
 	defer world.Close()
-	defer world.Leave()
-	return load.Run(ctx, load.Plan{Front: world.Front, Clients: c.Clients, Length: c.Length, Rate: rate,
-		Shape: load.Poisson,
-		Hold:  [2]time.Duration{200 * time.Millisecond, 500 * time.Millisecond}, Titles: script.TitleNames(),
-		Classes: script.Service.Classes,
-		Mix:     []float64{0.35, 0.65}, Wait: time.Second, Seed: 1}, nil)
+	defer world.ShutdownFronts()
+	return load.Run(ctx, load.Plan{Front: world.Front, Clients: c.Clients, Duration: c.Length, Rate: rate,
+		Shape:    load.Poisson,
+		HoldTime: [2]time.Duration{200 * time.Millisecond, 500 * time.Millisecond}, Titles: script.TitleNames(),
+		Classes:     script.Service.Classes,
+		ClassShares: []float64{0.35, 0.65}, Timeout: time.Second, Seed: 1}, nil)
 }
--- a/cmd/tealledge/configs_test.go
+++ b/cmd/tealledge/configs_test.go
@@ -53,7 +53,7 @@
 // freeAddr reserves a free listen address for a test and returns it.
 func freeAddr(t testing.TB) string {
 	t.Helper()
-	kept, err := ports.Keep(1)
+	kept, err := ports.Reserve(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,16 +168,16 @@
 		defer viewer.Close()
 	requests:
 		for ; time.Now().Before(end); sid++ {
-			viewer.Write(strings.Replace(platformsim.Form(sid, class, 1500*time.Millisecond, ""),
+			viewer.Write(strings.Replace(platformsim.OpenLine(sid, class, 1500*time.Millisecond, ""),
 				"copies:3", "copies:1", 1))
 			select {
 			case line := <-viewer.Lines:
 				if line.Msg == wire.LineReady {
-					viewer.GiveUp(sid)
+					viewer.Cancel(sid)
 					return
 				}
 				refused++
-			case <-viewer.Ended:
+			case <-viewer.Closed:
 				closed++
 				time.Sleep(20 * time.Millisecond)
 				break requests
@@ -228,7 +228,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer server.Die()
+			defer server.Kill()
 			front := startFront(t, c.settings, serverListEvents([]*platformsim.Server{server}, c.others), "", 256)
 			t.Log("ready after", front.waitReady())
 			front.waitForSession(world, c.class, 100)
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	defer viewer.Close()
-	viewer.Write(strings.Replace(platformsim.Form(7, "only", time.Second, ""), "copies:3", "copies:1", 1))
+	viewer.Write(strings.Replace(platformsim.OpenLine(7, "only", time.Second, ""), "copies:3", "copies:1", 1))
 	if line := <-viewer.Lines; line.Msg != wire.LineClose || line.Code != wire.CauseRefused {
 		t.Errorf("want a refusal without servers, got %+v", line)
 	}
@@ -259,8 +259,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer server.Die()
-	journal.Tell(true, wire.HostReady, server)
+	defer server.Kill()
+	journal.AddServers(true, wire.HostReady, server)
 	front.waitForSession(world, "only", 100)
 }
 
@@ -305,12 +305,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer first.Die()
+	defer first.Kill()
 	journal, err := platformsim.NewJournal(world, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	journal.Tell(true, wire.HostReady, first)
+	journal.AddServers(true, wire.HostReady, first)
 	const maxDescriptors = 128
 	front := startFront(t, siteSettings(), serverListEvents([]*platformsim.Server{first}, 0), journal.Addr(),
 		maxDescriptors, "sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0" "$@"`, maxDescriptors))
@@ -340,10 +340,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer second.Die()
-	newJournal.Tell(false, wire.HostReady, second)
+	defer second.Kill()
+	newJournal.AddServers(false, wire.HostReady, second)
 	flood()
-	first.Die() // only the newly listed server is left
+	first.Kill() // only the newly listed server is left
 	text, err := os.ReadFile(front.path)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/tealledge/days.go
+++ b/cmd/tealledge/days.go
@@ -28,7 +28,7 @@
 }
 
 func (c *dayCmd) Run(ctx context.Context) error {
-	script, err := day.Bad()
+	script, err := day.BadDay()
 	if c.File != "" {
 		script, err = day.Load(c.File)
 	}
@@ -39,7 +39,7 @@
 		script.HLS = c.HLS
 	}
 	if c.Calm {
-		script.Troubles = nil
+		script.Faults = nil
 	}
 	if c.Seed != 0 {
 		script.Seed = c.Seed
@@ -58,7 +58,7 @@
 			return err
 		}
 		report, err := day.Run(ctx, script, day.Options{Command: []string{executable, "serve", "-c"}, Dir: dir,
-			Baseline: c.Baseline, NoRecover: c.NoRecover, Out: os.Stderr})
+			Baseline: c.Baseline, NoRecovery: c.NoRecover, Out: os.Stderr})
 		if err != nil {
 			return err
 		}
--- a/cmd/tealledge/demo.go
+++ b/cmd/tealledge/demo.go
@@ -34,16 +34,16 @@
 }
 
 func (c *standinMediaCmd) Run(ctx context.Context) error {
-	script, err := day.Bad()
+	script, err := day.BadDay()
 	if err != nil {
 		return err
 	}
 	settings := script.Service.Service
 	farm, err := mediasim.New(mediasim.Params{Ladder: settings.RungKB, Slots: script.Slots, LinkKB: script.LinkKB,
 		UplinkKB: script.UplinkKB, Racks: settings.Racks,
-		Cells: settings.Cells, SetupTime: script.SetupTime, ReportEvery: script.ReportEvery,
-		NotesLate: time.Duration(settings.NoteDelay),
-		TellEvery: time.Duration(settings.NoteInterval), Inline: true, Keep: script.Keep}, c.Servers, nil)
+		Cells: settings.Cells, SetupTime: script.SetupTime, ReportInterval: script.ReportInterval,
+		NoteDelay:    time.Duration(settings.NoteDelay),
+		NoteInterval: time.Duration(settings.NoteInterval), InlineReports: true, SessionTimeout: script.StreamTTL}, c.Servers, nil)
 	if err != nil {
 		return err
 	}
@@ -172,14 +172,14 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	script, err := day.Bad()
+	script, err := day.BadDay()
 	if err != nil {
 		return err
 	}
 	script.Fronts = 1
 	path := filepath.Join(dir, "settings.sexp")
-	if err := os.WriteFile(path, []byte(script.Settings(day.Place{Name: "demo", Listen: c.Listen, List: listAddr,
-		State: filepath.Join(dir, "state")}, "")), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(script.Settings(day.FrontParams{Name: "demo", Listen: c.Listen, ListAddr: listAddr,
+		StateDir: filepath.Join(dir, "state")}, "")), 0o644); err != nil {
 		return err
 	}
 	front, err := startChild("serve", "--pretty", "-c", path)
--- a/cmd/tealledge/explore.go
+++ b/cmd/tealledge/explore.go
@@ -52,13 +52,13 @@
 func (c *exploreCmd) Run(ctx context.Context) error {
 	cfg := c.config()
 	if c.World == "small" {
-		cfg = attempts.Small(max(c.Faults, 1))
+		cfg = attempts.SmallConfig(max(c.Faults, 1))
 	}
 	if cfg.Sessions < 1 || cfg.Sessions > 100 || cfg.Servers < 1 || cfg.Servers > 8 {
 		return fmt.Errorf("1 to 100 sessions and 1 to 8 servers")
 	}
 	if c.Fault != "" {
-		if err := cfg.Spoil(c.Fault); err != nil {
+		if err := cfg.InjectFault(c.Fault); err != nil {
 			return err
 		}
 	}
@@ -71,18 +71,18 @@
 	workers := c.Workers
 	var report explore.Report
 	if c.Random {
-		report = explore.Walk(ctx, newWorld, c.Depth, max(workers, 1), c.Time, c.Seed)
+		report = explore.RandomWalk(ctx, newWorld, c.Depth, max(workers, 1), c.Time, c.Seed)
 	} else {
-		report = explore.Run(newWorld, explore.Limits{Context: ctx, Depth: c.Depth, Time: c.Time, States: c.States,
-			Breadth: c.Breadth, Replay: c.Replay,
-			Workers: workers, Keep: c.Keep, World: fmt.Sprintf("%+v", cfg),
+		report = explore.Run(newWorld, explore.Limits{Context: ctx, MaxDepth: c.Depth, MaxDuration: c.Time, MaxStates: c.States,
+			BreadthFirst: c.Breadth, ReplayOnly: c.Replay,
+			Workers: workers, CheckpointFile: c.Keep, World: fmt.Sprintf("%+v", cfg),
 			Progress: func(report explore.Report) { fmt.Fprintln(os.Stderr, report) }})
 	}
 	fmt.Println(report)
-	if report.Kept != nil {
-		fmt.Fprintln(os.Stderr, report.Kept)
+	if report.CheckpointErr != nil {
+		fmt.Fprintln(os.Stderr, report.CheckpointErr)
 	}
-	if report.Broken == "" {
+	if report.Violation == "" {
 		return nil
 	}
 	if c.Script != "" {
@@ -102,7 +102,7 @@
 // worldFactory returns a function that creates worlds: empty ones, or worlds in the state that a record shows.
 func (c *exploreCmd) worldFactory(cfg attempts.Config) (func() explore.System, error) {
 	if c.From == "" {
-		return attempts.NewAfter(cfg, nil), nil
+		return attempts.NewWithChoices(cfg, nil), nil
 	}
 	f, err := os.Open(c.From)
 	if err != nil {
@@ -121,5 +121,5 @@
 	for _, l := range labels {
 		fmt.Fprintln(os.Stderr, " ", l)
 	}
-	return attempts.NewAfter(cfg, labels), nil
+	return attempts.NewWithChoices(cfg, labels), nil
 }
--- a/cmd/tealledge/flood_test.go
+++ b/cmd/tealledge/flood_test.go
@@ -60,17 +60,17 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			viewer.Write(strings.Replace(platformsim.Form(sid, "only", 1500*time.Millisecond, ""),
+			viewer.Write(strings.Replace(platformsim.OpenLine(sid, "only", 1500*time.Millisecond, ""),
 				"copies:3", "copies:1", 1))
 			select {
 			case line := <-viewer.Lines:
 				if line.Msg == wire.LineReady {
 					plays++
-					viewer.GiveUp(sid)
+					viewer.Cancel(sid)
 				} else {
 					refused++
 				}
-			case <-viewer.Ended:
+			case <-viewer.Closed:
 				closed++
 			case <-time.After(3 * time.Second):
 				b.Fatalf("no reply: %s", front.log.String())
@@ -86,6 +86,6 @@
 		b.ReportMetric(float64(idle.Load()), "idle")
 		front.cmd.Process.Kill()
 		<-front.ended
-		server.Die()
+		server.Kill()
 	}
 }
--- a/cmd/tealledge/hlsload.go
+++ b/cmd/tealledge/hlsload.go
@@ -46,14 +46,14 @@
 			liveTitles = append(liveTitles, t)
 		}
 	}
-	pid := world.Pid(0)
+	pid := world.FrontPID(0)
 	rssBefore := residentBytes(pid)
 	var cpuBefore time.Duration
 	var startedAt time.Time
 	_, addr := world.FrontHLS(0)
 	result, err := load.HLS(ctx, load.HLSPlan{Addr: addr, Titles: liveTitles, Class: script.Service.Classes[0],
-		Sessions: c.Sessions, Rate: c.Rate, Every: c.Every,
-		Length: c.Length, Workers: 256}, func() { cpuBefore, startedAt = cpuTime(pid), time.Now() })
+		Sessions: c.Sessions, Rate: c.Rate, ReloadInterval: c.Every,
+		Duration: c.Length, Workers: 256}, func() { cpuBefore, startedAt = cpuTime(pid), time.Now() })
 	if err != nil {
 		return err
 	}
@@ -66,6 +66,6 @@
 		cpuSeconds/time.Since(startedAt).Seconds(),
 		cpuSeconds*1e6/float64(max(result.Reloads, 1)), rssBefore/1024, residentBytes(pid)/1024,
 		float64(residentBytes(pid)-rssBefore)/1024/float64(max(result.Held, 1)))
-	world.Leave()
+	world.ShutdownFronts()
 	return nil
 }
--- a/cmd/tealledge/load.go
+++ b/cmd/tealledge/load.go
@@ -37,9 +37,9 @@
 }
 
 func (c *loadCmd) Run(ctx context.Context) error {
-	plan := load.Plan{Clients: c.Clients, Rate: c.Rate, Length: c.Length, Shape: load.Shape(c.Shape),
-		Hold: [2]time.Duration{c.HoldMin, c.HoldMax},
-		Bad:  c.Bad, Wait: c.Wait, Titles: c.Titles, Classes: c.Classes, Tenant: c.Tenant, Seed: c.Seed}
+	plan := load.Plan{Clients: c.Clients, Rate: c.Rate, Duration: c.Length, Shape: load.Shape(c.Shape),
+		HoldTime:         [2]time.Duration{c.HoldMin, c.HoldMax},
+		MisbehavingShare: c.Bad, Timeout: c.Wait, Titles: c.Titles, Classes: c.Classes, Tenant: c.Tenant, Seed: c.Seed}
 	if c.URL != "" {
 		addr, _, _ := strings.Cut(strings.TrimPrefix(c.URL, "ws://"), "/")
 		plan.Front = func(int) (string, string) { return "front", addr }
@@ -51,7 +51,7 @@
 	}
 	script, err := day.Load(c.Script)
 	if c.Script == "" {
-		script, err = day.Quiet()
+		script, err = day.QuietDay()
 	}
 	if err != nil {
 		return err
@@ -70,8 +70,8 @@
 		return err
 	}
 	defer world.Close()
-	plan.Front, plan.Titles, plan.Classes, plan.Mix = world.Front, script.TitleNames(), script.Service.Classes, script.Mix
-	waitTroubles := world.Troubles(ctx)
+	plan.Front, plan.Titles, plan.Classes, plan.ClassShares = world.Front, script.TitleNames(), script.Service.Classes, script.ClassMix
+	waitTroubles := world.StartFaults(ctx)
 	result, err := load.Run(ctx, plan, world.Record())
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 func (c *loadCmd) print(result *load.Result) error {
 	if c.Plot != "" {
 		if err := load.Plot(c.Plot, "open to answer (loopback)", "share of requests, in nines", "ms",
-			[]load.Line{result.Curve("answers")}); err != nil {
+			[]load.Series{result.LatencyCurve("answers")}); err != nil {
 			return err
 		}
 	}
@@ -161,7 +161,7 @@
 		command = []string{command[0], "serve", "--cpuprofile", c.CPU, "-c"}
 	}
 	world, err := day.Open(ctx, script, day.Options{Command: command, Dir: dir, Out: os.Stderr, NoRecord: true,
-		Limits: "(limits (handshakes 100000))"})
+		LimitsForm: "(limits (handshakes 100000))"})
 	if err != nil {
 		return err
 	}
@@ -175,15 +175,15 @@
 	if err != nil {
 		return err
 	}
-	base := load.Plan{Clients: c.Clients, Length: c.Length, Shape: load.Closed, Titles: script.TitleNames(),
+	base := load.Plan{Clients: c.Clients, Duration: c.Length, Shape: load.Closed, Titles: script.TitleNames(),
 		Classes: script.Service.Classes[:1], Seed: 1}
 	frontPlan, echoPlan := base, base
 	frontPlan.Front = world.Front
 	echoPlan.Front = func(int) (string, string) { return "echo", strings.TrimSuffix(echoAddr, "/") }
-	echoPlan.Echo = true
+	echoPlan.PeerEchoes = true
 	frontPlan.Shape = load.Poisson
 	// Memory is measured first, before other loads change that of the process.
-	if err := c.measureMemory(ctx, frontPlan, world.Pid(0)); err != nil {
+	if err := c.measureMemory(ctx, frontPlan, world.FrontPID(0)); err != nil {
 		return err
 	}
 	if err := c.measureIdle(ctx, world); err != nil {
@@ -203,7 +203,7 @@
 		return result, cpu, nil
 	}
 	for i := range c.Rounds {
-		frontResult, frontCPU, err := run(fmt.Sprintf("front, closed %d", i+1), frontPlan, world.Pid(0))
+		frontResult, frontCPU, err := run(fmt.Sprintf("front, closed %d", i+1), frontPlan, world.FrontPID(0))
 		if err != nil {
 			return err
 		}
@@ -215,7 +215,7 @@
 			frontResult.Opened/echoResult.Opened, frontCPU/echoCPU)
 	}
 	frontPlan.Shape, echoPlan.Shape, frontPlan.Rate, echoPlan.Rate = load.Poisson, load.Poisson, 200, 200
-	frontResult, _, err := run("front, 200 a second", frontPlan, world.Pid(0))
+	frontResult, _, err := run("front, 200 a second", frontPlan, world.FrontPID(0))
 	if err != nil {
 		return err
 	}
@@ -225,7 +225,7 @@
 	}
 	fmt.Printf("  front adds: p50 %.2f ms, p99 %.2f ms (two round trips and the server's own time against one)\n",
 		frontResult.Latency.P50-echoResult.Latency.P50, frontResult.Latency.P99-echoResult.Latency.P99)
-	world.Leave()
+	world.ShutdownFronts()
 	return nil
 }
 
@@ -234,7 +234,7 @@
 	if c.Idle == 0 {
 		return nil
 	}
-	pid := world.Pid(0)
+	pid := world.FrontPID(0)
 	rssBefore := residentBytes(pid)
 	var conns []net.Conn
 	defer func() {
@@ -262,11 +262,11 @@
 // measureMemory holds sessions over a few connections and measures memory and descriptors of the process meanwhile.
 func (c *measureCmd) measureMemory(ctx context.Context, plan load.Plan, pid int) error {
 	rssBefore, filesBefore := residentBytes(pid), openFiles(pid)
-	plan.Clients, plan.Rate, plan.Length = 50, 1000, time.Duration(float64(c.Held)/1000*float64(time.Second))
-	plan.Hold = [2]time.Duration{time.Hour, time.Hour}
+	plan.Clients, plan.Rate, plan.Duration = 50, 1000, time.Duration(float64(c.Held)/1000*float64(time.Second))
+	plan.HoldTime = [2]time.Duration{time.Hour, time.Hour}
 	type sample struct{ rss, files int }
 	samples := make(chan sample, 1)
-	time.AfterFunc(plan.Length-50*time.Millisecond, func() { samples <- sample{residentBytes(pid), openFiles(pid)} })
+	time.AfterFunc(plan.Duration-50*time.Millisecond, func() { samples <- sample{residentBytes(pid), openFiles(pid)} })
 	result, err := load.Run(ctx, plan, nil)
 	if err != nil {
 		return err
@@ -319,12 +319,12 @@
 // unlimitedScript returns a day without faults, with one front and with servers that accept all set-ups at once, so that
 // only the front limits the results.
 func unlimitedScript() (*day.Script, error) {
-	script, err := day.Quiet()
+	script, err := day.QuietDay()
 	if err != nil {
 		return nil, err
 	}
 	script.Fronts, script.SetupTime = 1, 0
 	script.Slots, script.LinkKB, script.UplinkKB = 1e6, 1e9, 1e10
-	script.Scale()
+	script.SyncCapacities()
 	return script, nil
 }
--- a/cmd/tealledge/signals_test.go
+++ b/cmd/tealledge/signals_test.go
@@ -94,18 +94,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer first.Die()
+	defer first.Kill()
 	second, err := platformsim.NewServer(world, 0x10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer second.Die()
+	defer second.Kill()
 	journal, err := platformsim.NewJournal(world, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer journal.Close()
-	journal.Tell(true, wire.HostReady, first)
+	journal.AddServers(true, wire.HostReady, first)
 	front := startFront(t, siteSettings(), serverListEvents([]*platformsim.Server{first}, 0), journal.Addr(), 256)
 	front.waitReady()
 	front.waitForSession(world, "only", 100)
@@ -120,11 +120,11 @@
 	for range 3 {
 		front.waitForSession(world, "only", 200)
 	}
-	newJournal.Tell(false, wire.HostReady, second)
+	newJournal.AddServers(false, wire.HostReady, second)
 	pipe.WriteString(strings.Replace(string(text), journal.Addr(), newJournal.Addr(), 1))
 	pipe.Close()
 	front.waitUntil("the new list", func() bool { return strings.Count(front.log.String(), `"server list"`) >= 2 })
-	first.Die()
+	first.Kill()
 	front.waitForSession(world, "only", 300)
 }
 
--- a/internal/audit/upkeep.go
+++ b/internal/audit/upkeep.go
@@ -13,11 +13,11 @@
 // never against what fronts report.
 
 // UpkeepLimits holds the parameters of the rules on machines that are out for work.
-type Upkeep struct {
-	Rack, Zone, Whole int           // servers that may be out at one time: in a rack, in a zone, in all
-	Racks, Zones      int           // their number; a server is in its cell's rack, racks take zones in turn
-	Cells             int           // their number
-	Grace             time.Duration // events closer than this have no known order
+type UpkeepLimits struct {
+	MaxPerRack, MaxPerZone, MaxTotal int           // servers that may be out at one time: in a rack, in a zone, in all
+	Racks, Zones                     int           // their number; a server is in its cell's rack, racks take zones in turn
+	Cells                            int           // their number
+	Grace                            time.Duration // events closer than this have no known order
 }
 
 // The names of the rules on machines that are out for work. They are printed in reports.
@@ -39,7 +39,7 @@
 }
 
 // JudgeUpkeep checks events, which are ordered by time, against the rules on machines that are out for work.
-func JudgeUpkeep(events []record.Event, limits Upkeep) (violations []Violation, checked map[string]int) {
+func JudgeUpkeep(events []record.Event, limits UpkeepLimits) (violations []Violation, checked map[string]int) {
 	checked = map[string]int{}
 	report := func(rule string, e record.Event, text string) {
 		violations = append(violations, Violation{Rule: rule, Event: e, Text: text})
@@ -90,7 +90,7 @@
 					zones++
 				}
 			}
-			if racks > limits.Rack || zones > limits.Zone || len(outNow) > limits.Whole {
+			if racks > limits.MaxPerRack || zones > limits.MaxPerZone || len(outNow) > limits.MaxTotal {
 				report(RuleMaxOut, e, formatOutCounts(racks, zones, len(outNow), limits))
 			}
 			if o := out[e.Server]; o != nil && o.returnedAt == 0 {
@@ -138,6 +138,6 @@
 }
 
 // formatOutCounts describes how many servers are out and how many may be.
-func formatOutCounts(racks, zones, total int, limits Upkeep) string {
-	return fmt.Sprintf("servers out, this one included: %d in its rack, %d in its zone, %d in all; limits: %d, %d and %d", racks, zones, total, limits.Rack, limits.Zone, limits.Whole)
+func formatOutCounts(racks, zones, total int, limits UpkeepLimits) string {
+	return fmt.Sprintf("servers out, this one included: %d in its rack, %d in its zone, %d in all; limits: %d, %d and %d", racks, zones, total, limits.MaxPerRack, limits.MaxPerZone, limits.MaxTotal)
 }
--- a/internal/audit/upkeep_test.go
+++ b/internal/audit/upkeep_test.go
@@ -11,7 +11,7 @@
 // TestDetectsViolationOfEachUpkeepRule checks that each rule on machines that are out for work is reported for a record
 // that breaks it, and not for a similar record that keeps it.
 func TestDetectsViolationOfEachUpkeepRule(t *testing.T) {
-	u := Upkeep{Rack: 1, Zone: 2, Whole: 2, Cells: 12, Racks: 6, Zones: 3, Grace: 250 * time.Millisecond}
+	u := UpkeepLimits{MaxPerRack: 1, MaxPerZone: 2, MaxTotal: 2, Cells: 12, Racks: 6, Zones: 3, Grace: 250 * time.Millisecond}
 	at := func(ms int64, what string, e record.Event) record.Event {
 		e.At, e.Kind = ms*1e6, what
 		return e
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -89,7 +89,7 @@
 }
 
 func TestReportsMistakesInScripts(t *testing.T) {
-	if _, err := Bad(); err != nil {
+	if _, err := BadDay(); err != nil {
 		t.Fatal(err)
 	}
 	for from, want := range map[[2]string]string{
@@ -110,7 +110,7 @@
 
 // TestArrivalsAreDeterministic checks that one seed always gives the same viewers, and that a hot title draws many.
 func TestArrivalsAreDeterministic(t *testing.T) {
-	s, _ := Bad()
+	s, _ := BadDay()
 	a, b := s.arrivals(), s.arrivals()
 	if len(a) < 200 || len(a) != len(b) || a[100] != b[100] {
 		t.Fatal(len(a), len(b))
--- a/internal/day/faults.go
+++ b/internal/day/faults.go
@@ -18,9 +18,9 @@
 	wait := func(d time.Duration) { sleep(ctx, d) }
 	setFault := func(set func(f *mediasim.Faults)) {
 		for _, m := range w.reserveServers(fault.Servers) {
-			m.Fault(set)
+			m.UpdateFaults(set)
 			defer w.releaseServer(m)
-			defer m.Fault(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
+			defer m.UpdateFaults(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
 		}
 		wait(fault.Duration)
 	}
@@ -28,19 +28,19 @@
 	case "hang":
 		setFault(func(f *mediasim.Faults) { f.Stalled = true })
 	case "errors":
-		setFault(func(f *mediasim.Faults) { f.Errors = fault.Share })
+		setFault(func(f *mediasim.Faults) { f.SetupErrors = fault.Share })
 	case "lose":
-		setFault(func(f *mediasim.Faults) { f.Lose = fault.Share })
+		setFault(func(f *mediasim.Faults) { f.LostReplies = fault.Share })
 	case "garbage":
-		setFault(func(f *mediasim.Faults) { f.Garbage = fault.Share })
+		setFault(func(f *mediasim.Faults) { f.GarbageReplies = fault.Share })
 	case "half":
-		setFault(func(f *mediasim.Faults) { f.Half = fault.Share })
+		setFault(func(f *mediasim.Faults) { f.TruncatedReplies = fault.Share })
 	case "slow-reader":
 		setFault(func(f *mediasim.Faults) { f.Slow = true })
 	case "take-link":
-		setFault(func(f *mediasim.Faults) { f.Taken = fault.Share })
+		setFault(func(f *mediasim.Faults) { f.LinkTaken = fault.Share })
 	case "vanish":
-		w.takeDown(fault, wait, func(m *mediasim.Server) { m.Fault(func(f *mediasim.Faults) { f.Silent = true }) })
+		w.takeDown(fault, wait, func(m *mediasim.Server) { m.UpdateFaults(func(f *mediasim.Faults) { f.Silent = true }) })
 	case "crash":
 		w.takeDown(fault, wait, (*mediasim.Server).Kill)
 	case "drain":
@@ -50,31 +50,31 @@
 	case "path-silent", "path-resets", "path-stalls":
 		servers := w.reserveServers(fault.Servers)
 		for _, m := range servers {
-			m.Path(fault.Network, strings.TrimPrefix(fault.Kind, "path-"))
+			m.SetAddressMode(fault.Network, strings.TrimPrefix(fault.Kind, "path-"))
 		}
 		wait(fault.Duration)
 		for _, m := range servers {
-			m.Path(fault.Network, mediasim.PathGood)
+			m.SetAddressMode(fault.Network, mediasim.AddressGood)
 			w.releaseServer(m)
 		}
 	case "sag":
-		w.farm.Sag(fault.Rack, fault.Share)
+		w.farm.LimitUplink(fault.Rack, fault.Share)
 		wait(fault.Duration)
-		w.farm.Sag(fault.Rack, 1)
+		w.farm.LimitUplink(fault.Rack, 1)
 	case "list-lag":
-		w.serverList.Lag(fault.Lag)
+		w.serverList.SetDelay(fault.Lag)
 		wait(fault.Duration)
-		w.serverList.Lag(0)
+		w.serverList.SetDelay(0)
 	case "list-fail":
-		w.serverList.Fail(true)
+		w.serverList.SetFailing(true)
 		wait(fault.Duration)
-		w.serverList.Fail(false)
+		w.serverList.SetFailing(false)
 	case "list-empty":
-		w.serverList.Empty(true)
+		w.serverList.SetEmpty(true)
 		wait(fault.Duration)
-		w.serverList.Empty(false)
+		w.serverList.SetEmpty(false)
 	case "list-rewind":
-		w.serverList.Rewind()
+		w.serverList.ResetIndex()
 	case "kill-front":
 		p := w.fronts[fault.Front]
 		p.kill()
--- a/internal/day/fronts_test.go
+++ b/internal/day/fronts_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Scale()
+	s.SyncCapacities()
 	w, err := Open(context.Background(), s, Options{Command: []string{os.Args[0], "-test.run=^$"}, Dir: t.TempDir(), Out: os.Stderr})
 	if err != nil {
 		t.Fatal(err)
@@ -47,7 +47,7 @@
 // setFaultOnAll sets a fault on all servers.
 func (w *world) setFaultOnAll(set func(f *mediasim.Faults)) {
 	for _, m := range w.farm.Servers() {
-		m.Fault(set)
+		m.UpdateFaults(set)
 	}
 }
 
@@ -55,8 +55,8 @@
 func (w *world) startLoad(t *testing.T, rate float64, length time.Duration, clients int) func() *load.Result {
 	done := make(chan *load.Result, 1)
 	go func() {
-		r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: clients, Rate: rate, Length: length, Shape: load.Poisson,
-			Hold: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.script.TitleNames(), Classes: []string{"safe"}, Seed: 1}, w.records)
+		r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: clients, Rate: rate, Duration: length, Shape: load.Poisson,
+			HoldTime: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.script.TitleNames(), Classes: []string{"safe"}, Seed: 1}, w.records)
 		if err != nil {
 			t.Error(err)
 		}
@@ -115,8 +115,8 @@
 // them misbehave.
 func TestBurstsOfThirtyAcrossTwoFronts(t *testing.T) {
 	w := openWorld(t, "2")
-	r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: 60, Rate: 200, Length: 2 * time.Second, Shape: load.Classes, Bad: 0.1,
-		Hold: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.script.TitleNames(), Classes: []string{"safe", "floored"}, Seed: 2}, w.records)
+	r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: 60, Rate: 200, Duration: 2 * time.Second, Shape: load.Classes, MisbehavingShare: 0.1,
+		HoldTime: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.script.TitleNames(), Classes: []string{"safe", "floored"}, Seed: 2}, w.records)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,10 +198,10 @@
 		}
 	}
 	deadline := time.Now().Add(15 * time.Second)
-	for w.farm.Streams() != 15 && time.Now().Before(deadline) {
+	for w.farm.StreamCount() != 15 && time.Now().Before(deadline) {
 		time.Sleep(50 * time.Millisecond)
 	}
-	if n := w.farm.Streams(); n != 15 {
+	if n := w.farm.StreamCount(); n != 15 {
 		t.Errorf("%d streams play, want 15", n)
 	}
 	for _, o := range list[:15] {
--- a/internal/day/process.go
+++ b/internal/day/process.go
@@ -20,16 +20,16 @@
 		return err
 	}
 	path := filepath.Join(dir, "settings.sexp")
-	text := p.world.script.Settings(Place{p.name, p.addr, p.hlsAddr, p.world.serverList.Addr(), filepath.Join(dir,
+	text := p.world.script.Settings(FrontParams{p.name, p.addr, p.hlsAddr, p.world.serverList.Addr(), filepath.Join(dir,
 		"state"), p.index}, p.world.options.Baseline)
-	if p.world.options.NoRecover {
+	if p.world.options.NoRecovery {
 		text = strings.Replace(text, "(front ", "(front (recover no) ", 1)
 	}
-	if p.world.options.Limits != "" {
-		text = strings.Replace(text, "(front ", "(front "+p.world.options.Limits+" ", 1)
+	if p.world.options.LimitsForm != "" {
+		text = strings.Replace(text, "(front ", "(front "+p.world.options.LimitsForm+" ", 1)
 	}
-	if p.world.options.Extra != nil {
-		text += p.world.options.Extra(p.index)
+	if p.world.options.ExtraSettings != nil {
+		text += p.world.options.ExtraSettings(p.index)
 	}
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return err
@@ -111,7 +111,7 @@
 }
 
 // ShutdownFronts shuts down all fronts gracefully.
-func (w *world) Leave() { w.shutdownFronts() }
+func (w *world) ShutdownFronts() { w.shutdownFronts() }
 
 // shutdownFronts sends SIGTERM to all fronts and waits for them. A front that has not exited after 15 s is killed.
 func (w *world) shutdownFronts() {
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -23,15 +23,15 @@
 
 // Options are the options of a run.
 type Options struct {
-	Command   []string // starts a front; the path of its settings file is appended
-	NoRecover bool     // fronts restore no state when they restart, for comparison with recovery
-	Dir       string   // for settings, states, logs and records
-	Baseline  string   // "": the decision module
-	Out       io.Writer
-	Env       []string               // additional environment variables of the fronts
-	Limits    string                 // a (limits ...) form for the settings of the fronts
-	Extra     func(front int) string // additional forms for a front's settings
-	NoRecord  bool                   // for measurements: no events are recorded, so the run can't be audited
+	Command       []string // starts a front; the path of its settings file is appended
+	NoRecovery    bool     // fronts restore no state when they restart, for comparison with recovery
+	Dir           string   // for settings, states, logs and records
+	Baseline      string   // "": the decision module
+	Out           io.Writer
+	Env           []string               // additional environment variables of the fronts
+	LimitsForm    string                 // a (limits ...) form for the settings of the fronts
+	ExtraSettings func(front int) string // additional forms for a front's settings
+	NoRecord      bool                   // for measurements: no events are recorded, so the run can't be audited
 }
 
 // world is a running day.
@@ -44,7 +44,7 @@
 	serverList *listsim.List
 	players    *playersim.Crowd
 	fronts     []*process
-	ports      *ports.Kept // addresses of fronts
+	ports      *ports.Reservation // addresses of fronts
 	mu         sync.Mutex
 	inFault    map[uint32]bool // servers that a fault uses
 	faultsDone sync.WaitGroup
@@ -112,21 +112,21 @@
 		return err
 	}
 	w.farm, err = mediasim.New(mediasim.Params{Ladder: service.RungKB, Slots: s.Slots, LinkKB: s.LinkKB,
-		UplinkKB: s.UplinkKB, Uneven: s.LinkSpread,
-		Racks: service.Racks, Cells: service.Cells, SetupTime: s.SetupTime, ReportEvery: s.ReportEvery,
-		NotesLate: toDuration(service.NoteDelay),
-		TellEvery: toDuration(service.NoteInterval), FullFrom: service.FullThreshold, Inline: service.InlineReports,
-		ColdSpan: toDuration(service.WarmupTime), ColdFrom: service.ColdCapacity,
-		FallTimes: service.OverloadFactor, FallOver: toDuration(service.OverloadWindow), Keep: s.Keep,
-		Holds: s.holdsTitle, Seed: s.Seed,
-		Families: s.Families, Dir: w.options.Dir, HTTP: s.HLS > 0, Keys: keys}, s.Servers, w.records)
+		UplinkKB: s.UplinkKB, RateVariation: s.LinkSpread,
+		Racks: service.Racks, Cells: service.Cells, SetupTime: s.SetupTime, ReportInterval: s.ReportInterval,
+		NoteDelay:    toDuration(service.NoteDelay),
+		NoteInterval: toDuration(service.NoteInterval), FullThreshold: service.FullThreshold, InlineReports: service.InlineReports,
+		WarmupTime: toDuration(service.WarmupTime), ColdCapacity: service.ColdCapacity,
+		OverloadFactor: service.OverloadFactor, OverloadWindow: toDuration(service.OverloadWindow), SessionTimeout: s.StreamTTL,
+		HoldsTitle: s.holdsTitle, Seed: s.Seed,
+		ExtraFamilies: s.Families, SocketDir: w.options.Dir, ServeHLS: s.HLS > 0, TokenKeys: keys}, s.Servers, w.records)
 	if err != nil {
 		return err
 	}
 	for _, m := range w.farm.Servers() {
 		w.serverList.Set(w.listEntry(m, "ready"))
 	}
-	if w.ports, err = ports.Keep(2 * s.Fronts); err != nil {
+	if w.ports, err = ports.Reserve(2 * s.Fronts); err != nil {
 		return err
 	}
 	for i := range s.Fronts {
@@ -177,12 +177,12 @@
 }
 
 // FrontPID returns the process id of a front.
-func (w *world) Pid(n int) int { return w.fronts[n].cmd.Process.Pid }
+func (w *world) FrontPID(n int) int { return w.fronts[n].cmd.Process.Pid }
 
 // StartFaults starts the faults of the script, whose times count from now. The function it returns waits for their end.
-func (w *world) Troubles(ctx context.Context) (wait func()) {
+func (w *world) StartFaults(ctx context.Context) (wait func()) {
 	startedAt := time.Now()
-	for _, t := range w.script.Troubles {
+	for _, t := range w.script.Faults {
 		w.faultsDone.Add(1)
 		go func() {
 			defer w.faultsDone.Done()
@@ -197,7 +197,7 @@
 // Judge shuts down the fronts, waits until the servers have ended orphaned streams, and audits the records.
 func (w *world) Judge(ctx context.Context) (*audit.Report, error) {
 	w.shutdownFronts()
-	if err := sleep(ctx, w.script.Keep+500*time.Millisecond); err != nil {
+	if err := sleep(ctx, w.script.StreamTTL+500*time.Millisecond); err != nil {
 		return nil, err
 	}
 	w.records.Add(record.Event{Source: "day", Kind: record.DayFinished})
@@ -213,10 +213,10 @@
 func (w *world) playDay(ctx context.Context) error {
 	// n + n/7 loads the fronts unevenly.
 	w.players = playersim.New(w.records, w.script.Seed, 0.88, func(n int) (string, string) { return w.Front(n + n/7) })
-	w.players.ResumeFor = 3 * time.Second
+	w.players.ResumeWindow = 3 * time.Second
 	viewers, cancel := context.WithCancel(ctx)
 	defer cancel()
-	waitForFaults := w.Troubles(viewers)
+	waitForFaults := w.StartFaults(viewers)
 	var activeViewers sync.WaitGroup
 	startedAt := time.Now()
 	for _, a := range w.script.arrivals() {
@@ -288,23 +288,23 @@
 		zone = w.script.Service.Zones[m.Cell%max(w.script.Service.Service.Racks, 1)%n]
 	}
 	return listsim.Server{ID: m.ID, Addr: m.Addr(), Cell: m.Cell, Zone: zone, Kind: kind, Size: 1,
-		Started: m.Started(), Health: health, More: m.Addrs()[1:],
-		HTTP: m.HTTPAddr()}
+		StartedAt: m.StartedAt(), Health: health, ExtraAddrs: m.Addrs()[1:],
+		HTTPAddr: m.HTTPAddr()}
 }
 
 // viewerFor returns the viewer that an arrival stands for.
 func (w *world) viewerFor(a arrival) playersim.Viewer {
 	class := w.script.Service.Service.Classes[a.class]
 	v := playersim.Viewer{Name: fmt.Sprintf("viewer-%d", a.index), Title: w.script.titleName(a.title),
-		Class: w.script.Service.Classes[a.class], ClassN: a.class,
-		Top: a.topRung, Length: a.watch, Worth: class.Worth}
+		Class: w.script.Service.Classes[a.class], ClassIndex: a.class,
+		Top: a.topRung, WatchTime: a.watch, Worth: class.Worth}
 	if len(w.script.Service.Tenants) > 0 {
 		v.Tenant = w.script.Service.Tenants[0]
 	}
-	behaviors := []playersim.Bad{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame, playersim.Garbage,
+	behaviors := []playersim.Misbehaviour{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame, playersim.Garbage,
 		playersim.Unmasked}
 	if a.badDraw < w.script.BadShare {
-		v.Bad = behaviors[int(a.badDraw/w.script.BadShare*float64(len(behaviors)))]
+		v.Misbehaviour = behaviors[int(a.badDraw/w.script.BadShare*float64(len(behaviors)))]
 	}
 	return v
 }
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -36,16 +36,16 @@
 	MaxWatch        time.Duration
 	BadShare        float64   // share of the viewers that misbehave
 	HLS             float64   // share of the viewers that use HLS
-	Mix             []float64 // share of the viewers of each class; empty: equal shares
+	ClassMix        []float64 // share of the viewers of each class; empty: equal shares
 	Slots           float64
 	LinkKB          float64
 	UplinkKB        float64
 	LinkSpread      float64 // links and uplinks differ from their mean by up to this share
 	SetupTime       time.Duration
-	ReportEvery     time.Duration // interval at which servers refresh their load values
-	Keep            time.Duration // how long servers keep a stream whose connection was lost
+	ReportInterval  time.Duration // interval at which servers refresh their load values
+	StreamTTL       time.Duration // how long servers keep a stream whose connection was lost
 	Families        []string      // additional addresses of each server: ipv6, unix
-	Troubles        []Fault
+	Faults          []Fault
 	ServiceText     string // the (service ...) form as written
 	Service         *config.Config
 }
@@ -93,10 +93,10 @@
 }
 
 // BadDay returns the built-in day with many faults.
-func Bad() (*Script, error) { return Parse("bad.sexp", badDay) }
+func BadDay() (*Script, error) { return Parse("bad.sexp", badDay) }
 
 // QuietDay returns the built-in day without faults.
-func Quiet() (*Script, error) { return Parse("quiet.sexp", quietDay) }
+func QuietDay() (*Script, error) { return Parse("quiet.sexp", quietDay) }
 
 // TitleNames returns the names of the titles.
 func (s *Script) TitleNames() (list []string) {
@@ -107,7 +107,7 @@
 }
 
 // SyncCapacities sets the capacities in the service's settings to those of the stand-ins, after these were changed.
-func (s *Script) Scale() {
+func (s *Script) SyncCapacities() {
 	for _, f := range [][2]string{{"weight-kb", fmt.Sprint(int64(s.LinkKB))}, {"rack-kb", fmt.Sprint(int64(s.UplinkKB))},
 		{"fleet-kb", fmt.Sprint(int64(s.LinkKB) * int64(s.Servers))}, {"slots", fmt.Sprint(int64(s.Slots))}} {
 		s.ServiceText = regexp.MustCompile(`\(`+f[0]+` [^)]*\)`).ReplaceAllString(s.ServiceText, "("+f[0]+" "+f[1]+")")
@@ -132,7 +132,7 @@
 	s := &Script{Seed: 1, Length: 20 * time.Second, Fronts: 2, Servers: 12, Titles: 20, Copies: 4, Rate: 5,
 		MinWatch: 2 * time.Second,
 		MaxWatch: 6 * time.Second, Slots: 24, LinkKB: 5000, UplinkKB: 20000, SetupTime: 4 * time.Millisecond,
-		ReportEvery: 300 * time.Millisecond, Keep: 2 * time.Second}
+		ReportInterval: 300 * time.Millisecond, StreamTTL: 2 * time.Second}
 	r := &config.Reader{}
 	root := &sexp.Node{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, IsList: true,
 		List: append([]*sexp.Node{{Text: "file"}}, nodes...)}
@@ -144,15 +144,15 @@
 		return nil, errors.Join(errs...)
 	}
 	// The service is parsed as by a front, to report its mistakes now.
-	s.Service, err = config.Parse(path+" (service)", s.Settings(Place{Name: "front-0", Listen: "127.0.0.1:0",
-		List: "127.0.0.1:1"}, ""))
+	s.Service, err = config.Parse(path+" (service)", s.Settings(FrontParams{Name: "front-0", Listen: "127.0.0.1:0",
+		ListAddr: "127.0.0.1:1"}, ""))
 	if err != nil {
 		return nil, err
 	}
-	if len(s.Mix) > 0 && len(s.Mix) != len(s.Service.Classes) {
-		return nil, fmt.Errorf("%s: mix has %d parts for %d classes", path, len(s.Mix), len(s.Service.Classes))
+	if len(s.ClassMix) > 0 && len(s.ClassMix) != len(s.Service.Classes) {
+		return nil, fmt.Errorf("%s: mix has %d parts for %d classes", path, len(s.ClassMix), len(s.Service.Classes))
 	}
-	for _, t := range s.Troubles {
+	for _, t := range s.Faults {
 		if t.Front >= s.Fronts || t.Rack >= s.Service.Service.Racks || t.Servers > s.Servers {
 			return nil, fmt.Errorf("%s: %s at %v names a front, rack or servers that the day does not have", path,
 				t.Kind, t.At)
@@ -208,7 +208,7 @@
 				if err != nil || v < 0 {
 					r.Fail(a, "mix: %q is not a share", a.Text)
 				}
-				s.Mix = append(s.Mix, v)
+				s.ClassMix = append(s.ClassMix, v)
 			}
 		},
 		"media": func(n *sexp.Node) {
@@ -218,8 +218,8 @@
 				"uplink-kb": floatField(&s.UplinkKB, 1, 1e12),
 				"uneven":    floatField(&s.LinkSpread, 0, 0.9),
 				"setup":     durationField(&s.SetupTime, time.Minute),
-				"report":    durationField(&s.ReportEvery, time.Minute),
-				"keep":      durationField(&s.Keep, time.Minute),
+				"report":    durationField(&s.ReportInterval, time.Minute),
+				"keep":      durationField(&s.StreamTTL, time.Minute),
 				"families": func(n *sexp.Node) {
 					for _, a := range n.Args() {
 						if a.Text != "ipv6" && a.Text != "unix" {
@@ -258,7 +258,7 @@
 		"part":    func(n *sexp.Node) { fault.Share = r.Float(n, 0, 1) },
 		"times":   func(n *sexp.Node) { fault.RateFactor = r.Float(n, 1, 100) },
 	})
-	s.Troubles = append(s.Troubles, fault)
+	s.Faults = append(s.Faults, fault)
 }
 
 // formatNode formats an expression as text.
@@ -280,20 +280,20 @@
 }
 
 // FrontParams are the settings in which the fronts of a day differ.
-type Place struct {
-	Name, Listen, HLSListen, List, State string
-	FrontIndex                           int
+type FrontParams struct {
+	Name, Listen, HLSListen, ListAddr, StateDir string
+	FrontIndex                                  int
 }
 
 // hlsKeyHex is the key, in hex, that signs the URLs of HLS players. It protects only stand-ins.
 const hlsKeyHex = "00112233445566778899aabbccddeeff"
 
 // Settings returns the text of the settings file of one front.
-func (s *Script) Settings(p Place, baseline string) string {
+func (s *Script) Settings(p FrontParams, baseline string) string {
 	out := fmt.Sprintf("(front (name %q) (listen %q) (fleet %d) (me %d) (list (consul %q) (service \"media\"))",
-		p.Name, p.Listen, s.Fronts, p.FrontIndex, p.List)
-	if p.State != "" {
-		out += fmt.Sprintf(" (state %q)", p.State)
+		p.Name, p.Listen, s.Fronts, p.FrontIndex, p.ListAddr)
+	if p.StateDir != "" {
+		out += fmt.Sprintf(" (state %q)", p.StateDir)
 	}
 	if p.HLSListen != "" {
 		out += fmt.Sprintf(" (hls (listen %q) (keys %q))", p.HLSListen, hlsKeyHex)
@@ -349,7 +349,7 @@
 	for n := 0; ; n++ {
 		rate := s.Rate * (1 + s.RateSwing*math.Sin(at/s.Length.Seconds()*2*math.Pi*2))
 		hotShare := 0.0
-		for _, t := range s.Troubles {
+		for _, t := range s.Faults {
 			if at >= t.At.Seconds() && at < (t.At+t.Duration).Seconds() {
 				if t.Kind == "burst" {
 					rate *= t.RateFactor
@@ -372,8 +372,8 @@
 		classDraw, cumulative := rng.Float64(), 0.0
 		for i := range s.Service.Classes {
 			share := 1 / float64(len(s.Service.Classes))
-			if len(s.Mix) > 0 {
-				share = s.Mix[i]
+			if len(s.ClassMix) > 0 {
+				share = s.ClassMix[i]
 			}
 			if a.class = i; classDraw < cumulative+share {
 				break
--- a/internal/explore/attempts/attempts_test.go
+++ b/internal/explore/attempts/attempts_test.go
@@ -41,8 +41,8 @@
 		"time alone":         {Sessions: 1, Servers: 1, Waits: 8},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := run(t, cfg, explore.Limits{Depth: 100, Time: 2 * time.Minute})
-			if r.Broken != "" || !r.Complete || r.EndedRuns == 0 {
+			r := run(t, cfg, explore.Limits{MaxDepth: 100, MaxDuration: 2 * time.Minute})
+			if r.Violation != "" || !r.Complete || r.EndedRuns == 0 {
 				t.Error("a property is violated, or the search is incomplete")
 			}
 		})
@@ -83,11 +83,11 @@
 func TestFindsSeededFaults(t *testing.T) {
 	for name, c := range seeded {
 		t.Run(name, func(t *testing.T) {
-			r := run(t, c.cfg, explore.Limits{Depth: 60, Time: time.Minute, Breadth: true, Workers: 1})
-			if r.Broken == "" || !strings.Contains(r.Broken, c.want) || len(r.Trace) > 30 {
+			r := run(t, c.cfg, explore.Limits{MaxDepth: 60, MaxDuration: time.Minute, BreadthFirst: true, Workers: 1})
+			if r.Violation == "" || !strings.Contains(r.Violation, c.want) || len(r.Trace) > 30 {
 				t.Errorf("fault not found, or its trace is too long: %s", r)
 			}
-			if got, ok := explore.Replay(func() explore.System { return New(c.cfg) }, r.Trace); !ok || got != r.Broken {
+			if got, ok := explore.Replay(func() explore.System { return New(c.cfg) }, r.Trace); !ok || got != r.Violation {
 				t.Errorf("the trace does not reproduce the violation: %q", got)
 			}
 		})
@@ -141,9 +141,9 @@
 func TestSearchModesAgree(t *testing.T) {
 	cfg := Config{Sessions: 1, Servers: 2, Faults: 2, Losses: 1, Denials: 1, Leaves: 1, Waits: 1}
 	newSystem := func() explore.System { return New(cfg) }
-	want := explore.Run(newSystem, explore.Limits{Depth: 100})
-	for name, l := range map[string]explore.Limits{"by replays": {Replay: true}, "by breadth": {Breadth: true}, "one worker": {Workers: 1}} {
-		l.Depth = 100
+	want := explore.Run(newSystem, explore.Limits{MaxDepth: 100})
+	for name, l := range map[string]explore.Limits{"by replays": {ReplayOnly: true}, "by breadth": {BreadthFirst: true}, "one worker": {Workers: 1}} {
+		l.MaxDepth = 100
 		r := explore.Run(newSystem, l)
 		t.Log(name, r)
 		if r.States != want.States || !r.Complete {
@@ -152,9 +152,9 @@
 	}
 	checkpointFile := filepath.Join(t.TempDir(), "search")
 	for n := 1; ; n++ {
-		r := explore.Run(newSystem, explore.Limits{Depth: 100, States: n * want.States / 5, Keep: checkpointFile, World: "w"})
-		if r.Kept != nil || r.Resumed != (n > 1) {
-			t.Fatal(r.Kept, r.Resumed)
+		r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, MaxStates: n * want.States / 5, CheckpointFile: checkpointFile, World: "w"})
+		if r.CheckpointErr != nil || r.Resumed != (n > 1) {
+			t.Fatal(r.CheckpointErr, r.Resumed)
 		}
 		if r.Complete {
 			if r.States != want.States || n < 3 {
@@ -163,11 +163,11 @@
 			break
 		}
 	}
-	r := explore.Run(newSystem, explore.Limits{Depth: 100, States: 100, Keep: checkpointFile, World: "w"})
-	if r.Kept != nil {
-		t.Fatal(r.Kept)
+	r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, MaxStates: 100, CheckpointFile: checkpointFile, World: "w"})
+	if r.CheckpointErr != nil {
+		t.Fatal(r.CheckpointErr)
 	}
-	if r := explore.Run(newSystem, explore.Limits{Depth: 100, Keep: checkpointFile, World: "another"}); r.Kept == nil || r.States != want.States {
-		t.Error("a search of another world was resumed:", r.Kept)
+	if r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, CheckpointFile: checkpointFile, World: "another"}); r.CheckpointErr == nil || r.States != want.States {
+		t.Error("a search of another world was resumed:", r.CheckpointErr)
 	}
 }
--- a/internal/explore/attempts/starts.go
+++ b/internal/explore/attempts/starts.go
@@ -18,13 +18,13 @@
 // any possible answer, and the list any content, at any step. Whatever another front does to a server is visible to
 // this one as such an answer. Every run of two fronts is thus a run of each alone, and each property is about one
 // front's sessions.
-func Small(faults int) Config {
+func SmallConfig(faults int) Config {
 	return Config{Sessions: 3, Servers: 2, Ways: 2, Faults: faults, Losses: 2, Refusals: 2, Denials: 2, Errors: 2, Leaves: 2, Breaks: 2,
 		Drains: 2, Lists: 2, Restarts: 2, Notes: 2, Waits: 1, Probes: true, Recover: true}
 }
 
 // InjectFault seeds the fault with the given text.
-func (c *Config) Spoil(fault string) error {
+func (c *Config) InjectFault(fault string) error {
 	mutations := []Mutation{NoTeardown, NoWithdraw, LateWithdraw, NoStop, WrongRung, AssumesNeverRan, AssumesUnwritten,
 		DuplicateOutcome, NotCleared, ForgetsSeats}
 	faults := []Fault{SendsTwice, AnswersTwice, PaidAgain, PaidRefused, Forgets, SendsDrained, SeatFreed, ForgetsCold,
@@ -68,7 +68,7 @@
 func Script(cfg Config, r explore.Report) string {
 	const rounds, gap, first = 6, 60 * time.Millisecond, 2 * time.Second
 	var b strings.Builder
-	fmt.Fprintf(&b, "; %s\n; The story, as found:\n", r.Broken)
+	fmt.Fprintf(&b, "; %s\n; The story, as found:\n", r.Violation)
 	for _, label := range r.Trace {
 		fmt.Fprintf(&b, ";   %s\n", label)
 	}
@@ -240,7 +240,7 @@
 }
 
 // NewWithChoices returns a function that creates worlds in which choices were already taken, given by label.
-func NewAfter(cfg Config, labels []string) func() explore.System {
+func NewWithChoices(cfg Config, labels []string) func() explore.System {
 	return func() explore.System {
 		w := New(cfg)
 		for _, label := range labels {
--- a/internal/explore/attempts/starts_test.go
+++ b/internal/explore/attempts/starts_test.go
@@ -13,14 +13,14 @@
 // TestScriptOfTraceIsValid: the day script of a trace can be parsed and has the faults of the trace in their order.
 func TestScriptOfTraceIsValid(t *testing.T) {
 	c := seeded[string(AssumesUnwritten)]
-	r := explore.Run(func() explore.System { return New(c.cfg) }, explore.Limits{Depth: 60, Workers: 1, Breadth: true})
+	r := explore.Run(func() explore.System { return New(c.cfg) }, explore.Limits{MaxDepth: 60, Workers: 1, BreadthFirst: true})
 	text := Script(c.cfg, r)
 	s, err := day.Parse("story", text)
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if len(s.Troubles) != 6 || s.Troubles[0].Kind != "half" {
-		t.Errorf("%+v", s.Troubles)
+	if len(s.Faults) != 6 || s.Faults[0].Kind != "half" {
+		t.Errorf("%+v", s.Faults)
 	}
 	for k, form := range dayFaults {
 		if _, err := day.Parse("x", strings.Replace(text, "(at ", "(at 1s "+form+")\n(at ", 1)); err != nil {
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := NewAfter(cfg, labels)().(*world)
+	w := NewWithChoices(cfg, labels)().(*world)
 	plays, out := 0, 0
 	for i, p := range w.players {
 		if p.answer == "plays" && cfg.Classes[i] == 0 {
@@ -58,7 +58,7 @@
 	if plays != 1 || out != 1 || !w.servers[0].draining && !w.servers[1].draining {
 		t.Errorf("%v\n%+v", labels, w.players)
 	}
-	if r := explore.Run(NewAfter(cfg, labels), explore.Limits{Depth: 60}); r.Broken != "" || !r.Complete || r.States < 100 {
+	if r := explore.Run(NewWithChoices(cfg, labels), explore.Limits{MaxDepth: 60}); r.Violation != "" || !r.Complete || r.States < 100 {
 		t.Error(r)
 	}
 	if _, _, err := FromRecord(events, time.Millisecond, cfg); err == nil {
--- a/internal/explore/checkpoint.go
+++ b/internal/explore/checkpoint.go
@@ -21,12 +21,12 @@
 // saveCheckpoint saves an unfinished search. After a complete one it removes the file.
 func (s *search) saveCheckpoint(complete bool) error {
 	if complete {
-		if err := os.Remove(s.limits.Keep); err != nil && !errors.Is(err, os.ErrNotExist) {
+		if err := os.Remove(s.limits.CheckpointFile); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("cannot remove the saved search: %w", err)
 		}
 		return nil
 	}
-	f, err := os.Create(s.limits.Keep + ".new")
+	f, err := os.Create(s.limits.CheckpointFile + ".new")
 	if err != nil {
 		return fmt.Errorf("cannot save the search: %w", err)
 	}
@@ -60,13 +60,13 @@
 	if err := f.Sync(); err != nil {
 		return fmt.Errorf("cannot save the search: %w", err)
 	}
-	return os.Rename(f.Name(), s.limits.Keep)
+	return os.Rename(f.Name(), s.limits.CheckpointFile)
 }
 
 // loadCheckpoint resumes a saved search, if there is one. A file that is damaged or belongs to another system is an
 // error, and the search then starts from the beginning.
 func (s *search) loadCheckpoint() error {
-	f, err := os.Open(s.limits.Keep)
+	f, err := os.Open(s.limits.CheckpointFile)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
 	}
@@ -74,12 +74,12 @@
 		return fmt.Errorf("cannot resume the search: %w", err)
 	}
 	defer f.Close()
-	if s.limits.Breadth {
+	if s.limits.BreadthFirst {
 		return errors.New("cannot resume the search: a breadth-first search cannot be resumed")
 	}
 	fail := func(err error) error {
 		s.seen, s.stack = fingerprintSet{}, [][]uint8{nil}
-		return fmt.Errorf("cannot resume the search from %s: %w", s.limits.Keep, err)
+		return fmt.Errorf("cannot resume the search from %s: %w", s.limits.CheckpointFile, err)
 	}
 	digest := xxhash.New()
 	r := bufio.NewReaderSize(f, 1<<20)
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -41,34 +41,34 @@
 // Limits bounds and configures a search.
 type Limits struct {
 	Context          context.Context // ends the search incomplete when it is done; nil: none
-	Depth            int             // maximum number of choices in a run
-	States           int             // maximum number of states stored; beyond it the search ends incomplete; 0: none
-	Time             time.Duration   // maximum duration, after which the search ends incomplete; 0: none
+	MaxDepth         int             // maximum number of choices in a run
+	MaxStates        int             // maximum number of states stored; beyond it the search ends incomplete; 0: none
+	MaxDuration      time.Duration   // maximum duration, after which the search ends incomplete; 0: none
 	Workers          int             // 0: one per core
-	Breadth          bool            // breadth first: reports the diameter, finds shortest traces, replays every path
-	Replay           bool            // never copies a system, even if it can be copied
+	BreadthFirst     bool            // breadth first: reports the diameter, finds shortest traces, replays every path
+	ReplayOnly       bool            // never copies a system, even if it can be copied
 	Progress         func(Report)    // receives interim reports; nil: none
 	ProgressInterval time.Duration   // between interim reports; 0: 10 s
-	Keep             string          // file that an unfinished search is saved to and resumed from; "": none
+	CheckpointFile   string          // file that an unfinished search is saved to and resumed from; "": none
 	World            string          // identifies the system: a search saved for another one is not resumed
 }
 
 // Report is the result of a search, or its progress.
 type Report struct {
-	States       int
-	Transitions  int64
-	EndedRuns    int64 // runs that ended in a state without choices
-	CutRuns      int64 // runs cut at the depth limit
-	MaxDepth     int
-	Diameter     int // choices to the state farthest from the initial one; set by breadth-first searches only
-	Complete     bool
-	Resumed      bool
-	PendingPaths int // paths not searched yet when the search ended early
-	SetBytes     int64
-	Broken       string
-	Trace        []string // labels of the choices that lead to the violation, the shortest list found
-	Elapsed      time.Duration
-	Kept         error // why the search could not be saved or resumed
+	States        int
+	Transitions   int64
+	EndedRuns     int64 // runs that ended in a state without choices
+	CutRuns       int64 // runs cut at the depth limit
+	MaxDepth      int
+	Diameter      int // choices to the state farthest from the initial one; set by breadth-first searches only
+	Complete      bool
+	Resumed       bool
+	PendingPaths  int // paths not searched yet when the search ended early
+	SetBytes      int64
+	Violation     string
+	Trace         []string // labels of the choices that lead to the violation, the shortest list found
+	Elapsed       time.Duration
+	CheckpointErr error // why the search could not be saved or resumed
 }
 
 // String returns the report as text.
@@ -84,8 +84,8 @@
 	if r.PendingPaths > 0 {
 		text += fmt.Sprintf("; %d paths left", r.PendingPaths)
 	}
-	if r.Broken != "" {
-		text += "\nbroken: " + r.Broken + "\n  " + strings.Join(r.Trace, "\n  ")
+	if r.Violation != "" {
+		text += "\nbroken: " + r.Violation + "\n  " + strings.Join(r.Trace, "\n  ")
 	}
 	return text
 }
@@ -117,12 +117,12 @@
 	}
 	s := &search{newSystem: newSystem, limits: limits, stack: [][]uint8{nil}}
 	s.workChanged.L = &s.mu
-	if limits.Keep != "" {
-		s.report.Kept = s.loadCheckpoint()
+	if limits.CheckpointFile != "" {
+		s.report.CheckpointErr = s.loadCheckpoint()
 	}
 	startedAt := time.Now()
-	if limits.Time > 0 {
-		s.deadline = startedAt.Add(limits.Time)
+	if limits.MaxDuration > 0 {
+		s.deadline = startedAt.Add(limits.MaxDuration)
 	}
 	done := make(chan struct{})
 	go s.reportProgress(startedAt, done)
@@ -149,12 +149,12 @@
 	}
 	close(done)
 	report := s.currentReport(startedAt)
-	if limits.Breadth && report.Diameter > 0 && s.report.Broken == "" && !s.stopped.Load() {
+	if limits.BreadthFirst && report.Diameter > 0 && s.report.Violation == "" && !s.stopped.Load() {
 		report.Diameter-- // the last level held no new state
 	}
-	report.Complete = !s.stopped.Load() && report.Broken == "" && report.CutRuns == 0
-	if limits.Keep != "" && report.Broken == "" && report.Kept == nil {
-		report.Kept = s.saveCheckpoint(report.Complete)
+	report.Complete = !s.stopped.Load() && report.Violation == "" && report.CutRuns == 0
+	if limits.CheckpointFile != "" && report.Violation == "" && report.CheckpointErr == nil {
+		report.CheckpointErr = s.saveCheckpoint(report.Complete)
 	}
 	return report
 }
@@ -236,7 +236,7 @@
 		ownPath = append(ownPath, uint8(lastChoice))
 	}
 	s.mu.Lock()
-	if s.limits.Breadth && lastChoice >= 0 {
+	if s.limits.BreadthFirst && lastChoice >= 0 {
 		s.nextLevel = append(s.nextLevel, ownPath)
 	} else {
 		s.stack = append(s.stack, ownPath)
@@ -266,7 +266,7 @@
 		case choices == 0:
 			w.endedRuns++
 			return
-		case len(path) >= w.limits.Depth:
+		case len(path) >= w.limits.MaxDepth:
 			w.cutRuns++
 			return
 		}
@@ -274,12 +274,12 @@
 			w.stopped.Store(true)
 		}
 		firstChoice := 0
-		if w.limits.Breadth {
+		if w.limits.BreadthFirst {
 			firstChoice = -1
 		}
 		copier, _ := sys.(Copier)
 		for choice := choices - 1; choice > firstChoice; choice-- {
-			if copier == nil || w.limits.Replay || w.limits.Breadth || w.stopped.Load() || w.idleWorkers.Load() > 0 {
+			if copier == nil || w.limits.ReplayOnly || w.limits.BreadthFirst || w.stopped.Load() || w.idleWorkers.Load() > 0 {
 				w.pushPath(path, choice)
 				continue
 			}
@@ -287,7 +287,7 @@
 			child.Take(choice)
 			w.descend(child, append(path[:len(path):len(path)], uint8(choice)))
 		}
-		if w.limits.Breadth {
+		if w.limits.BreadthFirst {
 			return
 		}
 		path = append(path[:len(path):len(path)], 0)
@@ -297,7 +297,7 @@
 
 // limitReached reports whether a limit on states or time is reached.
 func (w *worker) limitReached() bool {
-	if w.limits.States > 0 && int(w.seen.total.Load()) >= w.limits.States {
+	if w.limits.MaxStates > 0 && int(w.seen.total.Load()) >= w.limits.MaxStates {
 		return true
 	}
 	return !w.deadline.IsZero() && w.transitions%64 == 0 && time.Now().After(w.deadline)
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -50,7 +50,7 @@
 
 func TestVisitsEveryStateOnce(t *testing.T) {
 	for _, workers := range []int{1, 4} {
-		r := Run(func() System { return &jugs{forbidden: -1} }, Limits{Depth: 50, Workers: workers})
+		r := Run(func() System { return &jugs{forbidden: -1} }, Limits{MaxDepth: 50, Workers: workers})
 		if r.States != 16 || !r.Complete { // the states with a jug empty or full: 2*(4+6)-4
 			t.Errorf("%d workers: %v", workers, r)
 		}
@@ -59,29 +59,29 @@
 
 func TestMinimizesTraceOfViolation(t *testing.T) {
 	newSystem := func() System { return &jugs{forbidden: 4} }
-	r := Run(newSystem, Limits{Depth: 50})
-	if r.Broken != "jug b holds 4" || len(r.Trace) > 10 || r.Complete {
+	r := Run(newSystem, Limits{MaxDepth: 50})
+	if r.Violation != "jug b holds 4" || len(r.Trace) > 10 || r.Complete {
 		t.Fatal(r)
 	}
-	if violation, ok := Replay(newSystem, r.Trace); !ok || violation != r.Broken {
+	if violation, ok := Replay(newSystem, r.Trace); !ok || violation != r.Violation {
 		t.Fatal("the trace does not lead to the violation")
 	}
 	for i := range r.Trace { // no choice can be removed
-		if violation, ok := Replay(newSystem, append(append([]string(nil), r.Trace[:i]...), r.Trace[i+1:]...)); ok && violation == r.Broken {
+		if violation, ok := Replay(newSystem, append(append([]string(nil), r.Trace[:i]...), r.Trace[i+1:]...)); ok && violation == r.Violation {
 			t.Errorf("choice %d of the trace is not needed", i)
 		}
 	}
-	w := Walk(context.Background(), newSystem, 100, 2, 10*time.Second, 1)
-	if w.Broken != r.Broken {
+	w := RandomWalk(context.Background(), newSystem, 100, 2, 10*time.Second, 1)
+	if w.Violation != r.Violation {
 		t.Error("the random walk did not find the violation:", w)
 	}
 }
 
 func TestReportsReachedLimits(t *testing.T) {
-	if r := Run(func() System { return &jugs{forbidden: -1} }, Limits{Depth: 2}); r.CutRuns == 0 {
+	if r := Run(func() System { return &jugs{forbidden: -1} }, Limits{MaxDepth: 2}); r.CutRuns == 0 {
 		t.Error("cut runs are not reported:", r)
 	}
-	if r := Run(func() System { return &jugs{forbidden: -1} }, Limits{Depth: 50, States: 5}); r.Complete {
+	if r := Run(func() System { return &jugs{forbidden: -1} }, Limits{MaxDepth: 50, MaxStates: 5}); r.Complete {
 		t.Error("a search limited to five states reports itself complete:", r)
 	}
 }
--- a/internal/explore/trace.go
+++ b/internal/explore/trace.go
@@ -6,7 +6,7 @@
 	s.stopped.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.report.Broken != "" {
+	if s.report.Violation != "" {
 		return
 	}
 	labels := pathLabels(s.newSystem, path)
@@ -20,7 +20,7 @@
 			}
 		}
 	}
-	s.report.Broken, s.report.Trace = violation, labels
+	s.report.Violation, s.report.Trace = violation, labels
 }
 
 // pathLabels returns the labels of the choices of a path.
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -9,7 +9,7 @@
 
 // RandomWalk takes random choices, run after run, until the time is over or a property is violated. It is for systems
 // too large for a complete search. Each worker has its own random source; the same seed gives the same runs.
-func Walk(ctx context.Context, newSystem func() System, depth, workers int, duration time.Duration, seed int64) (r Report) {
+func RandomWalk(ctx context.Context, newSystem func() System, depth, workers int, duration time.Duration, seed int64) (r Report) {
 	startedAt := time.Now()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -28,11 +28,11 @@
 				if ended {
 					r.EndedRuns++
 				}
-				if violation != "" && r.Broken == "" {
+				if violation != "" && r.Violation == "" {
 					stop()
 					s := &search{newSystem: newSystem}
 					s.recordViolation(path, violation)
-					r.Broken, r.Trace = s.report.Broken, s.report.Trace
+					r.Violation, r.Trace = s.report.Violation, s.report.Trace
 				}
 				mu.Unlock()
 			}
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -27,7 +27,7 @@
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	for range 50 {
-		kept, err := ports.Keep(1)
+		kept, err := ports.Reserve(1)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -137,7 +137,7 @@
 		if json.Unmarshal(text, &m) != nil {
 			continue
 		}
-		if c.runner.plan.Echo && m.Method == "session.open" {
+		if c.runner.plan.PeerEchoes && m.Method == "session.open" {
 			id, _ := strconv.Unquote(string(m.ID))
 			m.Result.Status, m.Result.Session = "plays", "echo-"+id
 			c.handleReply(id, &m)
@@ -225,7 +225,7 @@
 			select {
 			case <-c.runner.ctx.Done():
 				return
-			case <-time.After(c.runner.plan.Reconnect):
+			case <-time.After(c.runner.plan.ReconnectDelay):
 			}
 			if c.connect(c.runner.ctx) == nil {
 				return
--- a/internal/load/hls.go
+++ b/internal/load/hls.go
@@ -14,14 +14,14 @@
 
 // HLSPlan is a load of HLS sessions whose playlists are reloaded at a steady rate.
 type HLSPlan struct {
-	Addr     string // of the front's playlists
-	Titles   []string
-	Class    string
-	Sessions int
-	Rate     float64       // sessions opened per second, until all are held
-	Every    time.Duration // interval between the reloads of a session
-	Length   time.Duration // time of reloading while all sessions are held
-	Workers  int
+	Addr           string // of the front's playlists
+	Titles         []string
+	Class          string
+	Sessions       int
+	Rate           float64       // sessions opened per second, until all are held
+	ReloadInterval time.Duration // interval between the reloads of a session
+	Duration       time.Duration // time of reloading while all sessions are held
+	Workers        int
 }
 
 // HLSResult is the result of an HLSPlan.
@@ -99,14 +99,14 @@
 	// Session n is opened at n/Rate and reloaded once per ReloadInterval from then on, so that reloads are spread evenly.
 	startedAt := time.Now()
 	openingTime := time.Duration(float64(plan.Sessions) / plan.Rate * float64(time.Second))
-	totalTime := openingTime + plan.Every + plan.Length
+	totalTime := openingTime + plan.ReloadInterval + plan.Duration
 	var countingSince time.Time
 	for tick := 0; ; tick++ {
 		now := time.Since(startedAt)
 		if now > totalTime || ctx.Err() != nil {
 			break
 		}
-		if countingSince.IsZero() && now > openingTime+plan.Every {
+		if countingSince.IsZero() && now > openingTime+plan.ReloadInterval {
 			countingSince = time.Now()
 			if onHeld != nil {
 				onHeld()
@@ -118,7 +118,7 @@
 		// A tick is 10 ms; the sessions whose phase falls into it are due.
 		const step = 10 * time.Millisecond
 		tickTime := time.Duration(tick) * step
-		ticksPerInterval := int(plan.Every / step)
+		ticksPerInterval := int(plan.ReloadInterval / step)
 		for n := tick % ticksPerInterval; n < plan.Sessions; n += ticksPerInterval {
 			// The phase of session n is its tick within the reload interval.
 			if opensAt := time.Duration(float64(n) / plan.Rate * float64(time.Second)); tickTime >= opensAt {
--- a/internal/load/plot.go
+++ b/internal/load/plot.go
@@ -10,7 +10,7 @@
 )
 
 // Series is a named curve.
-type Line struct {
+type Series struct {
 	Name string
 	X, Y []float64
 }
@@ -19,7 +19,7 @@
 var colours = []color.RGBA{{31, 119, 180, 255}, {214, 39, 40, 255}, {44, 160, 44, 255}, {148, 103, 189, 255}}
 
 // Plot draws curves into a PNG file.
-func Plot(path, title, x, y string, series []Line) error {
+func Plot(path, title, x, y string, series []Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
 	p.Legend.Top, p.Legend.Left = true, true
@@ -42,8 +42,8 @@
 }
 
 // LatencyCurve returns the latency (ms) over the share of requests, as the number of nines: 1 is 90%, 2 is 99%.
-func (r *Result) Curve(name string) Line {
-	series := Line{Name: name}
+func (r *Result) LatencyCurve(name string) Series {
+	series := Series{Name: name}
 	for _, b := range r.histogram.CumulativeDistribution() {
 		if b.Quantile >= 100 {
 			break
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -32,22 +32,22 @@
 
 // Plan describes a load.
 type Plan struct {
-	Front     func(n int) (name, addr string) // the front of the n-th client
-	Clients   int                             // number of client connections
-	Length    time.Duration                   // how long requests are sent
-	Rate      float64                         // requests per second of all clients together
-	Shape     Shape
-	Hold      [2]time.Duration // minimum and maximum time for which a session is held
-	Titles    []string
-	Classes   []string
-	Mix       []float64 // shares of the classes; nil: equal shares
-	Tenant    string
-	Top       int
-	Bad       float64       // number of further clients that misbehave meanwhile, as a share of Clients
-	Reconnect time.Duration // delay before a lost connection is dialled again; 0: 100 ms
-	Seed      int64
-	Echo      bool          // the peer is an Echo
-	Wait      time.Duration // each player gives up after this; 0: the deadline of its class
+	Front            func(n int) (name, addr string) // the front of the n-th client
+	Clients          int                             // number of client connections
+	Duration         time.Duration                   // how long requests are sent
+	Rate             float64                         // requests per second of all clients together
+	Shape            Shape
+	HoldTime         [2]time.Duration // minimum and maximum time for which a session is held
+	Titles           []string
+	Classes          []string
+	ClassShares      []float64 // shares of the classes; nil: equal shares
+	Tenant           string
+	Top              int
+	MisbehavingShare float64       // number of further clients that misbehave meanwhile, as a share of Clients
+	ReconnectDelay   time.Duration // delay before a lost connection is dialled again; 0: 100 ms
+	Seed             int64
+	PeerEchoes       bool          // the peer is an Echo
+	Timeout          time.Duration // each player gives up after this; 0: the deadline of its class
 }
 
 // Result is the result of a Plan.
@@ -83,8 +83,8 @@
 	if plan.Clients < 1 || len(plan.Titles) == 0 || len(plan.Classes) == 0 || plan.Shape != Closed && plan.Rate <= 0 {
 		return nil, fmt.Errorf("load: clients, titles, classes and a rate are required")
 	}
-	if plan.Reconnect <= 0 {
-		plan.Reconnect = 100 * time.Millisecond
+	if plan.ReconnectDelay <= 0 {
+		plan.ReconnectDelay = 100 * time.Millisecond
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	r := &Runner{plan: plan, rec: rec, rng: rand.New(rand.NewSource(plan.Seed)), ctx: ctx,
@@ -175,8 +175,8 @@
 	draw, class := r.rng.Float64(), 0
 	for i := range r.plan.Classes {
 		share := 1 / float64(len(r.plan.Classes))
-		if r.plan.Mix != nil {
-			share = r.plan.Mix[i]
+		if r.plan.ClassShares != nil {
+			share = r.plan.ClassShares[i]
 		}
 		if class = i; draw < share {
 			break
@@ -191,25 +191,25 @@
 	if r.plan.Tenant != "" {
 		fields["tenant"] = r.plan.Tenant
 	}
-	if r.plan.Wait > 0 {
-		fields["deadlineMs"] = r.plan.Wait.Milliseconds()
+	if r.plan.Timeout > 0 {
+		fields["deadlineMs"] = r.plan.Timeout.Milliseconds()
 	}
 	if r.plan.Top > 0 {
 		fields["top"] = r.plan.Top
 	}
 	b, _ := json.Marshal(fields)
-	return string(b), record.Event{Class: class, Title: r.plan.Titles[title], Viewer: playersim.Hash(name),
-		Timeout: int64(r.plan.Wait)}
+	return string(b), record.Event{Class: class, Title: r.plan.Titles[title], Viewer: playersim.HashViewer(name),
+		Timeout: int64(r.plan.Timeout)}
 }
 
 // drawHoldTime returns a random time within HoldTime.
 func (r *Runner) drawHoldTime() time.Duration {
-	return r.plan.Hold[0] + time.Duration(r.rng.Float64()*float64(r.plan.Hold[1]-r.plan.Hold[0]))
+	return r.plan.HoldTime[0] + time.Duration(r.rng.Float64()*float64(r.plan.HoldTime[1]-r.plan.HoldTime[0]))
 }
 
 // openLoop sends requests at random times that do not depend on the replies.
 func (r *Runner) openLoop(clients []*client, startedAt time.Time) {
-	seconds, n, length := 0.0, 0, r.plan.Length.Seconds()
+	seconds, n, length := 0.0, 0, r.plan.Duration.Seconds()
 	for {
 		size, title := 1, -1
 		switch r.plan.Shape {
@@ -261,7 +261,7 @@
 // closedLoop makes each client send the next request as soon as it receives a reply.
 func (r *Runner) closedLoop(clients []*client) {
 	var wg sync.WaitGroup
-	endAt := time.Now().Add(r.plan.Length)
+	endAt := time.Now().Add(r.plan.Duration)
 	for _, c := range clients {
 		r.mu.Lock()
 		params, event := r.requestParams(c.index, -1)
@@ -295,10 +295,10 @@
 // runMisbehaving runs misbehaving players beside the regular ones until ctx ends.
 func (r *Runner) runMisbehaving() *sync.WaitGroup {
 	var wg sync.WaitGroup
-	misbehaviours := []playersim.Bad{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame,
+	misbehaviours := []playersim.Misbehaviour{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame,
 		playersim.Garbage, playersim.Unmasked, playersim.SlowRead, playersim.NeverPong, playersim.Pipeline}
 	crowd := playersim.New(r.rec, r.plan.Seed+1, 0, r.plan.Front)
-	for i := range int(r.plan.Bad * float64(r.plan.Clients)) {
+	for i := range int(r.plan.MisbehavingShare * float64(r.plan.Clients)) {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -306,8 +306,8 @@
 				class := (i + k) % len(r.plan.Classes)
 				crowd.Watch(r.ctx, playersim.Viewer{Name: fmt.Sprintf("bad-%d-%d", i, k),
 					Title: r.plan.Titles[(i+k)%len(r.plan.Titles)],
-					Class: r.plan.Classes[class], ClassN: class, Tenant: r.plan.Tenant, Length: time.Second,
-					Bad: misbehaviours[(i+k)%len(misbehaviours)]})
+					Class: r.plan.Classes[class], ClassIndex: class, Tenant: r.plan.Tenant, WatchTime: time.Second,
+					Misbehaviour: misbehaviours[(i+k)%len(misbehaviours)]})
 				select {
 				case <-r.ctx.Done():
 				case <-time.After(20 * time.Millisecond):
--- a/internal/platform/node/client_gone_test.go
+++ b/internal/platform/node/client_gone_test.go
@@ -18,7 +18,7 @@
 func (x *testFront) blockOwner() (release func()) {
 	x.t.Helper()
 	x.waitFor("the journal is followed", func() bool { return x.snapshot().Watch.Dials == 1 })
-	x.journal.Silence(true) // its events would be counted as items that a test waits for
+	x.journal.SetSilent(true) // its events would be counted as items that a test waits for
 	blocked, reply := make(chan Snapshot, 1), make(chan Snapshot)
 	x.node.queue.Force(snapshotRequested{blocked})
 	x.node.queue.Force(snapshotRequested{reply})
@@ -44,7 +44,7 @@
 
 // setUps returns the number of set-ups of a session that reached servers.
 func (x *testFront) setUps(sid uint64) (n int) {
-	for _, e := range x.world.Rec.Events() {
+	for _, e := range x.world.Recorder.Events() {
 		if e.Kind == record.SetupReceived && e.Session == wire.Sid(sid) {
 			n++
 		}
@@ -94,7 +94,7 @@
 			defer c.Close()
 			sid := x.newID()
 			release := x.blockOwner()
-			fmt.Fprint(c, platformsim.Form(sid, "safe", 1500*time.Millisecond, ""))
+			fmt.Fprint(c, platformsim.OpenLine(sid, "safe", 1500*time.Millisecond, ""))
 			x.waitForQueued("the request", 1)
 			exit(x, c, sid)
 			x.waitForQueued("the departure", 2)
@@ -112,13 +112,13 @@
 	var sids []uint64
 	for _, s := range x.servers { // the front connects to the server of each restored session
 		sids = append(sids, x.newID())
-		if err := v.Write(platformsim.Form(sids[len(sids)-1], "safe", time.Second, ";at:"+s.Name())); err != nil {
+		if err := v.Write(platformsim.OpenLine(sids[len(sids)-1], "safe", time.Second, ";at:"+s.Name())); err != nil {
 			x.t.Fatal(err)
 		}
 	}
 	x.waitFor("connections", func() bool { return x.snapshot().Links == len(x.servers) })
 	for _, sid := range sids {
-		v.GiveUp(sid) // with sessions the front would test their servers, which queues more items
+		v.Cancel(sid) // with sessions the front would test their servers, which queues more items
 	}
 	v.Close()
 	x.waitFor("sessions and connection ended", func() bool { s := x.snapshot(); return s.Conns == 0 && s.Held == 0 })
@@ -132,12 +132,12 @@
 			x := newTestFront(t, 1024)
 			x.connectServers()
 			for _, s := range x.servers {
-				s.Fault(platformsim.Faults{Full: true, Delay: 150 * time.Millisecond})
+				s.SetFaults(platformsim.Faults{Full: true, ReplyDelay: 150 * time.Millisecond})
 			}
 			c := x.dialRaw()
 			defer c.Close()
 			sid := x.newID()
-			fmt.Fprint(c, platformsim.Form(sid, "safe", 1500*time.Millisecond, ""))
+			fmt.Fprint(c, platformsim.OpenLine(sid, "safe", 1500*time.Millisecond, ""))
 			x.waitFor("sent", func() bool { return x.setUps(sid) == 1 })
 			release := x.blockOwner()
 			x.waitForQueued("the refusal", 1)
@@ -160,7 +160,7 @@
 			defer c.Close()
 			sid := x.newID()
 			release := x.blockOwner()
-			fmt.Fprint(c, platformsim.Form(sid, "safe", 1500*time.Millisecond, ""))
+			fmt.Fprint(c, platformsim.OpenLine(sid, "safe", 1500*time.Millisecond, ""))
 			x.waitForQueued("the request", 1)
 			reply := make(chan Snapshot)
 			x.node.queue.Force(snapshotRequested{reply}) // the owner takes the request, starts to connect, and is blocked again
@@ -207,7 +207,7 @@
 	}
 	defer c.Close()
 	const sid = 77
-	fmt.Fprint(c, platformsim.Form(sid, "safe", time.Second, ""))
+	fmt.Fprint(c, platformsim.OpenLine(sid, "safe", time.Second, ""))
 	k := <-receiver.arrived
 	if !clients.clientWaits(k.id, sid) {
 		t.Error("a waiting client counts as gone")
--- a/internal/platform/node/clients_test.go
+++ b/internal/platform/node/clients_test.go
@@ -39,7 +39,7 @@
 		"noise":          "\x00\x01\x02 hello\n",
 		"endless line":   strings.Repeat("x", 8<<20),
 		"no id":          `{"msg":"open","attrs":{}}` + "\n",
-		"unknown class":  platformsim.Form(x.newID(), "gold", time.Second, ""),
+		"unknown class":  platformsim.OpenLine(x.newID(), "gold", time.Second, ""),
 		"half a request": `{"msg":"open","sid":"0000`,
 		"silent":         "",
 	}
@@ -51,7 +51,7 @@
 			if l.Msg != "close" || l.Code == 0 {
 				t.Errorf("%s: %+v", name, l)
 			}
-		case <-v.Ended:
+		case <-v.Closed:
 		case <-time.After(6 * time.Second):
 			t.Errorf("%s: neither answered nor closed", name)
 		}
@@ -61,7 +61,7 @@
 	flood := x.viewer()
 	for range 300 { // each request and its withdrawal are written together
 		sid := x.newID()
-		text := platformsim.Form(sid, "safe", time.Second, "")
+		text := platformsim.OpenLine(sid, "safe", time.Second, "")
 		flood.Write(text + fmt.Sprintf(`{"msg":"close","sid":"%016x","attrs":{},"code":16}`+"\n", sid))
 	}
 	x.waitFor("all requests read", func() bool { return x.snapshot().Viewers.TakenBack+x.snapshot().Taken-taken >= 300 })
@@ -90,7 +90,7 @@
 	if _, a := x.open(usual, "paid"); a.Msg != "ready" {
 		t.Errorf("a usual viewer: %+v", a)
 	}
-	x.serverOf(sid).End(sid, 16)
+	x.serverOf(sid).EndSession(sid, 16)
 	if l := x.lineFor(usual, sid); l.Msg != "close" {
 		t.Errorf("%+v", l)
 	}
--- a/internal/platform/node/malformed_replies_test.go
+++ b/internal/platform/node/malformed_replies_test.go
@@ -163,12 +163,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				x.journal.List(false, wire.Host{Name: "scripted", Address: scripted.listener.Addr().String(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10},
+				x.journal.AddHosts(false, wire.Host{Name: "scripted", Address: scripted.listener.Addr().String(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10},
 					wire.Host{Name: good.Name(), Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10})
 				x.waitFor("listed", func() bool { s := x.snapshot(); return s.Ready == 5 && s.Held == 1 })
 				for n := 0; n < 60 && scripted.setUpCount() == 0; n++ { // the module may pick either of the two
 					sid := x.newID()
-					v.Write(strings.Replace(strings.Replace(platformsim.Form(sid, class, 1500*time.Millisecond, ""), "home:0;copies:3", "home:50;copies:1", 1), "top:2", "top:0", 1))
+					v.Write(strings.Replace(strings.Replace(platformsim.OpenLine(sid, class, 1500*time.Millisecond, ""), "home:0;copies:3", "home:50;copies:1", 1), "top:2", "top:0", 1))
 					l := x.lineFor(v, sid)
 					got := l.Msg
 					if l.Msg == wire.LineClose {
@@ -178,7 +178,7 @@
 						t.Errorf("outcome %s, want %s", got, want)
 					}
 					if got == "ready" {
-						v.GiveUp(sid)
+						v.Cancel(sid)
 					}
 					x.waitFor("session ended", func() bool { return x.snapshot().Held == 1 })
 				}
@@ -188,7 +188,7 @@
 				if s := x.snapshot(); s.Links > 8 || s.Faults != 0 || s.Open != 0 {
 					t.Errorf("connections, faults or requests left: %+v", s)
 				}
-				x.serverOf(playing).End(playing, 16)
+				x.serverOf(playing).EndSession(playing, 16)
 				if l := x.lineFor(v, playing); l.Msg != "close" || l.Code != 16 {
 					t.Errorf("end of the session on another server: %+v", l)
 				}
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -42,7 +42,7 @@
 
 // writeConfig writes the front's configuration file.
 func (x *testFront) writeConfig(journal string, sockets int, settings string) {
-	last, events := x.journal.Last()
+	last, events := x.journal.Events()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:%d","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":%d},
 		"journal":"%s","known":{"pos":%d,"entries":%s},"settings":%s}`, 1, sockets, journal, last, events, settings)
 	if err := os.WriteFile(x.configPath, []byte(text), 0o600); err != nil {
@@ -60,7 +60,7 @@
 func newTestFrontWith(t *testing.T, sockets int, settings string) *testFront {
 	t.Helper()
 	x := &testFront{t: t, world: platformsim.NewWorld("safe", "paid"), configPath: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1), lastID: 100}
-	x.world.Rec.Add(audit.Rules{Classes: []audit.Class{{Name: "safe", Deadline: 3 * time.Second}, {Name: "paid", Paid: true, Deadline: 2 * time.Second}},
+	x.world.Recorder.Add(audit.Rules{Classes: []audit.Class{{Name: "safe", Deadline: 3 * time.Second}, {Name: "paid", Paid: true, Deadline: 2 * time.Second}},
 		AnswerGrace: 500 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Skew: 100 * time.Millisecond, RungWorth: []float64{0.4, 0.7, 1}}.Event())
 	var err error
 	if x.journal, err = platformsim.NewJournal(x.world, nil); err != nil {
@@ -73,7 +73,7 @@
 		}
 		x.servers = append(x.servers, s)
 	}
-	x.journal.Tell(true, wire.HostReady, x.servers...)
+	x.journal.AddServers(true, wire.HostReady, x.servers...)
 	x.writeConfig(x.journal.Addr(), sockets, settings)
 	cfg, err := Load(x.configPath)
 	if err != nil {
@@ -111,7 +111,7 @@
 			if l.Sid == sid {
 				return l
 			}
-		case <-v.Ended:
+		case <-v.Closed:
 			return wire.Line{Msg: "ended"}
 		case <-timeout:
 			x.t.Fatalf("no line about session %d", sid)
@@ -185,7 +185,7 @@
 func (x *testFront) serverOf(sid uint64) *platformsim.Server {
 	x.t.Helper()
 	for _, s := range x.servers {
-		for _, id := range s.Plays() {
+		for _, id := range s.Sessions() {
 			if id == sid {
 				return s
 			}
@@ -208,7 +208,7 @@
 func (x *testFront) stopAndAudit() *audit.Report {
 	x.t.Helper()
 	x.stopAll()
-	report, err := audit.Judge(x.world.Rec.Events())
+	report, err := audit.Judge(x.world.Recorder.Events())
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -227,6 +227,6 @@
 	}
 	x.journal.Close()
 	for _, s := range append(extra, x.servers...) {
-		s.Die()
+		s.Kill()
 	}
 }
--- a/internal/platform/node/server_changes_test.go
+++ b/internal/platform/node/server_changes_test.go
@@ -26,7 +26,7 @@
 			}
 			x.waitForQueued("the request", 1)
 			for _, s := range x.servers {
-				s.Drop()
+				s.ResetConns()
 			}
 			x.waitForQueued("the close events", 1+len(x.servers))
 			release()
@@ -36,7 +36,7 @@
 			if s := x.snapshot(); s.Servers.Again != 1 || s.Stats.Attempts != 1 || x.setUps(sid) != 1 {
 				t.Errorf("requeued %d times, %d attempts, %d set-ups received", s.Servers.Again, s.Stats.Attempts, x.setUps(sid))
 			}
-			v.GiveUp(sid)
+			v.Cancel(sid)
 			v.Close()
 			x.closeAndAudit()
 		})
@@ -48,16 +48,16 @@
 func setUpWaitingForConnect(t *testing.T) (x *testFront, v *platformsim.Viewer, sid uint64, host wire.Host, done func()) {
 	t.Helper()
 	x = newTestFrontWith(t, 1024, strings.NewReplacer(`"positions":3`, `"positions":100`, `"connect-timeout-ns":250000000`, `"connect-timeout-ns":8000000000`).Replace(settingsJSON))
-	addr, done, err := platformsim.Unanswered()
+	addr, done, err := platformsim.UnansweredListener()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(done)
 	host = wire.Host{Name: "slow", Address: addr, Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10}
-	x.journal.List(false, host)
+	x.journal.AddHosts(false, host)
 	x.waitFor("listed", func() bool { return x.snapshot().Ready == 4 })
 	v, sid = x.viewer(), x.newID()
-	v.Write(strings.Replace(platformsim.Form(sid, "paid", 2*time.Second, ""), "home:0;copies:3", "home:50;copies:1", 1))
+	v.Write(strings.Replace(platformsim.OpenLine(sid, "paid", 2*time.Second, ""), "home:0;copies:3", "home:50;copies:1", 1))
 	x.waitFor("connect in progress", func() bool { s := x.snapshot(); return s.Attempts == 1 && s.Open == 1 })
 	return x, v, sid, host, done
 }
@@ -71,14 +71,14 @@
 		t.Fatal(err)
 	}
 	host.Address = good.Addr()
-	x.journal.List(false, host)
+	x.journal.AddHosts(false, host)
 	if l := x.lineFor(v, sid); l.Msg != wire.LineReady {
 		t.Errorf("%+v", l)
 	}
 	if s := x.snapshot(); s.Stats.Attempts != 1 || s.Servers.Unanswered != 0 {
 		t.Errorf("%d attempts, %d connects found unanswered", s.Stats.Attempts, s.Servers.Unanswered)
 	}
-	v.GiveUp(sid)
+	v.Cancel(sid)
 	x.waitFor("session ended", func() bool { return x.snapshot().Held == 0 })
 	v.Close()
 	done() // the old connect ends with any result
@@ -96,13 +96,13 @@
 	old := wire.Host{Name: "old", Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10}
 	next := old
 	next.Name, next.Cell = good.Name(), 60
-	x.journal.List(false, old)
-	x.journal.List(false, next)
+	x.journal.AddHosts(false, old)
+	x.journal.AddHosts(false, next)
 	x.waitFor("listed", func() bool { return x.snapshot().Ready == 5 })
 	v := x.viewer()
 	request := func(home string) (uint64, wire.Line) {
 		sid := x.newID()
-		v.Write(strings.Replace(platformsim.Form(sid, "paid", 1500*time.Millisecond, ""), "home:0;copies:3", "home:"+home+";copies:1", 1))
+		v.Write(strings.Replace(platformsim.OpenLine(sid, "paid", 1500*time.Millisecond, ""), "home:0;copies:3", "home:"+home+";copies:1", 1))
 		return sid, x.lineFor(v, sid)
 	}
 	if sid, l := request("50"); l.Msg != wire.LineClose || l.Code != wire.CauseRefused || x.setUps(sid) != 0 {
@@ -112,7 +112,7 @@
 	if l.Msg != wire.LineReady || x.setUps(sid) != 1 {
 		t.Errorf("request for the new server: %+v, %d set-ups received", l, x.setUps(sid))
 	}
-	v.GiveUp(sid)
+	v.Cancel(sid)
 	x.waitFor("session ended", func() bool { return x.snapshot().Held == 0 })
 	v.Close()
 	x.stopAll(good)
@@ -123,7 +123,7 @@
 func TestRefusesRequestWhenServerDrainsDuringConnect(t *testing.T) {
 	x, v, sid, host, done := setUpWaitingForConnect(t)
 	host.Health = wire.HostDraining
-	x.journal.List(false, host)
+	x.journal.AddHosts(false, host)
 	if l := x.lineFor(v, sid); l.Msg != wire.LineClose || l.Code != wire.CauseRefused {
 		t.Errorf("%+v", l)
 	}
--- a/internal/platform/node/server_faults_test.go
+++ b/internal/platform/node/server_faults_test.go
@@ -12,13 +12,13 @@
 // With a fault on two of three servers, enough requests still play and no rule is broken.
 func TestEachServerFault(t *testing.T) {
 	for name, f := range map[string]platformsim.Faults{
-		"full": {Full: true}, "error": {Error: true}, "hang": {Hang: true}, "noise": {Noise: true}, "half": {Half: true},
-		"break": {Break: true}, "doubled": {Doubled: true}, "answer exceeds a line": {Huge: true},
+		"full": {Full: true}, "error": {Error: true}, "hang": {NoReply: true}, "noise": {InvalidReply: true}, "half": {HalfReply: true},
+		"break": {CloseConn: true}, "doubled": {DuplicateReply: true}, "answer exceeds a line": {HugeText: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newTestFront(t, 1024)
 			for _, s := range x.servers[:2] { // the third server has no fault
-				s.Fault(f)
+				s.SetFaults(f)
 			}
 			v := x.viewer()
 			plays, n := 0, 12
@@ -42,16 +42,16 @@
 	x.openMany(v, 9, 0)
 	s := x.servers[0]
 	for _, o := range x.servers { // the module chooses the servers
-		if len(o.Plays()) > len(s.Plays()) {
+		if len(o.Sessions()) > len(s.Sessions()) {
 			s = o
 		}
 	}
 	cutOff := map[uint64]bool{}
-	for _, sid := range s.Plays() {
+	for _, sid := range s.Sessions() {
 		cutOff[sid] = true
 	}
 	diedAt := time.Now()
-	s.Die()
+	s.Kill()
 	for _, l := range x.firstLines(v, cutOff) {
 		if l.Msg != "close" || l.Code != 41 {
 			t.Errorf("%+v", l)
@@ -72,14 +72,14 @@
 	x := newTestFront(t, 1024)
 	v := x.viewer()
 	x.open(v, "safe")
-	x.journal.Tell(false, wire.HostDraining, x.servers[0], x.servers[1])
+	x.journal.AddServers(false, wire.HostDraining, x.servers[0], x.servers[1])
 	x.waitFor("drain applied", func() bool { return x.snapshot().Ready == 1 })
 	for range 5 {
 		if sid, a := x.open(v, "paid"); a.Msg == "ready" && x.serverOf(sid) != x.servers[2] {
 			t.Error("set up on a draining server")
 		}
 	}
-	x.journal.Tell(false, wire.HostRemoved, x.servers[0])
+	x.journal.AddServers(false, wire.HostRemoved, x.servers[0])
 	x.waitFor("removed server forgotten", func() bool { return x.snapshot().Hosts == 2 })
 	v.Close()
 	x.closeAndAudit()
@@ -89,14 +89,14 @@
 func TestJournalFaults(t *testing.T) {
 	x := newTestFront(t, 1024)
 	x.waitFor("journal followed", func() bool { return x.snapshot().Watch.Dials == 1 })
-	x.journal.Break()
-	x.journal.Tell(false, wire.HostDraining, x.servers[0])
+	x.journal.BreakConns()
+	x.journal.AddServers(false, wire.HostDraining, x.servers[0])
 	x.waitFor("event after a break", func() bool { return x.snapshot().Ready == 2 })
-	x.journal.Twice()
-	x.journal.Silence(true)
-	x.journal.Tell(false, wire.HostDraining, x.servers[1])
+	x.journal.RepeatLast()
+	x.journal.SetSilent(true)
+	x.journal.AddServers(false, wire.HostDraining, x.servers[1])
 	x.waitFor("silence detected", func() bool { return x.snapshot().Watch.Silences > 0 })
-	x.journal.Silence(false)
+	x.journal.SetSilent(false)
 	x.waitFor("event after silence", func() bool { return x.snapshot().Ready == 1 })
 
 	next, err := platformsim.NewJournal(x.world, x.journal)
@@ -110,7 +110,7 @@
 	x.journal = next
 	x.writeConfig(next.Addr(), 1024, settingsJSON)
 	x.node.Reload()
-	next.Tell(false, wire.HostReady, x.servers[1])
+	next.AddServers(false, wire.HostReady, x.servers[1])
 	x.waitFor("event at the new address", func() bool { return x.snapshot().Ready == 2 })
 	if s := x.snapshot(); s.Pos != 4 {
 		t.Errorf("%+v", s.Watch)
--- a/internal/platform/node/sessions_test.go
+++ b/internal/platform/node/sessions_test.go
@@ -25,24 +25,24 @@
 		s := x.serverOf(sid)
 		switch i {
 		case 0: // the session outlives its connection
-			s.Drop()
+			s.ResetConns()
 			x.waitFor("reconnected", func() bool { l := x.snapshot(); return l.Servers.Lost > 0 && l.Links > 0 })
-			s.End(sid, 16)
+			s.EndSession(sid, 16)
 			if l := x.lineFor(v, sid); l.Msg != "close" || l.Code != 16 {
 				t.Errorf("%+v", l)
 			}
 		case 1:
-			s.End(sid, 41)
+			s.EndSession(sid, 41)
 			if l := x.lineFor(v, sid); l.Msg != "close" || l.Code != 41 {
 				t.Errorf("%+v", l)
 			}
 		case 2:
 			other := x.viewer() // a session may be ended on any connection
-			other.GiveUp(sid)
-			x.waitFor("ended on its server", func() bool { return len(s.Plays()) == 0 })
+			other.Cancel(sid)
+			x.waitFor("ended on its server", func() bool { return len(s.Sessions()) == 0 })
 			other.Close()
 		case 3:
-			s.End(sid, 31)
+			s.EndSession(sid, 31)
 		}
 	}
 	x.waitFor("no sessions left", func() bool { s := x.snapshot(); return s.Held+s.Sessions+s.Attempts == 0 })
@@ -63,15 +63,15 @@
 	}
 	played := map[*platformsim.Server][]uint64{}
 	for _, s := range x.servers {
-		played[s] = s.Plays()
-		s.Fault(platformsim.Faults{Hang: true, Parting: true})
+		played[s] = s.Sessions()
+		s.SetFaults(platformsim.Faults{NoReply: true, EndOnFrontClose: true})
 	}
 	hung := x.newID()
 	v.Open(hung, "safe", 1500*time.Millisecond) // never answered: the front replaces the connection to the server
 	ended := map[uint64]bool{}
 	x.waitFor("a connection is replaced", func() bool {
 		for s, list := range played {
-			if len(list) > 0 && len(s.Plays()) == 0 {
+			if len(list) > 0 && len(s.Sessions()) == 0 {
 				for _, sid := range list {
 					ended[sid] = true
 				}
@@ -84,7 +84,7 @@
 			t.Errorf("session %d: %+v", sid, l)
 		}
 	}
-	v.GiveUp(hung)
+	v.Cancel(hung)
 	x.lineFor(v, hung)
 	v.Close()
 	x.closeAndAudit()
@@ -110,9 +110,9 @@
 				continue
 			}
 			if i%3 == 0 {
-				v.GiveUp(sid)
+				v.Cancel(sid)
 			} else {
-				x.serverOf(sid).End(sid, 16)
+				x.serverOf(sid).EndSession(sid, 16)
 				x.lineFor(v, sid)
 			}
 		}
@@ -136,7 +136,7 @@
 	x := newTestFront(t, 1024)
 	v := x.viewer()
 	x.open(v, "paid")
-	good := x.world.Rec.Events()
+	good := x.world.Recorder.Events()
 	v.Close()
 	x.closeAndAudit()
 	var setup, answer record.Event
--- a/internal/platform/node/shutdown_test.go
+++ b/internal/platform/node/shutdown_test.go
@@ -29,12 +29,12 @@
 func TestShutdownUnderLoad(t *testing.T) {
 	x := newTestFront(t, 1024)
 	for _, s := range x.servers {
-		s.Fault(platformsim.Faults{Delay: 100 * time.Millisecond})
+		s.SetFaults(platformsim.Faults{ReplyDelay: 100 * time.Millisecond})
 	}
 	v := x.viewer()
 	time.AfterFunc(200*time.Millisecond, x.node.Shutdown)
 	for sid := range x.openMany(v, 30, 20*time.Millisecond) {
-		v.GiveUp(sid)
+		v.Cancel(sid)
 	}
 	x.waitForExit()
 	v.Close()
@@ -46,7 +46,7 @@
 	x := newTestFront(t, 1024)
 	v := x.viewer()
 	sid := x.newID()
-	text := platformsim.Form(sid, "safe", 1500*time.Millisecond, "")
+	text := platformsim.OpenLine(sid, "safe", 1500*time.Millisecond, "")
 	x.node.Shutdown()
 	time.Sleep(time.Duration(shutdownDelay) - 300*time.Millisecond)
 	for part := range slices.Chunk([]byte(text), len(text)/5+1) { // parts arrive until after shutdownDelay
@@ -58,7 +58,7 @@
 	if l := x.lineFor(v, sid); l.Msg != "ready" {
 		t.Fatalf("%+v", l)
 	}
-	v.GiveUp(sid)
+	v.Cancel(sid)
 	x.waitForExit()
 	v.Close()
 	x.stopAndAudit()
@@ -71,7 +71,7 @@
 	defer n.clients.close(context.Background())
 	now := n.now()
 	in := viewers.Input{}
-	in.Line, in.Err = wire.ParseLine([]byte(strings.TrimSuffix(platformsim.Form(7, "safe", 10*time.Minute, ""), "\n")))
+	in.Line, in.Err = wire.ParseLine([]byte(strings.TrimSuffix(platformsim.OpenLine(7, "safe", 10*time.Minute, ""), "\n")))
 	n.viewers.Accepted(now, 1)
 	n.viewers.Received(now, now, 1, []viewers.Input{in}, nil, false, n.core.IDInUse)
 	n.processEffects()
--- a/internal/rig/commands.go
+++ b/internal/rig/commands.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.Control(front)+path, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.ControlAddr(front)+path, bytes.NewReader(b))
 	if err != nil {
 		return err
 	}
--- a/internal/rig/dayscript.go
+++ b/internal/rig/dayscript.go
@@ -26,9 +26,9 @@
 func (r *Rig) StartViewers(ctx context.Context, timeout time.Duration) (wait func() error) {
 	done := make(chan error, 1)
 	go func() {
-		_, err := load.Run(ctx, load.Plan{Front: r.Front, Clients: 30, Rate: 25, Length: timeout,
-			Shape: load.Poisson, Titles: r.Titles(),
-			Hold: [2]time.Duration{500 * time.Millisecond, 4 * time.Second}, Classes: []string{"safe", "paid"}, Seed: 1, Reconnect: 200 * time.Millisecond}, r.Record())
+		_, err := load.Run(ctx, load.Plan{Front: r.Front, Clients: 30, Rate: 25, Duration: timeout,
+			Shape: load.Poisson, Titles: r.TitleNames(),
+			HoldTime: [2]time.Duration{500 * time.Millisecond, 4 * time.Second}, Classes: []string{"safe", "paid"}, Seed: 1, ReconnectDelay: 200 * time.Millisecond}, r.Record())
 		if ctx.Err() != nil {
 			err = nil
 		}
@@ -38,8 +38,8 @@
 }
 
 // Rules gives the upkeep limits that the rig's records are judged by.
-func (r *Rig) Rules() audit.Upkeep {
+func (r *Rig) Rules() audit.UpkeepLimits {
 	u := Limits
-	u.Cells, u.Racks, u.Zones = r.Cells()
+	u.Cells, u.Racks, u.Zones = r.Topology()
 	return u
 }
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -67,13 +67,13 @@
 	r.mu.Lock()
 	r.down[front] = true
 	r.mu.Unlock()
-	r.World.Kill(front)
+	r.World.KillFront(front)
 }
 
 // RestartFront starts a killed front with its disk, an older copy of it, or none. An isolated front counts as
 // isolated until it has received the fleet's state, for which RestartFront waits at most 10 s.
 func (r *Rig) RestartFront(front int) error {
-	err := r.World.Start(front)
+	err := r.World.StartFront(front)
 	r.mu.Lock()
 	r.down[front] = false
 	isolated := r.isolated[front]
@@ -91,12 +91,12 @@
 // is out.
 func (r *Rig) WipeDisk(front int) error {
 	r.setIsolated(front, true)
-	return os.RemoveAll(filepath.Join(r.State(front), "fleet"))
+	return os.RemoveAll(filepath.Join(r.StateDir(front), "fleet"))
 }
 
 // CopyDisk copies a front's disk, for RestoreDisk; the front must be down.
 func (r *Rig) CopyDisk(front int, to string) error {
-	return os.CopyFS(to, os.DirFS(filepath.Join(r.State(front), "fleet")))
+	return os.CopyFS(to, os.DirFS(filepath.Join(r.StateDir(front), "fleet")))
 }
 
 // RestoreDisk replaces a front's disk by a copy; the front must be down.
@@ -104,5 +104,5 @@
 	if err := r.WipeDisk(front); err != nil {
 		return err
 	}
-	return os.CopyFS(filepath.Join(r.State(front), "fleet"), os.DirFS(from))
+	return os.CopyFS(filepath.Join(r.StateDir(front), "fleet"), os.DirFS(from))
 }
--- a/internal/rig/operator.go
+++ b/internal/rig/operator.go
@@ -97,7 +97,7 @@
 	}
 	for _, m := range down {
 		if m.Restart() == nil {
-			r.World.List(m, "ready")
+			r.World.SetListHealth(m, "ready")
 		}
 	}
 	for _, s := range j.servers {
@@ -123,12 +123,12 @@
 	r.mu.Lock()
 	r.down[front] = true
 	r.mu.Unlock()
-	r.World.Stop(front)
+	r.World.PauseFront(front)
 }
 
 // ResumeFront lets a paused front go on.
 func (r *Rig) ResumeFront(front int) {
-	r.World.Continue(front)
+	r.World.ResumeFront(front)
 	r.mu.Lock()
 	r.down[front] = false
 	r.mu.Unlock()
@@ -136,7 +136,7 @@
 }
 
 // Judge stops the fronts and checks the record by all rules, those of upkeep included.
-func (r *Rig) Judge(ctx context.Context, upkeep audit.Upkeep) (*audit.Report, error) {
+func (r *Rig) Judge(ctx context.Context, upkeep audit.UpkeepLimits) (*audit.Report, error) {
 	r.cancel()
 	r.group.Wait()
 	r.Record().Add(record.Event{Source: "rig", Kind: record.FleetSettled})
--- a/internal/rig/random.go
+++ b/internal/rig/random.go
@@ -214,14 +214,14 @@
 			return false
 		}
 		m.Kill()
-		p.World.List(m, "removed")
+		p.World.SetListHealth(m, "removed")
 		afterStep(func() {
 			if !m.Up() {
 				p.release(1000+int(m.ID), m.Restart())
 			} else {
 				p.release(1000+int(m.ID), nil)
 			}
-			p.World.List(m, "ready")
+			p.World.SetListHealth(m, "ready")
 		})
 	case "ask":
 		p.group.Add(1)
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -20,7 +20,7 @@
 type Rig struct {
 	*day.World
 	Net      *Net
-	ports    *ports.Kept // reserved for the fronts' listeners
+	ports    *ports.Reservation // reserved for the fronts' listeners
 	fronts   int
 	voters   int
 	mu       sync.Mutex
@@ -52,7 +52,7 @@
 }
 
 // Limits are the limits in the rig's settings, for the auditor.
-var Limits = audit.Upkeep{Rack: 1, Zone: 2, Whole: 3, Grace: 250 * time.Millisecond}
+var Limits = audit.UpkeepLimits{MaxPerRack: 1, MaxPerZone: 2, MaxTotal: 3, Grace: 250 * time.Millisecond}
 
 // settings gives the (fleet ...) form of one front's settings.
 func settings(front, fronts, voters int, listen []string, n *Net) string {
@@ -74,13 +74,13 @@
 		}
 	}
 	fmt.Fprintf(b, ")\n (upkeep (rack %d) (zone %d) (whole %d) (holders 1) (margin 0.1) (paid 100) (patience 5s)\n  (hear 3s) (drain 12s) (late 8s) (back 2s) (stale 6s)))\n",
-		Limits.Rack, Limits.Zone, Limits.Whole)
+		Limits.MaxPerRack, Limits.MaxPerZone, Limits.MaxTotal)
 	return b.String()
 }
 
 // Open starts a day's stand-ins and its fronts, of which the first ones are voters.
 func Open(ctx context.Context, s *day.Script, o day.Options, voters int) (*Rig, error) {
-	kept, err := ports.Keep(s.Fronts)
+	kept, err := ports.Reserve(s.Fronts)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 		kept.Close()
 		return nil, err
 	}
-	o.Extra = func(me int) string { return settings(me, s.Fronts, voters, listen, r.Net) }
+	o.ExtraSettings = func(me int) string { return settings(me, s.Fronts, voters, listen, r.Net) }
 	if r.World, err = day.Open(ctx, s, o); err != nil {
 		return nil, errors.Join(err, r.Net.Close(), kept.Close())
 	}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	for i := range 5 {
-		lines := strings.Split(r.LogOf(i), "\n")
+		lines := strings.Split(r.FrontLog(i), "\n")
 		t.Logf("front-%d: %s", i, strings.Join(lines[max(0, len(lines)-12):], "\n"))
 	}
 	t.Fatalf("not within %v: %s", timeout, what)
@@ -276,7 +276,7 @@
 	x.step("a machine fails while another is out", func() {
 		m := r.Servers()[6] // server 7, in the rack of 1
 		m.Kill()
-		r.World.List(m, "removed")
+		r.World.SetListHealth(m, "removed")
 		time.Sleep(time.Second)
 		a := requestWork(t, r, ctx, 4, "beside a failed one", 1)
 		time.Sleep(3 * time.Second)
@@ -286,7 +286,7 @@
 		if err := m.Restart(); err != nil {
 			t.Fatal(err)
 		}
-		r.World.List(m, "ready")
+		r.World.SetListHealth(m, "ready")
 		waitForPhase(t, r, ctx, 3, a, ledger.Done)
 	})
 	x.step("all fronts restarted while a machine is out, with a stalled connection", func() {
--- a/internal/serve/addresses_test.go
+++ b/internal/serve/addresses_test.go
@@ -59,7 +59,7 @@
 func (x *site) relistWithAddresses(more ...string) {
 	for _, m := range x.farm.Servers() {
 		e := listEntry(m, "ready")
-		e.More = more
+		e.ExtraAddrs = more
 		x.list.Set(e)
 	}
 	x.waitFor("relisted", func() bool { return x.snapshot().readyServers == 3 })
@@ -72,8 +72,8 @@
 	for name, bad := range map[string]func(t *testing.T, x *site){
 		"drops silently":         func(t *testing.T, x *site) { x.relistWithAddresses(unresponsiveAddr(t)) },
 		"refuses":                func(t *testing.T, x *site) { x.relistWithAddresses(refusingAddr(t)) },
-		"accepts, never answers": func(t *testing.T, x *site) { x.setPathMode("tcp6", mediasim.PathSilent) },
-		"accepts, then resets":   func(t *testing.T, x *site) { x.setPathMode("tcp6", mediasim.PathResets) },
+		"accepts, never answers": func(t *testing.T, x *site) { x.setPathMode("tcp6", mediasim.AddressSilent) },
+		"accepts, then resets":   func(t *testing.T, x *site) { x.setPathMode("tcp6", mediasim.AddressResets) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newSiteWith(t, "", "ipv6")
@@ -98,28 +98,28 @@
 // setPathMode sets the behaviour of all servers' addresses of one network.
 func (x *site) setPathMode(network, mode string) {
 	for _, m := range x.farm.Servers() {
-		m.Path(network, mode)
+		m.SetAddressMode(network, mode)
 	}
 }
 
 func TestStalledAddressCausesNoSecondSetUp(t *testing.T) {
 	x := newSiteWith(t, "", "ipv6")
 	// Server 1 is the only holder of title b; its connection responds once, then stalls.
-	x.farm.Server(1).Path("tcp6", mediasim.PathStalls)
+	x.farm.Server(1).SetAddressMode("tcp6", mediasim.AddressStalls)
 	if a := x.player().open("paid", "b"); a.Error == nil || a.Error.Code != -32002 {
 		t.Fatalf("paid: %+v", a)
 	}
 	if a := x.player().open("safe", "a"); a.Result == nil {
 		t.Fatalf("safe: %+v", a.Error)
 	}
-	x.farm.Server(1).Path("tcp6", mediasim.PathGood)
+	x.farm.Server(1).SetAddressMode("tcp6", mediasim.AddressGood)
 	x.audit()
 }
 
 func TestRecoversAfterAllAddressesUnreachable(t *testing.T) {
 	x := newSiteWith(t, "", "ipv6")
-	x.setPathMode("tcp6", mediasim.PathResets)
-	x.setPathMode("tcp", mediasim.PathSilent)
+	x.setPathMode("tcp6", mediasim.AddressResets)
+	x.setPathMode("tcp", mediasim.AddressSilent)
 	began := time.Now()
 	if a := x.player().open("paid", "a"); a.Error == nil || a.Error.Code != -32001 { // refused, as it certainly never ran
 		t.Fatalf("%+v", a)
@@ -127,8 +127,8 @@
 	if took := time.Since(began); took > 1500*time.Millisecond {
 		t.Error("refused after", took)
 	}
-	x.setPathMode("tcp6", mediasim.PathGood)
-	x.setPathMode("tcp", mediasim.PathGood)
+	x.setPathMode("tcp6", mediasim.AddressGood)
+	x.setPathMode("tcp", mediasim.AddressGood)
 	x.waitFor("plays again", func() bool { return x.player().open("safe", "a").Result != nil })
 	x.audit()
 }
@@ -158,7 +158,7 @@
 	// One address written in two ways is one connection.
 	for _, m := range x.farm.Servers() {
 		e := listEntry(m, "ready")
-		e.More = []string{"[::ffff:127.0.0.1]:" + m.Addr()[strings.LastIndex(m.Addr(), ":")+1:]}
+		e.ExtraAddrs = []string{"[::ffff:127.0.0.1]:" + m.Addr()[strings.LastIndex(m.Addr(), ":")+1:]}
 		x.list.Set(e)
 	}
 	time.Sleep(150 * time.Millisecond)
@@ -180,15 +180,15 @@
 	if a := x.player().open("safe", "b"); a.Result == nil || !strings.HasPrefix(a.Result.Server, "127.0.0.1:") {
 		t.Fatalf("%+v", a)
 	}
-	x.farm.Server(1).Path("tcp", mediasim.PathResets) // resets connections over IPv4
-	if n := x.farm.Streams(); n != 1 {
+	x.farm.Server(1).SetAddressMode("tcp", mediasim.AddressResets) // resets connections over IPv4
+	if n := x.farm.StreamCount(); n != 1 {
 		t.Error("the session did not use the Unix socket")
 	}
-	x.farm.Server(1).Path("tcp", mediasim.PathGood)
+	x.farm.Server(1).SetAddressMode("tcp", mediasim.AddressGood)
 	x.leave()
 	os.Chmod(x.dir, 0o777) // any user may create a socket there now
 	x.start("")
-	x.farm.Server(1).Path("tcp", mediasim.PathResets)
+	x.farm.Server(1).SetAddressMode("tcp", mediasim.AddressResets)
 	if a := x.player().open("safe", "b"); a.Error == nil {
 		t.Error("a socket in a directory writable by any user was used")
 	}
--- a/internal/serve/fleet_test.go
+++ b/internal/serve/fleet_test.go
@@ -29,7 +29,7 @@
 	x.s.queue.Force(unavailableChanged{core.Reservations{Servers: map[uint32]uint64{3: 9},
 		Deadlines: map[uint32]core.Time{3: until}, Returned: map[uint32]core.Time{1: x.s.now()}}})
 	x.waitFor("two servers ready and the sessions moved",
-		func() bool { return x.snapshot().ReadyServers == 2 && x.farm.Server(3).Streams() == 0 })
+		func() bool { return x.snapshot().ReadyServers == 2 && x.farm.Server(3).StreamCount() == 0 })
 	p = x.player() // the first player gets notifications of its moves
 	x.s.queue.Force(unavailableChanged{core.Reservations{Fronts: map[string]uint64{"f": 10}}})
 	x.waitFor("all servers ready", func() bool { return x.snapshot().ReadyServers == 3 })
--- a/internal/serve/hls_test.go
+++ b/internal/serve/hls_test.go
@@ -61,7 +61,7 @@
 	p.site.t.Helper()
 	p.opened++
 	call := fmt.Sprintf("hls-%p-%d", p, p.opened)
-	hash := playersim.Hash(p.viewer)
+	hash := playersim.HashViewer(p.viewer)
 	p.site.rec.Add(record.Event{Kind: record.RequestSent, Front: "f", Ref: call, Class: classes[p.class], Viewer: hash})
 	code, text, h := p.get("/hls/" + p.title + "/master.m3u8?" +
 		url.Values{"class": {p.class}, "viewer": {p.viewer}}.Encode())
@@ -136,7 +136,7 @@
 			t.Error("status of a segment without a token:", code)
 		}
 	}
-	if n := x.farm.Streams(); n != 2 {
+	if n := x.farm.StreamCount(); n != 2 {
 		t.Error(n, "streams")
 	}
 	x.audit()
@@ -161,14 +161,14 @@
 	for n := range names {
 		seen[n] = true
 	}
-	if len(seen) != 1 || x.farm.Streams() != 1 {
-		t.Fatal(seen, x.farm.Streams(), "streams")
+	if len(seen) != 1 || x.farm.StreamCount() != 1 {
+		t.Fatal(seen, x.farm.StreamCount(), "streams")
 	}
 	// Without a viewer name two GETs are two viewers; with the first one's cookie they are one.
 	p, q := x.hlsPlayer("", "safe", "a"), x.hlsPlayer("", "safe", "a")
 	_, _, h := p.get("/hls/a/master.m3u8?class=safe")
 	q.get("/hls/a/master.m3u8?class=safe")
-	if n := x.farm.Streams(); n != 3 {
+	if n := x.farm.StreamCount(); n != 3 {
 		t.Fatal(n, "streams")
 	}
 	req, _ := http.NewRequest("GET", "http://"+x.s.HLS()+"/hls/a/master.m3u8?class=safe", nil)
@@ -178,7 +178,7 @@
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	if n := x.farm.Streams(); n != 3 {
+	if n := x.farm.StreamCount(); n != 3 {
 		t.Error(n, "streams after a repeated request with the cookie")
 	}
 	x.audit()
@@ -187,11 +187,11 @@
 func TestHLSStatusOfRefusedAndFailedRequests(t *testing.T) {
 	x := newSite(t, hlsSettings)
 	x.hlsPlayer("w", "safe", "b").open()
-	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Lose = 1 })
+	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { f.LostReplies = 1 })
 	if code, _, _ := x.hlsPlayer("v1", "paid", "b").open(); code != 502 {
 		t.Error("status of a paid set-up that may have run:", code)
 	}
-	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Lose = 0 })
+	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { f.LostReplies = 0 })
 	x.farm.Server(1).Kill()
 	x.waitFor("refused", func() bool {
 		code, _, h := x.hlsPlayer("v2", "safe", "b").open()
@@ -224,7 +224,7 @@
 	if code, _ := p.reload("/hls/s/" + hlsKeys.Sign(c) + "/0.m3u8"); code != 410 {
 		t.Error("status of the token of a paid session of another front:", code)
 	}
-	if x.farm.Streams() != 0 {
+	if x.farm.StreamCount() != 0 {
 		t.Error("a session was set up for an invalid token")
 	}
 	c.Class = 0 // a safe session is set up again, once for all requests with its token
@@ -234,7 +234,7 @@
 		go func() { defer wg.Done(); x.hlsPlayer("v", "safe", "a").get("/hls/s/" + hlsKeys.Sign(c) + "/0.m3u8") }()
 	}
 	wg.Wait()
-	if n := x.farm.Streams(); n != 1 {
+	if n := x.farm.StreamCount(); n != 1 {
 		t.Error(n, "streams")
 	}
 	x.audit()
@@ -250,7 +250,7 @@
 			var at string
 			if how == "dies before the first media playlist" {
 				for _, m := range x.farm.Servers() {
-					if m.Streams() > 0 {
+					if m.StreamCount() > 0 {
 						at = m.HTTPAddr()
 					}
 				}
@@ -279,7 +279,7 @@
 			if _, segments = p.reload(variant); p.currentHolder(segments) == at {
 				t.Error(segments)
 			}
-			if n := x.farm.Streams(); n != 1 {
+			if n := x.farm.StreamCount(); n != 1 {
 				t.Error(n, "streams")
 			}
 			x.audit()
@@ -295,7 +295,7 @@
 	x.leave()
 	x.start(hlsSettings)
 	x.waitFor("reloads succeed again", func() bool { code, _ := p.reload(variants[0]); return code == 200 })
-	if n := x.farm.Streams(); n != 1 {
+	if n := x.farm.StreamCount(); n != 1 {
 		t.Error(n, "streams")
 	}
 	x.audit()
@@ -316,14 +316,14 @@
 	} else {
 		resp.Body.Close()
 	}
-	x.waitFor("closed by the DELETE request", func() bool { return x.farm.Streams() == 2 })
+	x.waitFor("closed by the DELETE request", func() bool { return x.farm.StreamCount() == 2 })
 	for range 16 {
 		time.Sleep(500 * time.Millisecond)
 		if code, _ := steady.reload(v[0]); code != 200 {
 			t.Fatal(code)
 		}
 	}
-	if n := x.farm.Streams(); n != 1 || x.s.hls.Sessions() != 1 {
+	if n := x.farm.StreamCount(); n != 1 || x.s.hls.Sessions() != 1 {
 		t.Error(n, "streams,", x.s.hls.Sessions(), "sessions; want one, that of the player that still reloads")
 	}
 	x.audit()
@@ -342,8 +342,8 @@
 		t.Error(codes)
 	}
 	time.Sleep(1100 * time.Millisecond)
-	if code, _ := p.reload(variants[0]); code != 200 || x.farm.Streams() != 1 {
-		t.Error(code, x.farm.Streams())
+	if code, _ := p.reload(variants[0]); code != 200 || x.farm.StreamCount() != 1 {
+		t.Error(code, x.farm.StreamCount())
 	}
 	x.audit()
 }
@@ -355,7 +355,7 @@
 	if code, _ := p.reload(variants[0]); code != 200 {
 		t.Fatal(code)
 	}
-	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Half = 1 })
+	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { f.TruncatedReplies = 1 })
 	time.Sleep(700 * time.Millisecond)
 	if code, _ := p.reload(variants[0]); code != 200 { // truncated: the last complete playlist is still usable
 		t.Error("status with a recent cached playlist:", code)
@@ -364,7 +364,7 @@
 	if code, _ := p.reload(variants[0]); code != 503 { // the cached playlist is too old by now
 		t.Error("status with a playlist older than two target durations:", code)
 	}
-	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Half = 0 })
+	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { f.TruncatedReplies = 0 })
 	x.waitFor("reloads succeed again", func() bool { code, _ := p.reload(variants[0]); return code == 200 })
 	x.audit()
 }
--- a/internal/serve/players_test.go
+++ b/internal/serve/players_test.go
@@ -33,7 +33,7 @@
 func TestRequestsAreAnsweredInTimeWhenAllHoldersStall(t *testing.T) {
 	x := newSite(t, "")
 	for _, m := range x.farm.Servers() {
-		m.Fault(func(f *mediasim.Faults) { f.Stalled = true })
+		m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = true })
 	}
 	var players []*player
 	for i := range 30 {
@@ -47,7 +47,7 @@
 		}
 	}
 	for _, m := range x.farm.Servers() {
-		m.Fault(func(f *mediasim.Faults) { f.Stalled = false })
+		m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = false })
 	}
 	r := x.audit()
 	for _, d := range r.Open {
@@ -83,7 +83,7 @@
 		}
 		servers[a.Result.Server] = true
 	}
-	if n := x.farm.Streams(); n != 30 {
+	if n := x.farm.StreamCount(); n != 30 {
 		t.Error(n, "streams")
 	}
 	x.audit()
@@ -113,7 +113,7 @@
 	if b.Result == nil || b.Result.Session != a.Result.Session || b.Result.Server != a.Result.Server {
 		t.Fatalf("%+v", b)
 	}
-	if x.farm.Streams() != 1 {
+	if x.farm.StreamCount() != 1 {
 		t.Fatal("want one stream")
 	}
 	time.Sleep(2200 * time.Millisecond) // the resume window of the first connection loss is over
@@ -133,7 +133,7 @@
 	p.nc.Close()
 	x.waitFor("ended", func() bool {
 		v := x.snapshot()
-		return v.Sessions == 0 && v.PlayerSessions == 0 && x.farm.Streams() == 0
+		return v.Sessions == 0 && v.PlayerSessions == 0 && x.farm.StreamCount() == 0
 	})
 	if b := x.player().resume(a.Result.Session, a.Result.Token); b.Error == nil || b.Error.Code != -32003 {
 		t.Fatalf("%+v", b)
@@ -201,7 +201,7 @@
 func TestOpenRequestsPerConnectionAreLimited(t *testing.T) {
 	x := newSite(t, "(limits (open-per-connection 5))")
 	for _, m := range x.farm.Servers() {
-		m.Fault(func(f *mediasim.Faults) { f.Stalled = true })
+		m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = true })
 	}
 	p := x.player()
 	for range 20 {
@@ -217,7 +217,7 @@
 		t.Fatal(codes)
 	}
 	for _, m := range x.farm.Servers() {
-		m.Fault(func(f *mediasim.Faults) { f.Stalled = false })
+		m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = false })
 	}
 	x.waitFor("the open requests are released", func() bool { return x.player().open("safe", "a").Result != nil })
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -90,9 +90,9 @@
 	x.rec.Add(auditRules(cfg).Event())
 	if x.farm, err = mediasim.New(mediasim.Params{Ladder: cfg.Service.RungKB, Slots: 2000, LinkKB: 1e6,
 		UplinkKB: 3e6, Racks: 1, Cells: 3,
-		SetupTime: time.Millisecond, ReportEvery: 50 * time.Millisecond, NotesLate: 200 * time.Millisecond, Inline: true,
-		Keep: 400 * time.Millisecond, Seed: 1,
-		Families: families, Dir: x.dir, HTTP: true, Keys: hlsKeys}, 3, x.rec); err != nil {
+		SetupTime: time.Millisecond, ReportInterval: 50 * time.Millisecond, NoteDelay: 200 * time.Millisecond, InlineReports: true,
+		SessionTimeout: 400 * time.Millisecond, Seed: 1,
+		ExtraFamilies: families, SocketDir: x.dir, ServeHLS: true, TokenKeys: hlsKeys}, 3, x.rec); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(x.farm.Close)
@@ -109,7 +109,7 @@
 
 func listEntry(m *mediasim.Server, health string) listsim.Server {
 	return listsim.Server{ID: m.ID, Addr: m.Addr(), Cell: m.Cell, Zone: "z", Kind: "std", Size: 1,
-		Started: m.Started(), Health: health, More: m.Addrs()[1:], HTTP: m.HTTPAddr()}
+		StartedAt: m.StartedAt(), Health: health, ExtraAddrs: m.Addrs()[1:], HTTPAddr: m.HTTPAddr()}
 }
 
 func auditRules(cfg *config.Config) audit.Rules {
@@ -190,7 +190,7 @@
 	x.t.Helper()
 	x.rec.Add(record.Event{Kind: record.FrontDraining, Front: "f"})
 	x.leave()
-	x.waitFor("all streams ended", func() bool { return x.farm.Streams() == 0 })
+	x.waitFor("all streams ended", func() bool { return x.farm.StreamCount() == 0 })
 	x.rec.Add(record.Event{Kind: record.DayFinished})
 	r, err := audit.Judge(x.rec.Events())
 	if err != nil {
@@ -291,7 +291,7 @@
 		!strings.HasPrefix(a.Result.URI, "rtsp://127.0.0.1:") {
 		t.Fatalf("%+v", a)
 	}
-	if n := x.farm.Streams(); n != 1 {
+	if n := x.farm.StreamCount(); n != 1 {
 		t.Fatal(n, "streams")
 	}
 	other := x.player()
@@ -305,7 +305,7 @@
 	if b := p.read(); b.Result == nil || b.Result.Status != "closed" {
 		t.Fatalf("%+v", b)
 	}
-	x.waitFor("torn down", func() bool { return x.farm.Streams() == 0 })
+	x.waitFor("torn down", func() bool { return x.farm.StreamCount() == 0 })
 	if r := x.audit(); r.Replies["plays"] != 1 {
 		t.Fatal(r.Replies)
 	}
@@ -358,7 +358,7 @@
 	first := x.player().open("safe", "a") // the next session goes to the same server, which is known to be idle
 	for _, m := range x.farm.Servers() {
 		if m.Addr() == first.Result.Server {
-			m.Fault(func(f *mediasim.Faults) { f.Stalled = true })
+			m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = true })
 		}
 	}
 	began := time.Now()
@@ -367,7 +367,7 @@
 		t.Fatalf("%+v after %v", a, time.Since(began))
 	}
 	for _, m := range x.farm.Servers() {
-		m.Fault(func(f *mediasim.Faults) { f.Stalled = false })
+		m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = false })
 	}
 	if r := x.audit(); r.Further == 0 || r.Replies["plays"] != 2 {
 		t.Fatal(r.Further, r.Replies)
@@ -377,22 +377,22 @@
 func TestPaidSetUpThatMayHaveRunIsNotRetried(t *testing.T) {
 	for name, fault := range map[string]func(*mediasim.Faults){
 		"stalled":     func(f *mediasim.Faults) { f.Stalled = true },
-		"answer lost": func(f *mediasim.Faults) { f.Lose = 1 },
-		"half reply":  func(f *mediasim.Faults) { f.Half = 1 },
-		"garbage":     func(f *mediasim.Faults) { f.Garbage = 1 },
-		"fast error":  func(f *mediasim.Faults) { f.Errors = 1 },
+		"answer lost": func(f *mediasim.Faults) { f.LostReplies = 1 },
+		"half reply":  func(f *mediasim.Faults) { f.TruncatedReplies = 1 },
+		"garbage":     func(f *mediasim.Faults) { f.GarbageReplies = 1 },
+		"fast error":  func(f *mediasim.Faults) { f.SetupErrors = 1 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newSite(t, "")
 			x.player().open("safe", "b") // opens the connection to the title's only holder
 			for _, m := range x.farm.Servers() {
-				m.Fault(fault)
+				m.UpdateFaults(fault)
 			}
 			if a := x.player().open("paid", "b"); a.Error == nil || a.Error.Code != -32002 {
 				t.Fatalf("%+v", a.Error)
 			}
 			for _, m := range x.farm.Servers() {
-				m.Fault(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
+				m.UpdateFaults(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
 			}
 			if r := x.audit(); r.Setups != 2 {
 				t.Fatal(r.Setups, "set-ups")
@@ -406,7 +406,7 @@
 func TestPaidSetUpIsRefusedIfNoServerEverResponded(t *testing.T) {
 	x := newSite(t, "")
 	for _, m := range x.farm.Servers() {
-		m.Fault(func(f *mediasim.Faults) { f.Stalled = true })
+		m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = true })
 	}
 	if a := x.player().open("paid", "a"); a.Error == nil || a.Error.Code != -32001 {
 		t.Fatalf("%+v", a.Error)
@@ -429,7 +429,7 @@
 		v := x.snapshot()
 		return v.Sessions == 0 && v.HeldAttempts == 0 && v.PendingCalls == 0 && v.PlayerSessions == 0
 	})
-	x.waitFor("all streams to end", func() bool { return x.farm.Streams() == 0 })
+	x.waitFor("all streams to end", func() bool { return x.farm.StreamCount() == 0 })
 	x.audit()
 }
 
@@ -482,11 +482,11 @@
 	x := newSite(t, "")
 	p := x.player()
 	p.open("safe", "b")
-	x.farm.Server(1).Fault(func(f *mediasim.Faults) { f.Half = 1 }) // the next, truncated response closes the connection
+	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { f.TruncatedReplies = 1 }) // the next, truncated response closes the connection
 	x.player().open("safe", "b")
-	x.farm.Server(1).Fault(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
+	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
 	time.Sleep(600 * time.Millisecond) // longer than a server keeps a stream without a connection
-	if n := x.farm.Streams(); n != 1 {
+	if n := x.farm.StreamCount(); n != 1 {
 		t.Fatal(n, "streams")
 	}
 	x.audit()
@@ -499,7 +499,7 @@
 		return err == nil
 	})
 	x.leave()
-	x.list.Fail(true)
+	x.list.SetFailing(true)
 	x.start("")
 	if a := x.player().open("safe", "a"); a.Result == nil {
 		t.Fatalf("%+v", a)
@@ -508,20 +508,20 @@
 	path := filepath.Join(x.dir, "state", "servers.sexp")
 	text, _ := os.ReadFile(path)
 	os.WriteFile(path, text[:len(text)/2], 0o644)
-	x.list.Fail(false)
+	x.list.SetFailing(false)
 	x.start("") // the damaged list is ignored and the service's list used
 	x.audit()
 }
 
 func TestEmptyOrOlderListIsRejected(t *testing.T) {
 	x := newSite(t, "")
-	x.list.Empty(true)
+	x.list.SetEmpty(true)
 	time.Sleep(300 * time.Millisecond)
 	if a := x.player().open("safe", "a"); a.Result == nil {
 		t.Fatalf("%+v", a)
 	}
-	x.list.Empty(false)
-	x.list.Rewind()
+	x.list.SetEmpty(false)
+	x.list.ResetIndex()
 	time.Sleep(200 * time.Millisecond)
 	if v := x.snapshot(); v.ReadyServers != 3 {
 		t.Fatal(v.ReadyServers)
@@ -534,7 +534,7 @@
 	playing := x.player()
 	playing.open("safe", "a")
 	for _, m := range x.farm.Servers() {
-		m.Fault(func(f *mediasim.Faults) { f.Lose = 1 })
+		m.UpdateFaults(func(f *mediasim.Faults) { f.LostReplies = 1 })
 	}
 	waits := x.player()
 	waits.ask("safe", "a")
@@ -553,7 +553,7 @@
 		t.Fatal(d)
 	}
 	for _, m := range x.farm.Servers() {
-		m.Fault(func(f *mediasim.Faults) { f.Lose = 0 })
+		m.UpdateFaults(func(f *mediasim.Faults) { f.LostReplies = 0 })
 	}
 	x.audit()
 }
--- a/internal/serve/titles_test.go
+++ b/internal/serve/titles_test.go
@@ -97,7 +97,7 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				viewers.Watch(context.Background(), playersim.Viewer{Name: fmt.Sprintf("v%d-%d", i, n),
 					Title: []string{"a", "b", "c", "d"}[(i+n)%4],
-					Class: []string{"safe", "floored"}[i%2], ClassN: []int{0, 2}[i%2], Top: 2, Length: 60 * time.Millisecond})
+					Class: []string{"safe", "floored"}[i%2], ClassIndex: []int{0, 2}[i%2], Top: 2, WatchTime: 60 * time.Millisecond})
 				time.Sleep(time.Duration(clients) * time.Second / 3000)
 			}
 		}()
@@ -217,7 +217,7 @@
 			viewers := playersim.New(x.rec, 1, 0, func(int) (string, string) { return "f", x.s.Addr() })
 			for i, class := range []string{"safe", "paid"} {
 				viewers.Watch(context.Background(), playersim.Viewer{Name: "v" + class, Title: "a", Class: class,
-					ClassN: i, Top: 2, Length: 50 * time.Millisecond})
+					ClassIndex: i, Top: 2, WatchTime: 50 * time.Millisecond})
 			}
 			x.audit()
 			plays := 0
--- a/internal/standin/listsim/listsim.go
+++ b/internal/standin/listsim/listsim.go
@@ -17,16 +17,16 @@
 
 // Server is one server on the list.
 type Server struct {
-	ID      uint32
-	Addr    string
-	Cell    int
-	Zone    string
-	Kind    string
-	Size    float64
-	Started time.Time // zero: started long ago
-	Health  string    // ready, draining or removed
-	HTTP    string    // address that delivers HLS segments
-	More    []string  // further addresses: [IPV6]:PORT, or the path of a Unix socket
+	ID         uint32
+	Addr       string
+	Cell       int
+	Zone       string
+	Kind       string
+	Size       float64
+	StartedAt  time.Time // zero: started long ago
+	Health     string    // ready, draining or removed
+	HTTPAddr   string    // address that delivers HLS segments
+	ExtraAddrs []string  // further addresses: [IPV6]:PORT, or the path of a Unix socket
 }
 
 // List is the list service.
@@ -117,16 +117,16 @@
 }
 
 // SetDelay sets the delay between a later change and its effect on the list.
-func (l *List) Lag(d time.Duration) { l.mu.Lock(); l.delay = d; l.mu.Unlock() }
+func (l *List) SetDelay(d time.Duration) { l.mu.Lock(); l.delay = d; l.mu.Unlock() }
 
 // SetFailing makes every request fail with status 500 while on is true.
-func (l *List) Fail(on bool) { l.mu.Lock(); l.failing = on; l.notifyWaiters(); l.mu.Unlock() }
+func (l *List) SetFailing(on bool) { l.mu.Lock(); l.failing = on; l.notifyWaiters(); l.mu.Unlock() }
 
 // SetEmpty makes every response an empty list while on is true.
-func (l *List) Empty(on bool) { l.mu.Lock(); l.empty = on; l.notifyWaiters(); l.mu.Unlock() }
+func (l *List) SetEmpty(on bool) { l.mu.Lock(); l.empty = on; l.notifyWaiters(); l.mu.Unlock() }
 
 // ResetIndex sets the index back to 1, as in a service restored from an old copy.
-func (l *List) Rewind() { l.mu.Lock(); l.index = 1; l.notifyWaiters(); l.mu.Unlock() }
+func (l *List) ResetIndex() { l.mu.Lock(); l.index = 1; l.notifyWaiters(); l.mu.Unlock() }
 
 // entry is one element of the JSON response.
 type entry struct {
@@ -196,7 +196,7 @@
 func (l *List) reportedChanges(front string, servers map[uint32]Server) (events []record.Event) {
 	previous := l.reported[front]
 	for id, s := range servers {
-		if before, ok := previous[id]; !ok || before.Health != s.Health || !before.Started.Equal(s.Started) {
+		if before, ok := previous[id]; !ok || before.Health != s.Health || !before.StartedAt.Equal(s.StartedAt) {
 			events = append(events, record.Event{Source: "list", Kind: record.ServerListed, Front: front,
 				Server: id, Health: s.Health, StartedAt: startedNanos(s)})
 		}
@@ -215,10 +215,10 @@
 
 // startedNanos returns the start time in Unix nanoseconds, 0 if the server started long ago.
 func startedNanos(s Server) int64 {
-	if s.Started.IsZero() {
+	if s.StartedAt.IsZero() {
 		return 0
 	}
-	return s.Started.UnixNano()
+	return s.StartedAt.UnixNano()
 }
 
 // newEntry builds the JSON entry of a server.
@@ -234,9 +234,9 @@
 		Service: map[string]any{"ID": fmt.Sprintf("%s-%d", name, s.ID), "Service": name, "Address": host,
 			"Port": portNumber, "Meta": meta},
 		Checks: []map[string]any{{"Node": fmt.Sprintf("media-%d", s.ID), "CheckID": "serfHealth", "Status": "passing"}}}
-	meta["http"] = s.HTTP
+	meta["http"] = s.HTTPAddr
 	tagged := map[string]any{}
-	for _, addr := range s.More {
+	for _, addr := range s.ExtraAddrs {
 		if strings.HasPrefix(addr, "/") {
 			meta["unix"] = addr
 		} else if extraHost, extraPort, err := net.SplitHostPort(addr); err == nil {
--- a/internal/standin/mediasim/farm.go
+++ b/internal/standin/mediasim/farm.go
@@ -18,30 +18,30 @@
 
 // Params holds the parameters that all servers of a farm share.
 type Params struct {
-	Ladder      []float64 // rate of each rung, in kB/s
-	Slots       float64   // maximum number of streams on a server
-	LinkKB      float64   // mean rate of a server's network link, in kB/s
-	UplinkKB    float64   // mean rate of a rack's uplink, in kB/s
-	Uneven      float64   // maximum deviation of links and uplinks from the mean, as a fraction of it
-	Racks       int
-	Cells       int
-	SetupTime   time.Duration // duration of a set-up on a warm server
-	ReportEvery time.Duration // interval at which reported load values are refreshed
-	NotesLate   time.Duration // age of the values in notes
-	TellEvery   time.Duration // interval between notes of link use; 0: none are sent
-	FullFrom    float64       // link use from which set-ups are refused as full; 0: never
-	Inline      bool          // PLAY responses carry load values
-	ColdSpan    time.Duration // duration of the warm-up after a cold start
-	ColdFrom    float64       // capacity right after a cold start, as a fraction of the full one
-	FallTimes   float64       // a cold server crashes at this multiple of the set-up rate it has capacity for
-	FallOver    time.Duration // window in which the set-ups of a cold server are counted
-	Keep        time.Duration // how long a stream is kept after its connection is lost
-	Holds       func(title string, cell int) bool
-	Seed        int64
-	Families    []string // address families besides IPv4: "ipv6", "unix" (sockets in SocketDir)
-	Dir         string
-	HTTP        bool // servers also deliver HLS playlists and segments
-	Keys        *hlstoken.Keys
+	Ladder         []float64 // rate of each rung, in kB/s
+	Slots          float64   // maximum number of streams on a server
+	LinkKB         float64   // mean rate of a server's network link, in kB/s
+	UplinkKB       float64   // mean rate of a rack's uplink, in kB/s
+	RateVariation  float64   // maximum deviation of links and uplinks from the mean, as a fraction of it
+	Racks          int
+	Cells          int
+	SetupTime      time.Duration // duration of a set-up on a warm server
+	ReportInterval time.Duration // interval at which reported load values are refreshed
+	NoteDelay      time.Duration // age of the values in notes
+	NoteInterval   time.Duration // interval between notes of link use; 0: none are sent
+	FullThreshold  float64       // link use from which set-ups are refused as full; 0: never
+	InlineReports  bool          // PLAY responses carry load values
+	WarmupTime     time.Duration // duration of the warm-up after a cold start
+	ColdCapacity   float64       // capacity right after a cold start, as a fraction of the full one
+	OverloadFactor float64       // a cold server crashes at this multiple of the set-up rate it has capacity for
+	OverloadWindow time.Duration // window in which the set-ups of a cold server are counted
+	SessionTimeout time.Duration // how long a stream is kept after its connection is lost
+	HoldsTitle     func(title string, cell int) bool
+	Seed           int64
+	ExtraFamilies  []string // address families besides IPv4: "ipv6", "unix" (sockets in SocketDir)
+	SocketDir      string
+	ServeHLS       bool // servers also deliver HLS playlists and segments
+	TokenKeys      *hlstoken.Keys
 }
 
 // Farm is a set of servers and their racks.
@@ -56,17 +56,17 @@
 	stop          chan struct{}
 	stopOnce      sync.Once
 	running       sync.WaitGroup
-	reservation   *ports.Kept // keeps the servers' addresses reserved while they are down
+	reservation   *ports.Reservation // keeps the servers' addresses reserved while they are down
 }
 
 // New starts a farm of n warm servers on loopback ports. Server ids start at 1, cells at 0.
 func New(p Params, n int, rec *record.Log) (*Farm, error) {
 	f := &Farm{params: p, rec: rec, rng: rand.New(rand.NewSource(p.Seed)), stop: make(chan struct{})}
 	var err error
-	if f.reservation, err = ports.Keep(n); err != nil {
+	if f.reservation, err = ports.Reserve(n); err != nil {
 		return nil, err
 	}
-	variation := func() float64 { return 1 + p.Uneven*(2*f.rng.Float64()-1) }
+	variation := func() float64 { return 1 + p.RateVariation*(2*f.rng.Float64()-1) }
 	for range p.Racks {
 		f.uplinks, f.uplinkFactors = append(f.uplinks, p.UplinkKB*variation()), append(f.uplinkFactors, 1)
 	}
@@ -76,7 +76,7 @@
 			streams: map[string]*stream{}, share: 1, linkFactor: 1}
 		s.rack = s.Cell % p.Racks
 		s.extraListeners = f.newExtraListeners(i + 1)
-		if p.HTTP {
+		if p.ServeHLS {
 			if err := s.listenHTTP(); err != nil {
 				f.Close()
 				return nil, err
@@ -95,13 +95,13 @@
 
 // newExtraListeners returns the listeners of a server's further addresses, not yet started.
 func (f *Farm) newExtraListeners(id int) (list []*extraListener) {
-	for _, family := range f.params.Families {
+	for _, family := range f.params.ExtraFamilies {
 		switch family {
 		case "ipv6":
 			list = append(list, &extraListener{network: "tcp6", addr: "[::1]:0"})
 		case "unix":
 			list = append(list, &extraListener{network: "unix",
-				addr: filepath.Join(f.params.Dir, fmt.Sprintf("media-%d.sock", id))})
+				addr: filepath.Join(f.params.SocketDir, fmt.Sprintf("media-%d.sock", id))})
 		}
 	}
 	return list
@@ -119,7 +119,7 @@
 }
 
 // LimitUplink reduces the rate of a rack's uplink to a fraction of its full rate; a factor of 1 restores it.
-func (f *Farm) Sag(rack int, factor float64) {
+func (f *Farm) LimitUplink(rack int, factor float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if rack >= 0 && rack < len(f.uplinkFactors) {
@@ -128,7 +128,7 @@
 }
 
 // StreamCount returns the number of streams on all servers.
-func (f *Farm) Streams() (n int) {
+func (f *Farm) StreamCount() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -203,10 +203,10 @@
 		}
 		s.share = share
 		s.samples = append(s.samples, sample{now, share, s.linkUse, s.uplinkUse})
-		for len(s.samples) > 0 && now.Sub(s.samples[0].at) > f.params.NotesLate+time.Second {
+		for len(s.samples) > 0 && now.Sub(s.samples[0].at) > f.params.NoteDelay+time.Second {
 			s.samples = s.samples[1:]
 		}
-		if now.Sub(s.reportedAt) >= f.params.ReportEvery {
+		if now.Sub(s.reportedAt) >= f.params.ReportInterval {
 			s.reportedAt, s.reported = now, sample{now, share, s.linkUse, s.uplinkUse}
 		}
 	}
@@ -221,7 +221,7 @@
 // delayedSample returns the most recent sample that is at least NoteDelay old.
 func (s *Server) delayedSample(now time.Time) sample {
 	for i := len(s.samples) - 1; i >= 0; i-- {
-		if now.Sub(s.samples[i].at) >= s.farm.params.NotesLate {
+		if now.Sub(s.samples[i].at) >= s.farm.params.NoteDelay {
 			return s.samples[i]
 		}
 	}
@@ -232,7 +232,7 @@
 func (s *Server) name() string { return fmt.Sprintf("media-%d", s.ID) }
 
 // StreamCount returns the number of streams on the server.
-func (s *Server) Streams() int {
+func (s *Server) StreamCount() int {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
 	return len(s.streams)
--- a/internal/standin/mediasim/http.go
+++ b/internal/standin/mediasim/http.go
@@ -55,7 +55,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	title, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if f.params.Holds != nil && !f.params.Holds(title, s.Cell) {
+	if f.params.HoldsTitle != nil && !f.params.HoldsTitle(title, s.Cell) {
 		http.NotFound(w, r)
 		return
 	}
@@ -87,8 +87,8 @@
 // serveSegment answers a request for an existing segment if it carries a valid token; no media is sent.
 func (s *Server) serveSegment(w http.ResponseWriter, r *http.Request, title, rest string) {
 	e := record.Event{Source: s.name(), Kind: record.SegmentRequested, Server: s.ID, Title: title, Text: rest}
-	if s.farm.params.Keys != nil {
-		claims, err := s.farm.params.Keys.Verify(r.URL.Query().Get("st"), time.Now().Unix())
+	if s.farm.params.TokenKeys != nil {
+		claims, err := s.farm.params.TokenKeys.Verify(r.URL.Query().Get("st"), time.Now().Unix())
 		if err != nil || claims.Title != title {
 			http.Error(w, "no token for this title", http.StatusForbidden)
 			return
--- a/internal/standin/mediasim/serve.go
+++ b/internal/standin/mediasim/serve.go
@@ -18,7 +18,7 @@
 		if c.waitWhile(func(s *Server) bool { return s.stalled || s.silent }) {
 			continue
 		}
-		if c.mode == PathSilent || c.mode == PathStalls && j.message.Method != rtsp.Options {
+		if c.mode == AddressSilent || c.mode == AddressStalls && j.message.Method != rtsp.Options {
 			continue
 		}
 		if j.message.Method == "" {
@@ -41,10 +41,10 @@
 // capacity returns the server's capacity as a fraction; it grows from ColdCapacity to 1 over WarmupTime.
 func (s *Server) capacity(now time.Time) float64 {
 	p := &s.farm.params
-	if s.startedAt.IsZero() || p.ColdSpan <= 0 {
+	if s.startedAt.IsZero() || p.WarmupTime <= 0 {
 		return 1
 	}
-	return min(1, p.ColdFrom+(1-p.ColdFrom)*float64(now.Sub(s.startedAt))/float64(p.ColdSpan))
+	return min(1, p.ColdCapacity+(1-p.ColdCapacity)*float64(now.Sub(s.startedAt))/float64(p.WarmupTime))
 }
 
 // answer handles one request and writes the response, unless a fault drops or damages it.
@@ -74,7 +74,7 @@
 			started.At, started.Kind, started.Rung = 0, record.StreamStarted, st.rung
 			s.farm.rec.Add(started)
 			event = &started
-			if s.farm.params.Inline {
+			if s.farm.params.InlineReports {
 				reply.AddHeader("Content-Type", "text/parameters")
 				reply.Body = s.reportBody()
 			}
@@ -133,13 +133,13 @@
 // setup accepts or refuses a set-up, adds the stream if it is accepted, and returns the status.
 func (s *Server) setup(c *conn, m *rtsp.Message, reply *rtsp.Message, attempt record.Event) int {
 	p, now := &s.farm.params, time.Now()
-	if p.ColdSpan > 0 && !s.startedAt.IsZero() && now.Sub(s.startedAt) < p.ColdSpan {
+	if p.WarmupTime > 0 && !s.startedAt.IsZero() && now.Sub(s.startedAt) < p.WarmupTime {
 		s.recentSetups = append(s.recentSetups, now)
-		for len(s.recentSetups) > 0 && now.Sub(s.recentSetups[0]) > p.FallOver {
+		for len(s.recentSetups) > 0 && now.Sub(s.recentSetups[0]) > p.OverloadWindow {
 			s.recentSetups = s.recentSetups[1:]
 		}
-		if maxSetups := MaxColdSetups(p.Slots, p.ColdSpan, s.capacity(now), p.FallTimes,
-			p.FallOver); float64(len(s.recentSetups)) > maxSetups {
+		if maxSetups := MaxColdSetups(p.Slots, p.WarmupTime, s.capacity(now), p.OverloadFactor,
+			p.OverloadWindow); float64(len(s.recentSetups)) > maxSetups {
 			s.stopLocked("pushed over while cold", true)
 			return rtsp.StatusUnavailable
 		}
@@ -147,9 +147,9 @@
 	switch {
 	case s.farm.rng.Float64() < s.errorRate:
 		return rtsp.StatusInternalError
-	case p.Holds != nil && !p.Holds(attempt.Title, s.Cell):
+	case p.HoldsTitle != nil && !p.HoldsTitle(attempt.Title, s.Cell):
 		return rtsp.StatusNotFound
-	case float64(len(s.streams)) >= p.Slots, p.FullFrom > 0 && s.linkUse >= p.FullFrom:
+	case float64(len(s.streams)) >= p.Slots, p.FullThreshold > 0 && s.linkUse >= p.FullThreshold:
 		return rtsp.StatusNotEnoughBandwidth
 	case attempt.Rung < 0 || attempt.Rung >= len(p.Ladder):
 		return rtsp.StatusBadRequest
@@ -163,7 +163,7 @@
 	}
 	c.pipelined[st.pipelineID] = st
 	s.streams[st.id] = st
-	reply.AddHeader("Session", fmt.Sprintf("%s;timeout=%d", st.id, max(int(p.Keep/time.Second), 1)))
+	reply.AddHeader("Session", fmt.Sprintf("%s;timeout=%d", st.id, max(int(p.SessionTimeout/time.Second), 1)))
 	return rtsp.StatusOK
 }
 
@@ -236,7 +236,7 @@
 			c.shareNotedAt, st.wasShort = now, delayed.share < 0.98
 			go c.sendNote(st.id, fmt.Sprintf("share: %.4f\r\n", delayed.share))
 		}
-		if s.farm.params.TellEvery > 0 && now.Sub(c.useNotedAt) >= s.farm.params.TellEvery {
+		if s.farm.params.NoteInterval > 0 && now.Sub(c.useNotedAt) >= s.farm.params.NoteInterval {
 			c.useNotedAt = now
 			go c.sendNote(st.id, fmt.Sprintf("link: %.4f\r\nuplink: %.4f\r\n", delayed.linkUse, delayed.uplinkUse))
 		}
--- a/internal/standin/mediasim/server.go
+++ b/internal/standin/mediasim/server.go
@@ -91,31 +91,35 @@
 func (s *Server) Addr() string { s.farm.mu.Lock(); defer s.farm.mu.Unlock(); return s.addr }
 
 // StartedAt returns the start time of a process that started cold, zero for one that started long ago.
-func (s *Server) Started() time.Time { s.farm.mu.Lock(); defer s.farm.mu.Unlock(); return s.startedAt }
+func (s *Server) StartedAt() time.Time {
+	s.farm.mu.Lock()
+	defer s.farm.mu.Unlock()
+	return s.startedAt
+}
 
 // Up reports whether the server's process runs.
 func (s *Server) Up() bool { s.farm.mu.Lock(); defer s.farm.mu.Unlock(); return s.up }
 
 // UpdateFaults changes the injected faults by calling change under the farm's lock.
-func (s *Server) Fault(change func(f *Faults)) {
+func (s *Server) UpdateFaults(change func(f *Faults)) {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
 	f := Faults{s.stalled, s.silent, s.slow, s.errorRate, s.lossRate, s.garbageRate, s.truncationRate, 1 - s.linkFactor}
 	change(&f)
 	s.stalled, s.silent, s.slow, s.errorRate, s.lossRate, s.garbageRate, s.truncationRate, s.linkFactor =
-		f.Stalled, f.Silent, f.Slow, f.Errors, f.Lose, f.Garbage, f.Half, max(1-f.Taken, 0.001)
+		f.Stalled, f.Silent, f.Slow, f.SetupErrors, f.LostReplies, f.GarbageReplies, f.TruncatedReplies, max(1-f.LinkTaken, 0.001)
 }
 
 // Faults are the faults injected into a server.
 type Faults struct {
-	Stalled bool    // accepts requests and sends no response; its streams deliver nothing
-	Silent  bool    // as if the machine were unreachable: what arrives is recorded, nothing is sent back
-	Slow    bool    // reads slowly
-	Errors  float64 // fraction of set-ups that fail at once
-	Lose    float64 // fraction of responses to set-ups that are not sent; their streams play
-	Garbage float64 // fraction of responses that are not RTSP
-	Half    float64 // fraction of responses that are cut in the middle
-	Taken   float64 // fraction of the link that another program takes
+	Stalled          bool    // accepts requests and sends no response; its streams deliver nothing
+	Silent           bool    // as if the machine were unreachable: what arrives is recorded, nothing is sent back
+	Slow             bool    // reads slowly
+	SetupErrors      float64 // fraction of set-ups that fail at once
+	LostReplies      float64 // fraction of responses to set-ups that are not sent; their streams play
+	GarbageReplies   float64 // fraction of responses that are not RTSP
+	TruncatedReplies float64 // fraction of responses that are cut in the middle
+	LinkTaken        float64 // fraction of the link that another program takes
 }
 
 // Kill stops the process and resets all connections. The server stays down until Restart.
@@ -220,15 +224,15 @@
 
 // Modes of an address: AddressGood, or a fault.
 const (
-	PathGood   = ""
-	PathSilent = "silent" // accepts, reads and never responds
-	PathResets = "resets" // accepts, then resets the connection
-	PathStalls = "stalls" // responds to OPTIONS, but to no set-up
+	AddressGood   = ""
+	AddressSilent = "silent" // accepts, reads and never responds
+	AddressResets = "resets" // accepts, then resets the connection
+	AddressStalls = "stalls" // responds to OPTIONS, but to no set-up
 )
 
 // SetAddressMode sets the mode of the address of a network (tcp, tcp6, unix) for new connections. If the mode is a fault,
 // open connections to that address are closed.
-func (s *Server) Path(network, mode string) {
+func (s *Server) SetAddressMode(network, mode string) {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
 	if network == "tcp" {
@@ -240,7 +244,7 @@
 		}
 	}
 	for c := range s.conns {
-		if c.network == network && mode != PathGood {
+		if c.network == network && mode != AddressGood {
 			c.nc.Close()
 		}
 	}
@@ -268,7 +272,7 @@
 			closed: make(chan struct{})}
 		s.farm.mu.Lock()
 		c.network, c.mode = s.listenerMode(ln)
-		if !s.up || c.mode == PathResets {
+		if !s.up || c.mode == AddressResets {
 			if t, ok := nc.(*net.TCPConn); ok {
 				t.SetLinger(0)
 			}
@@ -455,7 +459,7 @@
 // endExpiredStreams ends streams that have had no connection for SessionTimeout.
 func (s *Server) endExpiredStreams(now time.Time) {
 	for _, st := range s.streams {
-		if st.conn == nil && now.Sub(st.connLostAt) >= s.farm.params.Keep {
+		if st.conn == nil && now.Sub(st.connLostAt) >= s.farm.params.SessionTimeout {
 			s.endStream(st, "no keep-alive")
 		}
 	}
--- a/internal/standin/platformsim/journal.go
+++ b/internal/standin/platformsim/journal.go
@@ -103,7 +103,7 @@
 }
 
 // AddServers appends an event that lists stand-in servers with a health, and records it. whole marks a complete list.
-func (j *Journal) Tell(whole bool, health string, servers ...*Server) {
+func (j *Journal) AddServers(whole bool, health string, servers ...*Server) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	healthNames := map[string]string{wire.HostReady: "ready", wire.HostDraining: "draining", wire.HostRemoved: "gone"}
@@ -118,7 +118,7 @@
 }
 
 // AddHosts appends an event that lists any hosts; it is not recorded.
-func (j *Journal) List(whole bool, hosts ...wire.Host) {
+func (j *Journal) AddHosts(whole bool, hosts ...wire.Host) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.add(whole, hosts)
@@ -133,7 +133,7 @@
 }
 
 // Events returns the number of the last event, and all events so far as a JSON array.
-func (j *Journal) Last() (int, string) {
+func (j *Journal) Events() (int, string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	list := ""
@@ -147,14 +147,14 @@
 }
 
 // SetSilent stops all sending while on is true; connections stay open.
-func (j *Journal) Silence(on bool) {
+func (j *Journal) SetSilent(on bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.silent = on
 }
 
 // BreakConns writes half an event on each connection and closes it.
-func (j *Journal) Break() {
+func (j *Journal) BreakConns() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for c := range j.conns {
@@ -165,7 +165,7 @@
 }
 
 // RepeatLast sends the last event a second time.
-func (j *Journal) Twice() {
+func (j *Journal) RepeatLast() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for c := range j.conns {
--- a/internal/standin/platformsim/platformsim.go
+++ b/internal/standin/platformsim/platformsim.go
@@ -14,7 +14,7 @@
 
 // World is the state that the stand-ins share.
 type World struct {
-	Rec          *record.Log
+	Recorder     *record.Log
 	mu           sync.Mutex
 	setupCounts  map[uint64]int // set-ups received, by session
 	classIndexes map[string]int
@@ -22,7 +22,7 @@
 
 // NewWorld returns a World for the named classes; their order gives their index in records.
 func NewWorld(classes ...string) *World {
-	w := &World{Rec: record.NewMemory(), setupCounts: map[uint64]int{}, classIndexes: map[string]int{}}
+	w := &World{Recorder: record.NewMemory(), setupCounts: map[uint64]int{}, classIndexes: map[string]int{}}
 	for i, c := range classes {
 		w.classIndexes[c] = i
 	}
@@ -32,5 +32,5 @@
 // add records an event of the front.
 func (w *World) add(e record.Event) {
 	e.Front = Front
-	w.Rec.Add(e)
+	w.Recorder.Add(e)
 }
--- a/internal/standin/platformsim/servers.go
+++ b/internal/standin/platformsim/servers.go
@@ -14,16 +14,16 @@
 
 // Faults are the faults injected into a server.
 type Faults struct {
-	Delay   time.Duration // before the reply to a set-up
-	Hang    bool          // sends no replies to set-ups and probes
-	Full    bool          // refuses set-ups as full
-	Error   bool          // fails set-ups with an error
-	Noise   bool          // sends bytes that are no message in place of a reply
-	Half    bool          // sends half a reply, and then behaves as with NoReply
-	Doubled bool          // sends a reply with an unknown session id first, and then the reply twice
-	Break   bool          // closes the connection in place of a reply
-	Huge    bool          // sends a reply whose text fits in a message, but not in a line to the viewer
-	Parting bool          // ends the sessions of a connection that the front closes, with releases in two halves
+	ReplyDelay      time.Duration // before the reply to a set-up
+	NoReply         bool          // sends no replies to set-ups and probes
+	Full            bool          // refuses set-ups as full
+	Error           bool          // fails set-ups with an error
+	InvalidReply    bool          // sends bytes that are no message in place of a reply
+	HalfReply       bool          // sends half a reply, and then behaves as with NoReply
+	DuplicateReply  bool          // sends a reply with an unknown session id first, and then the reply twice
+	CloseConn       bool          // closes the connection in place of a reply
+	HugeText        bool          // sends a reply whose text fits in a message, but not in a line to the viewer
+	EndOnFrontClose bool          // ends the sessions of a connection that the front closes, with releases in two halves
 }
 
 // Server is one stand-in server.
@@ -31,7 +31,7 @@
 	ID           uint32
 	world        *World
 	addr         string
-	reservation  *ports.Kept // keeps the address reserved while the server is down
+	reservation  *ports.Reservation // keeps the address reserved while the server is down
 	mu           sync.Mutex
 	listener     net.Listener
 	faults       Faults
@@ -49,7 +49,7 @@
 
 // NewServer starts a server at its own loopback address.
 func NewServer(world *World, id uint32) (*Server, error) {
-	reservation, err := ports.Keep(1)
+	reservation, err := ports.Reserve(1)
 	if err != nil {
 		return nil, err
 	}
@@ -92,14 +92,14 @@
 }
 
 // SetFaults replaces the injected faults.
-func (s *Server) Fault(f Faults) {
+func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
 	s.mu.Unlock()
 }
 
 // Kill stops the process: its connections are reset and its sessions are lost.
-func (s *Server) Die() {
+func (s *Server) Kill() {
 	s.mu.Lock()
 	s.world.add(record.Event{Source: s.Name(), Kind: record.ServerDied, Server: s.ID})
 	s.listener.Close()
@@ -113,7 +113,7 @@
 }
 
 // ResetConns resets the connections; the sessions are kept.
-func (s *Server) Drop() {
+func (s *Server) ResetConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -124,7 +124,7 @@
 
 // EndSession ends a session with a cause: 16 for its regular end, 41 for a cut, 31 for an end by its viewer. If its
 // connection is lost, the release is sent on any other open connection; without one, it is not sent.
-func (s *Server) End(sid uint64, cause uint8) {
+func (s *Server) EndSession(sid uint64, cause uint8) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.sessions[sid]
@@ -158,7 +158,7 @@
 }
 
 // Sessions returns the ids of the playing sessions.
-func (s *Server) Plays() (list []uint64) {
+func (s *Server) Sessions() (list []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for sid := range s.sessions {
@@ -211,7 +211,7 @@
 func (s *Server) endSessionsOf(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.faults.Parting {
+	if !s.faults.EndOnFrontClose {
 		return
 	}
 	for sid, p := range s.sessions {
@@ -245,7 +245,7 @@
 		s.world.mu.Unlock()
 		s.world.add(e)
 		faults := s.faults
-		time.AfterFunc(faults.Delay, func() { s.replySetup(c, m.Session, e, faults) })
+		time.AfterFunc(faults.ReplyDelay, func() { s.replySetup(c, m.Session, e, faults) })
 	case wire.Release:
 		if p, ok := s.sessions[m.Session]; ok {
 			delete(s.sessions, m.Session)
@@ -259,7 +259,7 @@
 		s.world.add(record.Event{Source: s.Name(), Kind: record.TeardownReceived, Session: wire.Sid(m.Session),
 			Attempt: s.lastAttempts[m.Session], Server: s.ID})
 	case wire.Test:
-		if !s.faults.Hang {
+		if !s.faults.NoReply {
 			reply := (&wire.Message{Type: wire.Tested, Session: m.Session}).AddCause(1)
 			if cause, _ := m.Cause(); cause == wire.CauseReport {
 				reply.Add(wire.ParamReport, "x0:0.2;x1:0.2")
@@ -278,10 +278,10 @@
 	}
 	event.At, event.Kind, event.Status = 0, record.SetupAnswered, 500
 	switch {
-	case faults.Hang:
-	case faults.Break:
+	case faults.NoReply:
+	case faults.CloseConn:
 		c.Close()
-	case faults.Noise:
+	case faults.InvalidReply:
 		c.Write([]byte("what is this noise"))
 	case faults.Full:
 		event.Status = 453
@@ -290,10 +290,10 @@
 	case faults.Error:
 		s.world.add(event)
 		writeMessage(c, (&wire.Message{Type: wire.Release, Session: sid}).AddCause(wire.CauseError))
-	case faults.Half:
+	case faults.HalfReply:
 		b, _ := (&wire.Message{Type: wire.Ready, Session: sid}).Add(wire.ParamText, "half of it").Append(nil)
 		c.Write(b[:len(b)/2])
-		s.faults.Hang = true
+		s.faults.NoReply = true
 	default:
 		event.Status = 200
 		s.world.add(event)
@@ -301,10 +301,10 @@
 		s.world.add(event)
 		s.sessions[sid] = session{c, event}
 		m := (&wire.Message{Type: wire.Ready, Session: sid}).Add(wire.ParamText, "by "+s.Name()+"\r\n")
-		if faults.Huge {
+		if faults.HugeText {
 			m.Params[0].Value = bytes.Repeat([]byte{1}, wire.MaxMessage/2) // each byte takes six characters in JSON
 		}
-		if faults.Doubled {
+		if faults.DuplicateReply {
 			writeMessage(c, (&wire.Message{Type: wire.Ready, Session: sid ^ 1<<40}).Add(wire.ParamText, "nobody's"))
 			writeMessage(c, m)
 		}
--- a/internal/standin/platformsim/unanswered.go
+++ b/internal/standin/platformsim/unanswered.go
@@ -11,7 +11,7 @@
 
 // UnansweredListener returns the address of a listener that accepts no connection, as if the machine were unreachable:
 // its accept queue is full. closeAll closes it.
-func Unanswered() (addr string, closeAll func(), err error) {
+func UnansweredListener() (addr string, closeAll func(), err error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return "", nil, err
--- a/internal/standin/platformsim/viewers.go
+++ b/internal/standin/platformsim/viewers.go
@@ -18,7 +18,7 @@
 	mu           sync.Mutex
 	openRequests map[uint64]string // class of each request without a reply yet
 	Lines        chan wire.Line    // received lines; further ones are dropped when it is full
-	Ended        chan struct{}     // closed when the connection has ended
+	Closed       chan struct{}     // closed when the connection has ended
 }
 
 // Dial connects to a front and starts to read from it.
@@ -28,14 +28,14 @@
 		return nil, err
 	}
 	v := &Viewer{world: world, conn: c, openRequests: map[uint64]string{}, Lines: make(chan wire.Line, 4096),
-		Ended: make(chan struct{})}
+		Closed: make(chan struct{})}
 	go v.read()
 	return v, nil
 }
 
 // read reads lines, records the replies among them, and passes them to Lines.
 func (v *Viewer) read() {
-	defer close(v.Ended)
+	defer close(v.Closed)
 	r := bufio.NewReaderSize(v.conn, wire.MaxMessage)
 	for {
 		b, err := r.ReadSlice('\n')
@@ -86,7 +86,7 @@
 }
 
 // OpenLine returns the line that requests a session. extras is appended to the value of that name.
-func Form(sid uint64, class string, timeLeft time.Duration, extras string) string {
+func OpenLine(sid uint64, class string, timeLeft time.Duration, extras string) string {
 	return fmt.Sprintf(`{"msg":"open","sid":"%016x","attrs":{"class":"%s","left":"%d","key":"00000000000000aa","hint":"8000.0","extras":"home:0;copies:3;top:2;viewer:%016x%s"},"text":"who %d\r\n"}`+"\n",
 		sid, class, timeLeft.Milliseconds(), sid, extras, sid)
 }
@@ -98,11 +98,11 @@
 	v.mu.Unlock()
 	v.world.add(record.Event{Source: "viewer", Kind: record.RequestSent, Ref: wire.Sid(sid),
 		Class: v.world.classIndexes[class], Timeout: int64(timeLeft)})
-	return v.Write(Form(sid, class, timeLeft, ""))
+	return v.Write(OpenLine(sid, class, timeLeft, ""))
 }
 
 // Cancel cancels a request, or ends a session.
-func (v *Viewer) GiveUp(sid uint64) error {
+func (v *Viewer) Cancel(sid uint64) error {
 	v.mu.Lock()
 	if _, open := v.openRequests[sid]; open {
 		v.world.add(record.Event{Source: "viewer", Kind: record.PlayerLeft, Ref: wire.Sid(sid)})
@@ -115,5 +115,5 @@
 // Close closes the connection and waits until reading has stopped.
 func (v *Viewer) Close() {
 	v.conn.Close()
-	<-v.Ended
+	<-v.Closed
 }
--- a/internal/standin/playersim/hls.go
+++ b/internal/standin/playersim/hls.go
@@ -17,13 +17,13 @@
 // WatchHLS runs one HLS viewer: it opens the title, reloads the playlist as RFC 8216 requires, fetches the newest segment
 // of each playlist, and continues at another front when its own is unreachable.
 func (c *Crowd) WatchHLS(ctx context.Context, viewer Viewer, pick func(int) (name, addr string)) {
-	c.Recorder.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: Hash(viewer.Name),
-		Class: viewer.ClassN, Top: viewer.Top, Length: viewer.Length.Seconds(),
-		Value: viewer.Worth, Title: viewer.Title, Text: string(viewer.Bad)})
+	c.Recorder.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: HashViewer(viewer.Name),
+		Class: viewer.ClassIndex, Top: viewer.Top, Length: viewer.WatchTime.Seconds(),
+		Value: viewer.Worth, Title: viewer.Title, Text: string(viewer.Misbehaviour)})
 	tr := &http.Transport{MaxConnsPerHost: 2}
 	defer tr.CloseIdleConnections()
 	p := &hlsPlayer{crowd: c, viewer: viewer, pick: pick, client: &http.Client{Transport: tr,
-		Timeout: 8 * time.Second}, endAt: time.Now().Add(viewer.Length)}
+		Timeout: 8 * time.Second}, endAt: time.Now().Add(viewer.WatchTime)}
 	for attempt := 0; attempt < 20 && time.Now().Before(p.endAt) && ctx.Err() == nil; attempt++ {
 		done, retryAfter := p.openTitle(ctx, attempt)
 		if done || c.random() > c.RetryShare {
@@ -79,8 +79,8 @@
 	crowd.mu.Unlock()
 	front, addr := p.pick(n)
 	p.addr = addr
-	event := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: Hash(viewer.Name),
-		Ref: viewer.Name + "#h" + strconv.Itoa(attempt), Class: viewer.ClassN, Title: viewer.Title}
+	event := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: HashViewer(viewer.Name),
+		Ref: viewer.Name + "#h" + strconv.Itoa(attempt), Class: viewer.ClassIndex, Title: viewer.Title}
 	q := url.Values{"class": {viewer.Class}, "viewer": {viewer.Name}, "top": {strconv.Itoa(viewer.Top)}}
 	if viewer.Tenant != "" {
 		q.Set("tenant", viewer.Tenant)
@@ -92,7 +92,7 @@
 	}
 	requestCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if viewer.Bad == LeaveAtOnce || viewer.Bad == LeaveLater { // leaves before the response
+	if viewer.Misbehaviour == LeaveAtOnce || viewer.Misbehaviour == LeaveLater { // leaves before the response
 		time.AfterFunc(time.Duration(crowd.random()*float64(15*time.Millisecond)), cancel)
 	}
 	code, text, h, err := p.get(requestCtx, http.MethodGet,
@@ -103,7 +103,7 @@
 		} else {
 			add(record.PlayerConnLost, err.Error(), "")
 		}
-		return viewer.Bad != Good, 0
+		return viewer.Misbehaviour != Good, 0
 	}
 	status := map[int]string{200: "plays", 503: "refused", 502: "failed"}[code]
 	if status == "" {
@@ -165,7 +165,7 @@
 			}
 		}
 	}
-	if p.viewer.Bad == Good { // other viewers leave without closing the session
+	if p.viewer.Misbehaviour == Good { // other viewers leave without closing the session
 		token, _, _ := strings.Cut(strings.TrimPrefix(variant, "/hls/s/"), "/")
 		p.get(ctx, http.MethodDelete, "http://"+p.addr+"/hls/s/"+token)
 	}
@@ -174,8 +174,8 @@
 
 // recordPlaylist records the sequence numbers of a received playlist.
 func (p *hlsPlayer) recordPlaylist(variant, text string) {
-	e := record.Event{Source: "player", Kind: record.PlaylistRead, Viewer: Hash(p.viewer.Name), Ref: variant,
-		Title: p.viewer.Title, Class: p.viewer.ClassN}
+	e := record.Event{Source: "player", Kind: record.PlaylistRead, Viewer: HashViewer(p.viewer.Name), Ref: variant,
+		Title: p.viewer.Title, Class: p.viewer.ClassIndex}
 	if m, err := hls.ParseMedia(text); err != nil {
 		e.Text = err.Error()
 	} else {
--- a/internal/standin/playersim/playersim.go
+++ b/internal/standin/playersim/playersim.go
@@ -23,32 +23,32 @@
 
 // Viewer describes one viewer and its request.
 type Viewer struct {
-	Name    string
-	Title   string
-	Class   string
-	ClassN  int
-	Tenant  string
-	Top     int
-	Length  time.Duration // total time that it watches
-	Timeout time.Duration // how long it waits for a reply; 0: the deadline of the class
-	Worth   float64       // worth of a second at a rung of worth 1
-	Bad     Bad
+	Name         string
+	Title        string
+	Class        string
+	ClassIndex   int
+	Tenant       string
+	Top          int
+	WatchTime    time.Duration // total time that it watches
+	Timeout      time.Duration // how long it waits for a reply; 0: the deadline of the class
+	Worth        float64       // worth of a second at a rung of worth 1
+	Misbehaviour Misbehaviour
 }
 
 // Misbehaviour names a way in which a player misbehaves.
-type Bad string
+type Misbehaviour string
 
 // The misbehaviours; their values are words of day scripts.
 const (
-	Good        Bad = ""
-	LeaveAtOnce Bad = "leave"      // closes the connection right after its request
-	LeaveLater  Bad = "leave-mid"  // closes the connection some milliseconds after its request
-	HalfFrame   Bad = "half"       // sends half a frame, then nothing
-	Garbage     Bad = "garbage"    // sends bytes that are not a frame
-	Unmasked    Bad = "unmasked"   // sends a frame without a mask
-	SlowRead    Bad = "slow-read"  // sends many requests and reads nothing
-	NeverPong   Bad = "never-pong" // stays connected and responds to no ping
-	Pipeline    Bad = "pipeline"   // sends hundreds of requests at once
+	Good        Misbehaviour = ""
+	LeaveAtOnce Misbehaviour = "leave"      // closes the connection right after its request
+	LeaveLater  Misbehaviour = "leave-mid"  // closes the connection some milliseconds after its request
+	HalfFrame   Misbehaviour = "half"       // sends half a frame, then nothing
+	Garbage     Misbehaviour = "garbage"    // sends bytes that are not a frame
+	Unmasked    Misbehaviour = "unmasked"   // sends a frame without a mask
+	SlowRead    Misbehaviour = "slow-read"  // sends many requests and reads nothing
+	NeverPong   Misbehaviour = "never-pong" // stays connected and responds to no ping
+	Pipeline    Misbehaviour = "pipeline"   // sends hundreds of requests at once
 )
 
 // Crowd runs viewers.
@@ -60,10 +60,10 @@
 	RetryShare float64
 	// ResumeWindow is how long a player whose connection is lost tries to resume its session at the same front; 0: it
 	// does not try.
-	ResumeFor time.Duration
-	mu        sync.Mutex
-	rng       *rand.Rand
-	picks     int
+	ResumeWindow time.Duration
+	mu           sync.Mutex
+	rng          *rand.Rand
+	picks        int
 }
 
 // New returns a crowd that records to rec and picks fronts with pick.
@@ -79,14 +79,14 @@
 }
 
 // HashViewer returns a viewer's number as the front passes it to media servers.
-func Hash(viewer string) string { return strconv.FormatUint(xxhash.Sum64String(viewer), 10) }
+func HashViewer(viewer string) string { return strconv.FormatUint(xxhash.Sum64String(viewer), 10) }
 
 // Watch runs one viewer until it has watched for its time, gives up, or ctx ends.
 func (c *Crowd) Watch(ctx context.Context, viewer Viewer) {
-	c.Recorder.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: Hash(viewer.Name),
-		Class: viewer.ClassN, Top: viewer.Top, Length: viewer.Length.Seconds(),
-		Value: viewer.Worth, Title: viewer.Title, Text: string(viewer.Bad)})
-	endAt := time.Now().Add(viewer.Length)
+	c.Recorder.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: HashViewer(viewer.Name),
+		Class: viewer.ClassIndex, Top: viewer.Top, Length: viewer.WatchTime.Seconds(),
+		Value: viewer.Worth, Title: viewer.Title, Text: string(viewer.Misbehaviour)})
+	endAt := time.Now().Add(viewer.WatchTime)
 	token, retrying := "", false
 	for attempt := 0; attempt < 20 && time.Now().Before(endAt) && ctx.Err() == nil; attempt++ {
 		o := c.openSession(ctx, viewer, attempt, endAt, token, retrying)
@@ -182,8 +182,8 @@
 	if c.misbehave(nc, viewer, text) {
 		return outcome{done: true}
 	}
-	request := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: Hash(viewer.Name),
-		Ref: ref, Class: viewer.ClassN, Timeout: int64(viewer.Timeout), Title: viewer.Title}
+	request := record.Event{Source: "player", Kind: record.RequestSent, Front: front, Viewer: HashViewer(viewer.Name),
+		Ref: ref, Class: viewer.ClassIndex, Timeout: int64(viewer.Timeout), Title: viewer.Title}
 	c.Recorder.Add(request)
 	recordEnd := func(kind string) {
 		request.At, request.Kind = 0, kind
@@ -193,7 +193,7 @@
 		recordEnd(record.PlayerConnLost)
 		return outcome{}
 	}
-	switch viewer.Bad {
+	switch viewer.Misbehaviour {
 	case LeaveAtOnce:
 		recordEnd(record.PlayerLeft)
 		return outcome{done: true}
@@ -207,7 +207,7 @@
 
 // misbehave carries out a misbehaviour that replaces the request; it returns false if the viewer has none of these.
 func (c *Crowd) misbehave(nc net.Conn, viewer Viewer, text []byte) bool {
-	switch viewer.Bad {
+	switch viewer.Misbehaviour {
 	case HalfFrame:
 		b := ws.MustCompileFrame(ws.MaskFrame(ws.NewTextFrame(text)))
 		nc.Write(b[:len(b)/2])
@@ -313,10 +313,10 @@
 
 // resume reconnects to the front that held the session and resumes it there; it returns nil if that fails.
 func (c *Crowd) resume(ctx context.Context, addr, session, token string, endAt time.Time) net.Conn {
-	if session == "" || token == "" || c.ResumeFor <= 0 {
+	if session == "" || token == "" || c.ResumeWindow <= 0 {
 		return nil
 	}
-	resumeDeadline := time.Now().Add(c.ResumeFor)
+	resumeDeadline := time.Now().Add(c.ResumeWindow)
 	for delay := 50 * time.Millisecond; ctx.Err() == nil && time.Now().Before(resumeDeadline) &&
 		time.Now().Before(endAt); delay = min(2*delay, 400*time.Millisecond) {
 		time.Sleep(delay/2 + time.Duration(c.random()*float64(delay)))
--- a/internal/standin/ports/ports.go
+++ b/internal/standin/ports/ports.go
@@ -10,7 +10,7 @@
 )
 
 // Reservation is a set of addresses that stay reserved until Close, or until nothing refers to the Reservation any more.
-type Kept struct {
+type Reservation struct {
 	Addrs   []string
 	sockets []*os.File
 }
@@ -19,8 +19,8 @@
 // the next connection of any process on this machine; the process that it was meant for then fails to start or restart,
 // and a test fails without a real fault. The system never assigns a port that is bound here (with SO_REUSEADDR, and not
 // listening) to a caller that asks for any port, but still grants it to a caller that asks for this port.
-func Keep(count int) (*Kept, error) {
-	r := &Kept{}
+func Reserve(count int) (*Reservation, error) {
+	r := &Reservation{}
 	for range count {
 		if err := r.add(); err != nil {
 			return nil, errors.Join(err, r.Close())
@@ -30,7 +30,7 @@
 }
 
 // add reserves one more address.
-func (r *Kept) add() error {
+func (r *Reservation) add() error {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 }
 
 // Close releases all addresses.
-func (r *Kept) Close() (err error) {
+func (r *Reservation) Close() (err error) {
 	for _, f := range r.sockets {
 		err = errors.Join(err, f.Close())
 	}
--- a/internal/standin/ports/ports_test.go
+++ b/internal/standin/ports/ports_test.go
@@ -9,7 +9,7 @@
 // TestReservedPortsNotAssignedToOthers checks that a reserved address is never assigned to a caller that asks for any
 // port, and that a caller that asks for this address gets it, also a second time after closing it.
 func TestReservedPortsNotAssignedToOthers(t *testing.T) {
-	kept, err := Keep(20)
+	kept, err := Reserve(20)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/conns_test.go
+++ b/internal/transport/conns_test.go
@@ -121,7 +121,7 @@
 
 // A host that does not answer a connect is told apart from one that refuses it.
 func TestDialTimeoutIsReportedAsTimeout(t *testing.T) {
-	addr, done, err := platformsim.Unanswered()
+	addr, done, err := platformsim.UnansweredListener()
 	if err != nil {
 		t.Fatal(err)
 	}
