--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -12,10 +12,22 @@
 # The linters are pinned in tools/go.mod, apart from the program's own dependencies.
 go tool -modfile=tools/go.mod staticcheck -checks inherit,ST1000,ST1020,ST1021,ST1022 ./...
 go tool -modfile=tools/go.mod revive -config tools/revive.toml ./...
+# KNOWN-RED.txt names tests that fail for a known reason, one a line: package, test, then " | " and the details. They run
+# first, on their own; their outcome is printed and doesn't count. The check leaves them out.
+skip=
+if [ -f KNOWN-RED.txt ]; then
+	while read -r package test details; do
+		[ -n "$package" ] || continue
+		pattern="^$(echo "$test" | sed 's#/#$/^#g')\$"
+		skip="$skip${skip:+|}$pattern"
+		echo "known red: $package $test $details"
+		go test -race -count=1 -run "$pattern" "./$package" || echo "known red: it failed in this run"
+	done <KNOWN-RED.txt
+fi
 # The exhaustive searches are one goroutine a world and take many times as long under the race detector; their engine's
 # own tests run with it.
-go test -race $(go list ./... | grep -v /internal/explore/attempts)
-go test ./internal/explore/attempts
+go test -race ${skip:+-skip "$skip"} $(go list ./... | grep -v /internal/explore/attempts)
+go test ${skip:+-skip "$skip"} ./internal/explore/attempts
 
 # The decision module's files, as the deploy file names them; a tab counts as four columns.
 files=$(sed -n 's/^policy = \[\(.*\)\]/\1/p' deploy/balancer.toml | tr -d '",')
