--- a/internal/inbox/inbox.go
+++ b/internal/inbox/inbox.go
@@ -11,8 +11,8 @@
 type Queue struct {
 	mu       sync.Mutex
 	notFull  sync.Cond
-	events   []any // news and advisories, taken first because they complete pending requests
-	requests []any // items of kind Ask
+	events   []any // outcomes and advisories, taken first because outcomes complete pending requests
+	requests []any
 	maxItems int
 	wake     chan struct{}
 	closed   bool
@@ -30,8 +30,8 @@
 // Wake returns a channel that receives a value after items were added.
 func (q *Queue) Wake() <-chan struct{} { return q.wake }
 
-// Put adds an item; it returns false if the item was rejected or the queue is closed. Items of kind News block until
-// there is room.
+// Put adds an item; it returns false if the item was rejected or the queue is closed. Items of kind
+// Outcome block until there is room.
 func (q *Queue) Put(kind admission.Kind, item any) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -80,8 +80,9 @@
 	}
 }
 
-// Take returns up to n items: news first, then requests, each in order of arrival. Requests get at least a quarter of
-// the batch, so that a continuous stream of notes can't starve them. backlog is the number of requests left.
+// Take returns up to n items: outcomes and advisories first, then requests, each in order of arrival. Requests get at
+// least a quarter of the batch, so that a continuous stream of notes can't starve them. backlog is the number of
+// requests still queued.
 func (q *Queue) Take(n int, into []any) (list []any, backlog int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/inbox/inbox_test.go
+++ b/internal/inbox/inbox_test.go
@@ -7,9 +7,9 @@
 	"tealledge/decide/admission"
 )
 
-// TestFullQueueRejectsRequestsAndKeepsNews guards against a full queue that drops news, starves requests, or blocks
-// the end of a connection.
-func TestFullQueueRejectsRequestsAndKeepsNews(t *testing.T) {
+// TestFullQueueRejectsRequestsAndKeepsOutcomes guards against a full queue that drops outcomes, starves requests, or
+// blocks the end of a connection.
+func TestFullQueueRejectsRequestsAndKeepsOutcomes(t *testing.T) {
 	q := New(16)
 	for i := range 8 {
 		if !q.Put(admission.Request, i) {
@@ -21,19 +21,19 @@
 	}
 	for i := 8; i < 16; i++ {
 		if !q.Put(admission.Outcome, i) {
-			t.Fatal("news rejected")
+			t.Fatal("outcome rejected")
 		}
 	}
 	got := make(chan bool)
 	go func() { got <- q.Put(admission.Outcome, 16) }()
 	select {
 	case <-got:
-		t.Fatal("Put of news did not block on a full queue")
+		t.Fatal("Put of an outcome did not block on a full queue")
 	case <-time.After(20 * time.Millisecond):
 	}
 	q.Force(99) // the end of a connection is always accepted
 	list, backlog := q.Take(10, nil)
-	if len(list) != 10 || list[0] != 8 || list[8] != 0 || backlog != 6 || !<-got { // news first, requests not starved
+	if len(list) != 10 || list[0] != 8 || list[8] != 0 || backlog != 6 || !<-got { // outcomes first, requests not starved
 		t.Fatal(list, backlog)
 	}
 	if rest, _ := q.Take(100, nil); len(rest) != 8 {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -36,7 +36,7 @@
 	// Short notes from servers of one rack within alikeWindow, with shares that differ by less than
 	// alikeTolerance, mean that the uplink is short.
 	alikeWindow, alikeTolerance = 3 * Second / 2, 0.08
-	// A request earns probesPerRequest, but probes cost at most maxProbeCost of the result G.
+	// A request earns probesPerRequest, but probes cost at most maxProbeCost of the earnings.
 	probesPerRequest, maxProbeCost = 1.2, 0.032
 	// initialProbes allows a first choice to probe; maxProbes is the most that is saved up.
 	initialProbes, maxProbes = 4.0, 20.0
@@ -58,12 +58,12 @@
 	// Lowering aims at lowerTarget of the delivered rate; its effect is visible only after lowerInterval.
 	lowerTarget, lowerInterval = 0.95, 12 * Second / 10
 	maxReserve                 = 0.4  // spare part of a link that the highest rung must leave
-	guessReserve               = 0.15 // the same for each rung over the floor where the use is a guess
+	uncertaintyReserve         = 0.15 // the same for each rung over the floor where the use is a guess
 	probeMinScore              = 0.6  // score from which a choice needs a recent report
 	probesPerChoice            = 2    // best holders probed for a choice: two give most of the benefit
 	reserveFromRungs           = 1.0  // rungs below the rack's mean rung from which a reserve is left
-	// Each short note makes shortTimePerNote more of shortness likely; a move costs moveGapSeconds of
-	// worth.
+	// Each short note adds shortTimePerNote to the time that a server is expected to remain short; a move
+	// costs moveGapSeconds of worth.
 	shortTimePerNote, moveGapSeconds = 3 * Second, 1.0
 	// Rate limit of moves, for the whole front.
 	movesPerSecond, movesBurst = 2.0, 6
@@ -72,7 +72,7 @@
 	// maxRaiseReportAge is the oldest report that allows a raise; minRungInterval is the time between
 	// changes.
 	maxRaiseReportAge, minRungInterval = 8 * Second, 5 * Second
-	minRaiseGain                       = 3.0         // times a raise must earn its price: it may be undone
+	minRaiseGain                       = 3.0         // a raise must earn its price so many times over, as it may be undone
 	defaultRemaining                   = 20 * Second // expected remaining length of a session without a hint
 	typicalSamples                     = 50.0        // first requests that the typical worth is averaged over
 	maxMovedViewers                    = 1000        // moved viewers remembered
--- a/policy/records.go
+++ b/policy/records.go
@@ -66,8 +66,8 @@
 	}
 	t.samples = t.samples[n:]
 	total := 0.0
-	for _, m := range t.samples {
-		total += m.value
+	for _, s := range t.samples {
+		total += s.value
 	}
 	return total
 }
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -3,20 +3,20 @@
 // Events of requests and sessions: arrival, start, outcome and end.
 
 // handleRequest admits a new request and places it, or refuses an invalid one.
-func (f *Front) handleRequest(a SessionSpec) {
-	if f.byID[a.ID] != nil {
+func (f *Front) handleRequest(spec SessionSpec) {
+	if f.byID[spec.ID] != nil {
 		return
 	}
-	if !f.valid(&a) {
-		f.emit(Refuse{ID: a.ID})
+	if !f.valid(&spec) {
+		f.emit(Refuse{ID: spec.ID})
 		return
 	}
-	s := f.addSession(a)
+	s := f.addSession(spec)
 	f.requests.add(f.now, 1)
-	if a.Moved {
-		s.moved, s.movedFrom = true, f.movedViewers.servers[a.Viewer]
+	if spec.Moved {
+		s.moved, s.movedFrom = true, f.movedViewers.servers[spec.Viewer]
 	}
-	if !a.Again && !a.Moved {
+	if !spec.Again && !spec.Moved {
 		f.earnProbes()
 		f.typicalCount = min(f.typicalCount+1, typicalSamples)
 		f.typicalWorth += (f.worth(s, f.topRung(s)) - f.typicalWorth) / f.typicalCount
--- a/policy/state.go
+++ b/policy/state.go
@@ -95,16 +95,16 @@
 }
 
 // valid tells whether a request fits the settings and has a new ID.
-func (f *Front) valid(a *SessionSpec) bool {
-	return a.Class >= 0 && a.Class < len(f.cfg.Classes) && len(f.cfg.RungKB) > f.cfg.Classes[a.Class].Floor &&
-		len(f.cfg.RungWorth) >= len(f.cfg.RungKB) && f.byID[a.ID] == nil
+func (f *Front) valid(spec *SessionSpec) bool {
+	return spec.Class >= 0 && spec.Class < len(f.cfg.Classes) && len(f.cfg.RungKB) > f.cfg.Classes[spec.Class].Floor &&
+		len(f.cfg.RungWorth) >= len(f.cfg.RungKB) && f.byID[spec.ID] == nil
 }
 
 // addSession records a new session at its floor.
-func (f *Front) addSession(a SessionSpec) *session {
-	s := &session{SessionSpec: a, rung: f.cfg.Classes[a.Class].Floor}
+func (f *Front) addSession(spec SessionSpec) *session {
+	s := &session{SessionSpec: spec, rung: f.cfg.Classes[spec.Class].Floor}
 	s.weight = f.class(s).Worth
-	f.byID[a.ID] = s
+	f.byID[spec.ID] = s
 	return s
 }
 
@@ -173,12 +173,12 @@
 }
 
 // restore records a session that was already playing when the front started.
-func (f *Front) restore(h Restored) {
-	v := f.fleet.get(h.Server)
-	if v == nil || !f.valid(&h.SessionSpec) {
+func (f *Front) restore(e Restored) {
+	v := f.fleet.get(e.Server)
+	if v == nil || !f.valid(&e.SessionSpec) {
 		return
 	}
-	s := f.addSession(h.SessionSpec)
+	s := f.addSession(e.SessionSpec)
 	f.earnProbes()
 	s.attempts, s.playing, s.startedAt = 1, true, f.now
 	f.assign(s, v)
--- a/policy/use.go
+++ b/policy/use.go
@@ -114,9 +114,9 @@
 			float64(len(f.cfg.RungKB))
 		uplinkReserve := reserve
 		if rung > floor { // a guess may be far off, and a short link costs more than a low rung
-			link, uplinkGuess := f.uncertainty(&v.link), f.uncertainty(&v.rack.meter)
-			reserve, uplinkReserve = reserve+guessReserve*link,
-				uplinkReserve+guessReserve*max(uplinkGuess-link, 0) // the same spare is not left twice
+			link, uplinkUncertainty := f.uncertainty(&v.link), f.uncertainty(&v.rack.meter)
+			reserve, uplinkReserve = reserve+uncertaintyReserve*link,
+				uplinkReserve+uncertaintyReserve*max(uplinkUncertainty-link, 0) // the same spare is not left twice
 		}
 		if f.rateKB(s, rung)-currentKB <= min((link-reserve*v.link.capacity)*f.sparePart(&v.link, draw),
 			(uplink-uplinkReserve*v.rack.capacity)*f.sparePart(&v.rack.meter, draw)) {
