--- a/decide/addresses/addresses.go
+++ b/decide/addresses/addresses.go
@@ -1,5 +1,5 @@
-// Package addresses decides how a media server with several addresses is reached: which address is tried first, when the
-// next one is tried in parallel, when one is in backoff and tried again, and when the server itself counts as
+// Package addresses decides how a media server with several addresses is reached: which address is tried first, when
+// the next one is tried in parallel, when one is in backoff and tried again, and when the server itself counts as
 // unreachable. It is pure.
 //
 // It follows RFC 8305 for connections: they may race. Set-ups may not: one connection a server carries them, the
@@ -23,7 +23,7 @@
 const (
 	minDelay            = 20 * policy.Millisecond // before the next address is tried (RFC 8305: at least 10 ms)
 	maxDelay            = 80 * policy.Millisecond // within one data centre; RFC 8305's 250 ms is for the Internet
-	delayFactor         = 4.0                     // times the usual connect time of the path
+	delayFactor         = 4.0                     // times the usual connect time of the address
 	minBackoff          = 1 * policy.Second       // of an address that failed; doubles with each failure
 	maxBackoff          = 30 * policy.Second
 	failureHalfLife     = 20 * policy.Second // after which a failure counts half
@@ -45,7 +45,7 @@
 // familyPenaltyNanos is the connect time that a family adds in the order: small against any real difference.
 var familyPenaltyNanos = [...]float64{Unix: 0, IPv6: 1e6, IPv4: 2e6}
 
-// Path is one address of a server with this front's record of it. The zero value has no record.
+// Address is one address of a server with this front's record of it. The zero value has no record.
 type Path struct {
 	Addr   string
 	Family Family
@@ -112,7 +112,7 @@
 	return slices.IndexFunc(s.Paths, func(p Path) bool { return p.Addr == addr })
 }
 
-// score is the sort key of paths; lower is better.
+// score is the sort key of addresses; lower is better.
 func (p *Path) score(now Time) float64 {
 	return familyPenaltyNanos[p.Family] + p.connectTime + failurePenaltyNanos*p.decayedFailures(now)
 }
@@ -121,16 +121,16 @@
 	return p.failures * math.Exp2(-float64(now-p.failedAt)/float64(failureHalfLife))
 }
 
-// InBackoff reports whether a path is not to be tried for now.
+// InBackoff reports whether an address is not to be tried for now.
 func (p *Path) InBackoff(now Time) bool { return now < p.backoffUntil }
 
-// halfOpen reports whether the backoff of a path has ended without a response since: it is tried again by a connect
+// halfOpen reports whether the backoff of an address has ended without a response since: it is tried again by a connect
 // alone.
 func (p *Path) halfOpen(now Time) bool { return p.backoff > 0 && !p.InBackoff(now) }
 
-// Order returns the paths to connect to for a viewer's set-up, best first. Half-open paths come after working ones.
-// Paths in backoff are only returned if there are no others: a server all of whose addresses failed must be found
-// again.
+// Order returns the addresses to connect to for a viewer's set-up, best first. Half-open addresses come after working
+// ones. Those in backoff are only returned if there are no others: a server all of whose addresses failed must be
+// found again.
 func (s *Set) Order(now Time) (list []int) {
 	rank := func(p *Path) int {
 		switch {
@@ -157,15 +157,15 @@
 		}
 		return 0
 	})
-	// While one path is usable, paths in backoff are not tried for a viewer at all.
+	// While one address is usable, those in backoff are not tried for a viewer at all.
 	if len(list) > 0 && rank(&s.Paths[list[0]]) < 2 {
 		list = slices.DeleteFunc(list, func(i int) bool { return rank(&s.Paths[i]) == 2 })
 	}
 	return list
 }
 
-// Delay returns how long after path i the next one is tried in parallel. timeLeft is the remaining time for
-// connecting; it is shared among the remaining paths, so that the last one has a chance too.
+// Delay returns how long after address i the next one is tried in parallel. timeLeft is the remaining time for
+// connecting; it is shared among the remaining addresses, so that the last one has a chance too.
 func (s *Set) Delay(i int, timeLeft Time, remaining int) Time {
 	d := Time(delayFactor * s.Paths[i].connectTime)
 	return min(max(d, minDelay), maxDelay, timeLeft/Time(remaining+1))
@@ -187,14 +187,14 @@
 	}
 }
 
-// Responded records a response on a path: it not only accepts connections but works.
+// Responded records a response on an address: it not only accepts connections but works.
 func (s *Set) Responded(i int, now Time) {
 	p := &s.Paths[i]
 	p.backoff, p.backoffUntil, p.workedAt = 0, 0, now
 }
 
-// Failed records that a path refused, timed out, was reset or stopped responding. It starts a backoff that grows with
-// each failure.
+// Failed records that an address refused, timed out, was reset or stopped responding. It starts a backoff that grows
+// with each failure.
 //
 // Without it one unreachable address family would delay every set-up. This also covers an address that accepts and
 // then resets or never responds. The cost: an address that failed once by chance is not used for a second; the others
@@ -215,14 +215,14 @@
 }
 
 // ConnectionClosed records the end of a connection. If it closes soon after it was established, or without any
-// response, the path has failed; the end of a long and useful connection says nothing about the path.
+// response, the address has failed; the end of a long and useful connection says nothing about the address.
 func (s *Set) ConnectionClosed(i int, now, openedAt Time, responded bool) {
 	if !responded || now-openedAt < minUsefulLifetime {
 		s.Failed(i, now)
 	}
 }
 
-// Unreachable reports whether every path is in backoff: only then does the server itself count as unreachable.
+// Unreachable reports whether every address is in backoff: only then does the server itself count as unreachable.
 func (s *Set) Unreachable(now Time) bool {
 	for i := range s.Paths {
 		if !s.Paths[i].InBackoff(now) {
@@ -232,9 +232,9 @@
 	return true
 }
 
-// RecheckDue returns a path whose backoff has ended and that should be tried again by a connect and an OPTIONS,
-// without a viewer's set-up on it; ok is false if there is none. It is for servers whose other paths work: otherwise
-// viewers' set-ups try the path soon enough.
+// RecheckDue returns an address whose backoff has ended and that should be tried again by a connect and an OPTIONS,
+// without a viewer's set-up on it; ok is false if there is none. It is for servers whose other addresses work:
+// otherwise viewers' set-ups try it soon enough.
 func (s *Set) RecheckDue(now Time) (i int, ok bool) {
 	for i := range s.Paths {
 		if s.Paths[i].halfOpen(now) {
--- a/decide/addresses/addresses_test.go
+++ b/decide/addresses/addresses_test.go
@@ -12,7 +12,7 @@
 	start = 100 * policy.Second
 )
 
-func threePaths() *Set {
+func threeAddresses() *Set {
 	s := &Set{}
 	s.Update([]Path{{Addr: "1.2.3.4:5", Family: IPv4}, {Addr: "[::1]:5", Family: IPv6}, {Addr: "/run/m", Family: Unix}})
 	return s
@@ -33,7 +33,7 @@
 		"responded again, an old failure counts": {func(s *Set) { s.Failed(2, start-5*policy.Second); s.Responded(2, start) }, []int{1, 0, 2}},
 		"failed long ago: no longer counts":      {func(s *Set) { s.Failed(2, start-5*policy.Second*100/2); s.Responded(2, start) }, []int{2, 1, 0}},
 	} {
-		s := threePaths()
+		s := threeAddresses()
 		c.do(s)
 		if got := s.Order(start); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -41,11 +41,11 @@
 	}
 }
 
-func TestServerIsUnreachableOnlyWhenAllPathsFailed(t *testing.T) {
-	s := threePaths()
+func TestServerIsUnreachableOnlyWhenAllAddressesFailed(t *testing.T) {
+	s := threeAddresses()
 	for i := range s.Paths {
 		if s.Unreachable(start) {
-			t.Fatal("unreachable although a path was not tried")
+			t.Fatal("unreachable although an address was not tried")
 		}
 		s.Failed(i, start)
 	}
@@ -55,7 +55,7 @@
 }
 
 func TestBackoffGrowsAndEndsOnResponseOnly(t *testing.T) {
-	s := threePaths()
+	s := threeAddresses()
 	now := Time(start)
 	for _, want := range []Time{1, 2, 4, 8, 16, 30, 30} {
 		s.Failed(0, now)
@@ -91,7 +91,7 @@
 		"open for long without a response": {10 * policy.Second, false, true},
 		"open for long with responses":     {10 * policy.Second, true, false},
 	} {
-		s := threePaths()
+		s := threeAddresses()
 		s.ConnectionClosed(1, start, start-c.lifetime, c.responded)
 		if s.Paths[1].InBackoff(start) != c.backsOff {
 			t.Errorf("%s: in backoff: %v", name, !c.backsOff)
@@ -99,8 +99,8 @@
 	}
 }
 
-func TestDelayLeavesTimeForRemainingPaths(t *testing.T) {
-	s := threePaths()
+func TestDelayLeavesTimeForRemainingAddresses(t *testing.T) {
+	s := threeAddresses()
 	if d := s.Delay(0, 250*ms, 2); d != minDelay {
 		t.Error("delay without a known connect time:", d)
 	}
@@ -109,7 +109,7 @@
 		t.Error("delay with a usual connect time of 15 ms:", d)
 	}
 	if d := s.Delay(0, 30*ms, 2); d > 10*ms {
-		t.Error("delay with 30 ms left for three paths:", d)
+		t.Error("delay with 30 ms left for three addresses:", d)
 	}
 	if !FallbackFits(100*ms, policy.Second) || FallbackFits(400*ms, policy.Second) {
 		t.Error("FallbackFits is wrong")
@@ -117,7 +117,7 @@
 }
 
 func TestUpdateKeepsRecordsAndDropsDuplicates(t *testing.T) {
-	s := threePaths()
+	s := threeAddresses()
 	s.Failed(1, start)
 	if !s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "[::1]:5", Family: IPv6}, {Addr: "9.9.9.9:1", Family: IPv4}}) {
 		t.Error("a change was not reported")
@@ -181,7 +181,8 @@
 			t.Errorf("%s: %+v, %v", in, got, err)
 		}
 	}
-	for _, in := range []string{"", "10.0.0.1", "10.0.0.1:", ":554", "10.0.0.1:0", "a:b:c", "http://x:1", "[::1:5", "/" + string(make([]byte, 200))} {
+	for _, in := range []string{"", "10.0.0.1", "10.0.0.1:", ":554", "10.0.0.1:0", "a:b:c", "http://x:1", "[::1:5",
+		"/" + string(make([]byte, 200))} {
 		if got, err := Parse(in); err == nil {
 			t.Errorf("%q parsed as %+v, want an error", in, got)
 		}
--- a/decide/admission/admission.go
+++ b/decide/admission/admission.go
@@ -1,5 +1,5 @@
-// Package admission decides what enters a front's bounded event queue as it fills up. It is pure: the shell reports the
-// length of the queue and carries out the verdict.
+// Package admission decides what enters a front's bounded event queue as it fills up. It is pure: the shell reports
+// the length of the queue and carries out the verdict.
 //
 // It guards against a front that accepts more than it can answer in time, which would make every waiting request
 // late. New requests are refused first, at once and with a retry delay. Outcomes of accepted requests always get in:
--- a/decide/hlssession/hlssession.go
+++ b/decide/hlssession/hlssession.go
@@ -50,7 +50,7 @@
 		now-lastRequestAt < max(Time(minReloadTargets*float64(playlist.TargetDuration)), minReloadInterval)
 }
 
-// ThrottlesReload decides whether a player that reloads too fast is told to wait. A few fast reloads in a row come
+// ThrottlesReload decides whether a player that reloads too fast must wait. A few fast reloads in a row come
 // from a player that seeks or has opened two variants; many come from a faulty one, which would cost as much as
 // dozens of others. The rejected player loses nothing: its session is kept alive all the same.
 func ThrottlesReload(consecutiveFast int) bool { return consecutiveFast > maxFastReloads }
@@ -70,5 +70,6 @@
 // OwnsSession reports whether a request for a title comes from the player of an existing session: it carries the
 // session's cookie, or it names the same viewer. The viewer's name is trusted: a second request under it belongs to
 // the same session, whether the first reply was lost or the title was opened twice. Without a name or a cookie a
-// retry after a lost reply can't be told from a second viewer and counts as one: two viewers must not share a seat.
+// retry after a lost reply can't be distinguished from a second viewer and counts as one: two viewers must not share
+// a seat.
 func OwnsSession(hasCookie, namesViewer bool) bool { return hasCookie || namesViewer }
--- a/decide/hlssession/hlssession_test.go
+++ b/decide/hlssession/hlssession_test.go
@@ -44,7 +44,8 @@
 
 func TestReloadPacingAndStalePlaylists(t *testing.T) {
 	live, finished := Playlist{TargetDuration: 4 * s}, Playlist{TargetDuration: 4 * s, Ended: true}
-	if !ReloadsTooFast(at+s, at, live) || ReloadsTooFast(at+2*s, at, live) || ReloadsTooFast(at, 0, live) || ReloadsTooFast(at+s/10, at, finished) {
+	if !ReloadsTooFast(at+s, at, live) || ReloadsTooFast(at+2*s, at, live) || ReloadsTooFast(at, 0, live) ||
+		ReloadsTooFast(at+s/10, at, finished) {
 		t.Error("ReloadsTooFast is wrong")
 	}
 	if ThrottlesReload(20) || !ThrottlesReload(21) {
--- a/decide/outcome/outcome.go
+++ b/decide/outcome/outcome.go
@@ -1,8 +1,8 @@
 // Package outcome decides what is known of a set-up attempt that ended without a success response: whether it provably
-// never ran or may have run. The second rule depends on it: a paid set-up is sent again or refused only when every
-// earlier attempt provably never ran.
+// never ran or may have run. A paid set-up must not run twice: it is sent again or refused only when every earlier
+// attempt provably never ran.
 //
-// A wrong guess would break that rule, so whatever is not proven here counts as "may have run". The cost: a paid
+// A wrong conclusion would let it run twice, so whatever is not proven here counts as "may have run". The cost: a paid
 // viewer may get "failed" although its set-up never ran.
 package outcome
 
--- a/decide/overload/limits.go
+++ b/decide/overload/limits.go
@@ -10,7 +10,7 @@
 	Tenant     int // for each tenant, if there are several
 }
 
-// Full names the limit that keeps a request out.
+// Full names the limit that excludes a request.
 type Full string
 
 // Values of Full.
--- a/decide/overload/overload.go
+++ b/decide/overload/overload.go
@@ -4,8 +4,8 @@
 //
 // The signal is queueing delay, as in CoDel (RFC 8289): a queue that was empty at some moment of an interval is only
 // a burst; one whose shortest wait stays over a target is standing. A standing queue helps nobody: each request
-// waits, and none is started sooner for it. The response is to admit no more than was served, and to tell the rest
-// at once when to retry.
+// waits, and none is started sooner for it. The response is to admit no more than was served, and to refuse the rest
+// at once with a retry delay.
 //
 // Admission is by worth: the rate is distributed over the flows (class and tenant) by their weights, and what a flow
 // does not use goes to the others. Otherwise many requests of low worth, or of one tenant, would fill the queue and
--- a/decide/schedule/schedule.go
+++ b/decide/schedule/schedule.go
@@ -52,10 +52,10 @@
 
 // Plan schedules tasks. The zero value has none.
 type Plan struct {
-	tasks      []*Task
-	nextStepAt Time // no task runs before
-	halvedAt   Time
-	pressedAt  Time // when the request path was last under pressure
+	tasks          []*Task
+	nextStepAt     Time // no task runs before
+	halvedAt       Time
+	lastPressureAt Time // when the request path was last under pressure
 }
 
 // Add adds a task; its first run is due at once. It returns false if there are too many tasks, or one of that name.
@@ -85,11 +85,11 @@
 			t.recentTime /= 2
 		}
 	}
-	pressed := pressure.Wait > pressureWait || pressure.Backlog > pressureBacklog
-	if pressed {
-		p.pressedAt = now
+	underPressure := pressure.Wait > pressureWait || pressure.Backlog > pressureBacklog
+	if underPressure {
+		p.lastPressureAt = now
 	}
-	pressed = pressed || p.pressedAt != 0 && now-p.pressedAt < calmDelay
+	underPressure = underPressure || p.lastPressureAt != 0 && now-p.lastPressureAt < calmDelay
 	retryAt = now + policy.Second
 	if now < p.nextStepAt {
 		return "", 0, p.nextStepAt
@@ -100,7 +100,7 @@
 			retryAt = min(retryAt, at)
 			continue
 		}
-		if pressed && !t.late(now) {
+		if underPressure && !t.late(now) {
 			retryAt = min(retryAt, now+calmDelay)
 			continue
 		}
--- a/decide/schedule/schedule_test.go
+++ b/decide/schedule/schedule_test.go
@@ -9,7 +9,8 @@
 const ms = policy.Millisecond
 
 // simulate runs a plan for the given length with steps made by step, and returns the time that each task used.
-func simulate(p *Plan, from, length Time, pressure func(Time) Pressure, step func(name string, budget Time) (took Time, bytes int, done bool)) map[string]Time {
+func simulate(p *Plan, from, length Time, pressure func(Time) Pressure,
+	step func(name string, budget Time) (took Time, bytes int, done bool)) map[string]Time {
 	timeByTask := map[string]Time{}
 	for now := from; now < from+length; {
 		name, budget, retryAt := p.Next(now, pressure(now))
@@ -25,27 +26,27 @@
 	return timeByTask
 }
 
-func calm(Time) Pressure    { return Pressure{} }
-func pressed(Time) Pressure { return Pressure{Wait: 50 * ms} }
+func calm(Time) Pressure          { return Pressure{} }
+func underPressure(Time) Pressure { return Pressure{Wait: 50 * ms} }
 
 func endless(_ string, budget Time) (Time, int, bool) { return budget, 0, false }
 
 func TestBackgroundWorkKeepsToItsShare(t *testing.T) {
 	p := &Plan{}
 	p.Add(policy.Second, Task{Name: "a"})
-	if had := simulate(p, policy.Second, 10*policy.Second, calm, endless)["a"]; had < policy.Second || had > 2100*ms {
-		t.Errorf("task a used %v of 10 s", had)
+	if used := simulate(p, policy.Second, 10*policy.Second, calm, endless)["a"]; used < policy.Second || used > 2100*ms {
+		t.Errorf("task a used %v of 10 s", used)
 	}
 }
 
 func TestYieldsToRequests(t *testing.T) {
 	p := &Plan{}
 	p.Add(policy.Second, Task{Name: "a"})
-	if had := simulate(p, policy.Second, 10*policy.Second, pressed, endless)["a"]; had > 0 {
-		t.Errorf("task a used %v under pressure", had)
+	if used := simulate(p, policy.Second, 10*policy.Second, underPressure, endless)["a"]; used > 0 {
+		t.Errorf("task a used %v under pressure", used)
 	}
-	if had := simulate(p, 11*policy.Second, policy.Second, calm, endless)["a"]; had < 100*ms {
-		t.Error("task a does not resume after the pressure: used", had)
+	if used := simulate(p, 11*policy.Second, policy.Second, calm, endless)["a"]; used < 100*ms {
+		t.Error("task a does not resume after the pressure: used", used)
 	}
 }
 
@@ -54,9 +55,9 @@
 	p := &Plan{}
 	p.Add(policy.Second, Task{Name: "a", Deadline: 2 * policy.Second})
 	p.Add(policy.Second, Task{Name: "b", Priority: 9})
-	had := simulate(p, policy.Second, 10*policy.Second, pressed, endless)
-	if had["a"] == 0 || had["a"] > 400*ms || had["b"] > 0 {
-		t.Error(had)
+	used := simulate(p, policy.Second, 10*policy.Second, underPressure, endless)
+	if used["a"] == 0 || used["a"] > 400*ms || used["b"] > 0 {
+		t.Error(used)
 	}
 }
 
@@ -65,15 +66,15 @@
 	for _, n := range []string{"a", "b", "c"} {
 		p.Add(policy.Second, Task{Name: n})
 	}
-	had := simulate(p, policy.Second, 10*policy.Second, calm, endless)
+	used := simulate(p, policy.Second, 10*policy.Second, calm, endless)
 	for _, n := range []string{"a", "b", "c"} {
-		if had[n] < 500*ms || had[n] > 800*ms {
-			t.Error("equal tasks do not share evenly", had)
+		if used[n] < 500*ms || used[n] > 800*ms {
+			t.Error("equal tasks do not share evenly", used)
 		}
 	}
 	p.Add(11*policy.Second, Task{Name: "first", Priority: 1})
-	if had := simulate(p, 11*policy.Second, 5*policy.Second, calm, endless); had["first"] < 900*ms || had["a"] > 50*ms {
-		t.Error("the task of higher priority is not first", had)
+	if used := simulate(p, 11*policy.Second, 5*policy.Second, calm, endless); used["first"] < 900*ms || used["a"] > 50*ms {
+		t.Error("the task of higher priority is not first", used)
 	}
 }
 
@@ -82,9 +83,9 @@
 	p := &Plan{}
 	p.Add(policy.Second, Task{Name: "greedy", Priority: 5, Share: 0.5})
 	p.Add(policy.Second, Task{Name: "low"})
-	had := simulate(p, policy.Second, 10*policy.Second, calm, endless)
-	if had["greedy"] > 1100*ms || had["low"] < 700*ms {
-		t.Error(had)
+	used := simulate(p, policy.Second, 10*policy.Second, calm, endless)
+	if used["greedy"] > 1100*ms || used["low"] < 700*ms {
+		t.Error(used)
 	}
 }
 
@@ -92,7 +93,8 @@
 	p := &Plan{}
 	p.Add(policy.Second, Task{Name: "a", BytesPerSecond: 1000})
 	total := 0
-	simulate(p, policy.Second, 10*policy.Second, calm, func(string, Time) (Time, int, bool) { total += 100; return ms / 10, 100, false })
+	simulate(p, policy.Second, 10*policy.Second, calm,
+		func(string, Time) (Time, int, bool) { total += 100; return ms / 10, 100, false })
 	if total < 9_000 || total > 10_200 {
 		t.Error(total, "bytes in 10 s")
 	}
@@ -106,7 +108,8 @@
 		t.Error("two tasks with the same name")
 	}
 	runs := map[string]int{}
-	simulate(p, policy.Second, 5500*ms, calm, func(name string, _ Time) (Time, int, bool) { runs[name]++; return ms, 0, true })
+	simulate(p, policy.Second, 5500*ms, calm,
+		func(name string, _ Time) (Time, int, bool) { runs[name]++; return ms, 0, true })
 	if runs["again"] < 5 || runs["again"] > 6 || runs["once"] != 1 {
 		t.Error(runs)
 	}
--- a/decide/serverview/serverview.go
+++ b/decide/serverview/serverview.go
@@ -1,5 +1,5 @@
-// Package serverview maintains a front's view of the server list: which responses of the list service are accepted, and
-// how they combine with a server's own announcement (a REDIRECT). It is pure; time is passed in.
+// Package serverview maintains a front's view of the server list: which responses of the list service are accepted,
+// and how they combine with a server's own announcement (a REDIRECT). It is pure; time is passed in.
 //
 // A list service that lost its data responds with an empty list, and one that was restored from an old copy with an
 // index that went backwards. Accepting either at once would close the front. The cost: the removal of a whole fleet
--- a/decide/upkeep/progress.go
+++ b/decide/upkeep/progress.go
@@ -50,7 +50,8 @@
 			return Draining, now + t.DrainTimeout, "every front here has heard", true
 		case elapsed >= t.AckTimeout:
 			return Draining, now + t.DrainTimeout,
-				fmt.Sprintf("not heard within %v by %s", time.Duration(t.AckTimeout), joinNames(progress.Unacknowledged)), true
+				fmt.Sprintf("not heard within %v by %s", time.Duration(t.AckTimeout),
+					joinNames(progress.Unacknowledged)), true
 		}
 	case Draining:
 		switch {
@@ -58,11 +59,12 @@
 			return Out, now + progress.WorkDuration + t.ReturnTimeout, "nothing stands there any more", true
 		case elapsed >= t.DrainTimeout && len(progress.Unreported) > 0:
 			return Out, now + progress.WorkDuration + t.ReturnTimeout,
-				fmt.Sprintf("%d sessions stand there after %v, and nothing is known from %s", progress.RemainingSessions,
-					time.Duration(t.DrainTimeout), joinNames(progress.Unreported)), true
+				fmt.Sprintf("%d sessions stand there after %v, and nothing is known from %s",
+					progress.RemainingSessions, time.Duration(t.DrainTimeout), joinNames(progress.Unreported)), true
 		case elapsed >= t.DrainTimeout:
 			return Out, now + progress.WorkDuration + t.ReturnTimeout,
-				fmt.Sprintf("%d sessions stand there after %v", progress.RemainingSessions, time.Duration(t.DrainTimeout)), true
+				fmt.Sprintf("%d sessions stand there after %v", progress.RemainingSessions,
+					time.Duration(t.DrainTimeout)), true
 		}
 	case Out:
 		if elapsed >= progress.WorkDuration+t.ReturnTimeout {
--- a/decide/upkeep/upkeep.go
+++ b/decide/upkeep/upkeep.go
@@ -119,7 +119,8 @@
 	list := slices.Clone(requests)
 	slices.SortStableFunc(list, func(a, b Request) int {
 		return cmp.Or(-cmp.Compare(boolToInt(a.Deadline > 0), boolToInt(b.Deadline > 0)),
-			cmp.Compare(a.Deadline-a.WorkDuration, b.Deadline-b.WorkDuration)*boolToInt(a.Deadline > 0 && b.Deadline > 0),
+			cmp.Compare(a.Deadline-a.WorkDuration, b.Deadline-b.WorkDuration)*
+				boolToInt(a.Deadline > 0 && b.Deadline > 0),
 			cmp.Compare(keys[a.ID].impact, keys[b.ID].impact),
 			-cmp.Compare(keys[a.ID].rounds, keys[b.ID].rounds), cmp.Compare(a.ID, b.ID))
 	})
@@ -143,37 +144,37 @@
 	}
 	var answers []Answer
 	var reserved []reservation // for requests that have waited too long to be overtaken
-	for _, a := range Order(l, fleet, requests) {
-		if a.Granted {
+	for _, request := range Order(l, fleet, requests) {
+		if request.Granted {
 			continue
 		}
-		if refusal := refusalOf(now, idle, fleet, &a); refusal.Why != "" {
-			refusal.ID, refusal.Verdict = a.ID, Refuse
+		if refusal := refusalOf(now, idle, fleet, &request); refusal.Why != "" {
+			refusal.ID, refusal.Verdict = request.ID, Refuse
 			answers = append(answers, refusal)
 			continue
 		}
 		if fleet.HoldReason != "" {
-			answers = append(answers, Answer{ID: a.ID, Limit: "held", Why: fleet.HoldReason})
+			answers = append(answers, Answer{ID: request.ID, Limit: "held", Why: fleet.HoldReason})
 			continue
 		}
-		if fleet.UncertainReason != "" && len(a.Servers) > 0 {
-			answers = append(answers, Answer{ID: a.ID, Limit: "room", Why: fleet.UncertainReason})
+		if fleet.UncertainReason != "" && len(request.Servers) > 0 {
+			answers = append(answers, Answer{ID: request.ID, Limit: "room", Why: fleet.UncertainReason})
 			continue
 		}
-		if c, found := findConflict(reserved, fleet, &a); found {
-			answers = append(answers, Answer{ID: a.ID, Limit: c.limit,
+		if c, found := findConflict(reserved, fleet, &request); found {
+			answers = append(answers, Answer{ID: request.ID, Limit: c.limit,
 				Why: fmt.Sprintf("ask %d waits longer for the same", c.requestID), Behind: []uint64{c.requestID}})
 			continue
 		}
-		answer, reservations := u.check(&a)
+		answer, reservations := u.check(&request)
 		if answer.Why == "" {
-			u.add(&a)
-			answers = append(answers, Answer{ID: a.ID, Verdict: Grant})
+			u.add(&request)
+			answers = append(answers, Answer{ID: request.ID, Verdict: Grant})
 			continue
 		}
-		answer.ID = a.ID
+		answer.ID = request.ID
 		answers = append(answers, answer)
-		if now-a.RequestedAt >= l.Patience {
+		if now-request.RequestedAt >= l.Patience {
 			reserved = append(reserved, reservations...)
 		}
 	}
@@ -200,25 +201,25 @@
 }
 
 // refusalOf returns why a request can't be granted, even with nothing else out and nothing failed, or not in time.
-func refusalOf(now Time, idle *usage, fleet *Fleet, a *Request) Answer {
-	if len(a.Servers)+len(a.Fronts) == 0 {
+func refusalOf(now Time, idle *usage, fleet *Fleet, request *Request) Answer {
+	if len(request.Servers)+len(request.Fronts) == 0 {
 		return Answer{Limit: "machines", Why: "it names no machine"}
 	}
-	if a.Deadline > 0 && now+a.WorkDuration > a.Deadline {
+	if request.Deadline > 0 && now+request.WorkDuration > request.Deadline {
 		return Answer{Limit: "by", Why: fmt.Sprintf("work of %v can't end in time: it is %v too late",
-			time.Duration(a.WorkDuration), time.Duration(now+a.WorkDuration-a.Deadline).Round(time.Second))}
+			time.Duration(request.WorkDuration), time.Duration(now+request.WorkDuration-request.Deadline).Round(time.Second))}
 	}
-	for _, id := range a.Servers {
+	for _, id := range request.Servers {
 		if fleet.server(id) == nil {
 			return Answer{Limit: "machines", Why: fmt.Sprintf("no server %d is listed", id)}
 		}
 	}
-	for _, name := range a.Fronts {
+	for _, name := range request.Fronts {
 		if !slices.ContainsFunc(fleet.Fronts, func(f Front) bool { return f.Name == name }) {
 			return Answer{Limit: "machines", Why: fmt.Sprintf("no front %q was ever here", name)}
 		}
 	}
-	answer, _ := idle.check(a)
+	answer, _ := idle.check(request)
 	if answer.Why != "" {
 		answer.Why = "not even alone: " + answer.Why
 	}
--- a/decide/upkeep/upkeep_test.go
+++ b/decide/upkeep/upkeep_test.go
@@ -102,7 +102,8 @@
 		"names no machine":     {ID: 1},
 		"too late":             {ID: 1, Servers: []uint32{1}, WorkDuration: 10e9, Deadline: 9e9},
 	} {
-		if got := answerTo(t, Decide(0, l, f, []Request{a}), 1); got.Verdict != Refuse || !strings.Contains(got.Why, why) {
+		if got := answerTo(t, Decide(0, l, f, []Request{a}), 1); got.Verdict != Refuse ||
+			!strings.Contains(got.Why, why) {
 			t.Errorf("%s: %+v", why, got)
 		}
 	}
@@ -116,11 +117,13 @@
 func TestPatienceReservesPlace(t *testing.T) {
 	l := looseLimits
 	l.Whole, l.Patience = 4, 100
-	requests := []Request{{ID: 1, Servers: []uint32{9}, Granted: true}, {ID: 2, RequestedAt: 0, Servers: []uint32{1, 2, 3, 4}}, {ID: 3, RequestedAt: 50, Servers: []uint32{10}}}
+	requests := []Request{{ID: 1, Servers: []uint32{9}, Granted: true},
+		{ID: 2, RequestedAt: 0, Servers: []uint32{1, 2, 3, 4}}, {ID: 3, RequestedAt: 50, Servers: []uint32{10}}}
 	if a := answerTo(t, Decide(99, l, grid(3, 4), requests), 3); a.Verdict != Grant {
 		t.Errorf("before the patience is over: %+v", a)
 	}
-	if a := answerTo(t, Decide(100, l, grid(3, 4), requests), 3); a.Verdict != Wait || len(a.Behind) != 1 || a.Behind[0] != 2 {
+	if a := answerTo(t, Decide(100, l, grid(3, 4), requests), 3); a.Verdict != Wait || len(a.Behind) != 1 ||
+		a.Behind[0] != 2 {
 		t.Errorf("after the patience is over: %+v", a)
 	}
 }
@@ -132,8 +135,10 @@
 	f.Servers[4].NeededKB = 500
 	l := looseLimits
 	l.Rack, l.Zone = 1, 2
-	requests := []Request{{ID: 1, Servers: []uint32{5}}, {ID: 2, Servers: []uint32{1}}, {ID: 3, Servers: []uint32{13}}, {ID: 4, Servers: []uint32{14}},
-		{ID: 5, Servers: []uint32{9}, WorkDuration: 5, Deadline: 100}, {ID: 6, Servers: []uint32{10}, WorkDuration: 50, Deadline: 100}}
+	requests := []Request{{ID: 1, Servers: []uint32{5}}, {ID: 2, Servers: []uint32{1}},
+		{ID: 3, Servers: []uint32{13}}, {ID: 4, Servers: []uint32{14}},
+		{ID: 5, Servers: []uint32{9}, WorkDuration: 5, Deadline: 100},
+		{ID: 6, Servers: []uint32{10}, WorkDuration: 50, Deadline: 100}}
 	var got []uint64
 	for _, a := range Order(l, f, requests) {
 		got = append(got, a.ID)
@@ -154,10 +159,13 @@
 			f.Servers[i].NeededKB = float64(rapid.IntRange(0, 60).Draw(t, "used"))
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "groups") {
-			f.Groups = append(f.Groups, rapid.SliceOfNDistinct(rapid.Uint32Range(1, uint32(n)), 1, n, rapid.ID[uint32]).Draw(t, "group"))
+			f.Groups = append(f.Groups,
+				rapid.SliceOfNDistinct(rapid.Uint32Range(1, uint32(n)), 1, n, rapid.ID[uint32]).Draw(t, "group"))
 		}
-		l := Limits{Rack: rapid.IntRange(0, 3).Draw(t, "rack"), Zone: rapid.IntRange(0, 5).Draw(t, "zone"), Whole: rapid.IntRange(0, 8).Draw(t, "whole"),
-			Racks: rapid.IntRange(0, 2).Draw(t, "racks out"), Holders: rapid.IntRange(0, 2).Draw(t, "holders"), Margin: 0.2, Paid: 100, Patience: 10}
+		l := Limits{Rack: rapid.IntRange(0, 3).Draw(t, "rack"), Zone: rapid.IntRange(0, 5).Draw(t, "zone"),
+			Whole: rapid.IntRange(0, 8).Draw(t, "whole"),
+			Racks: rapid.IntRange(0, 2).Draw(t, "racks out"), Holders: rapid.IntRange(0, 2).Draw(t, "holders"),
+			Margin: 0.2, Paid: 100, Patience: 10}
 		var requests []Request
 		for i := range rapid.IntRange(1, 8).Draw(t, "asks") {
 			requests = append(requests, Request{ID: uint64(i + 1), RequestedAt: Time(rapid.IntRange(0, 20).Draw(t, "asked")),
@@ -201,7 +209,8 @@
 				kb += s.LinkKB
 			}
 		}
-		// touched reports whether work takes out a matching server that had not failed: failures alone are no violation.
+		// touched reports whether work takes out a matching server that had not failed: failures alone are no
+		// violation.
 		touched := func(match func(Server) bool) bool {
 			for _, s := range f.Servers {
 				if out[s.ID] != 0 && !s.Failed && match(s) {
--- a/decide/upkeep/usage.go
+++ b/decide/upkeep/usage.go
@@ -70,29 +70,29 @@
 }
 
 // add counts a granted request. Machines that it names and that are no longer listed use up no limit.
-func (u *usage) add(a *Request) {
-	for _, r := range u.coveredRacks(a) {
-		u.wholeRacks[r] = a.ID
+func (u *usage) add(request *Request) {
+	for _, r := range u.coveredRacks(request) {
+		u.wholeRacks[r] = request.ID
 	}
-	for _, id := range a.Servers {
+	for _, id := range request.Servers {
 		if s := u.fleet.server(id); s != nil {
 			u.takeOut(s)
-			u.requestByServer[s.ID] = a.ID
-			if !a.Drained {
+			u.requestByServer[s.ID] = request.ID
+			if !request.Drained {
 				u.paid += s.Paid
 			}
 		}
 	}
-	for _, name := range a.Fronts {
-		u.frontsOut[name] = a.ID
+	for _, name := range request.Fronts {
+		u.frontsOut[name] = request.ID
 	}
 }
 
 // coveredRacks returns the racks of which a request takes every server.
-func (u *usage) coveredRacks(a *Request) (racks []int) {
+func (u *usage) coveredRacks(request *Request) (racks []int) {
 	have := map[int]int{}
-	for i, id := range a.Servers {
-		if s := u.fleet.server(id); s != nil && !slices.Contains(a.Servers[:i], id) {
+	for i, id := range request.Servers {
+		if s := u.fleet.server(id); s != nil && !slices.Contains(request.Servers[:i], id) {
 			have[s.Rack]++
 		}
 	}
@@ -112,22 +112,25 @@
 }
 
 // findConflict finds a reservation that a request would violate. Work on failed machines violates none.
-func findConflict(reservations []reservation, fleet *Fleet, a *Request) (reservation, bool) {
+func findConflict(reservations []reservation, fleet *Fleet, request *Request) (reservation, bool) {
 	for _, c := range reservations {
 		switch c.limit {
 		case "fronts":
-			if len(a.Fronts) > 0 {
+			if len(request.Fronts) > 0 {
 				return c, true
 			}
 		case "rack", "zone":
-			for _, id := range a.Servers {
+			for _, id := range request.Servers {
 				if s := fleet.server(id); s != nil && !s.Failed &&
 					(c.limit == "rack" && s.Rack == c.location || c.limit == "zone" && s.Zone == c.location) {
 					return c, true
 				}
 			}
 		default: // whole, room, holders, paid: any server may violate it
-			if slices.ContainsFunc(a.Servers, func(id uint32) bool { s := fleet.server(id); return s != nil && !s.Failed }) {
+			if slices.ContainsFunc(request.Servers, func(id uint32) bool {
+				s := fleet.server(id)
+				return s != nil && !s.Failed
+			}) {
 				return c, true
 			}
 		}
@@ -136,20 +139,20 @@
 }
 
 // check returns the limit that blocks a request, and the reservations to make for it if it has waited too long.
-func (u *usage) check(a *Request) (Answer, []reservation) {
+func (u *usage) check(request *Request) (Answer, []reservation) {
 	racks, zones, total := map[int]int{}, map[int]int{}, 0
 	taken := map[uint32]bool{}
 	paid := 0
 	removedKB := map[int]float64{}
 	groupLoss := map[int]int{}
-	for _, id := range a.Servers {
+	for _, id := range request.Servers {
 		s := u.fleet.server(id)
 		if s == nil || taken[id] {
 			continue
 		}
 		taken[id] = true
 		if by := u.requestByServer[id]; by != 0 {
-			return blocked("machines", []uint64{by}, "server %d is out already", id), u.reservations(a, "rack")
+			return blocked("machines", []uint64{by}, "server %d is out already", id), u.reservations(request, "rack")
 		}
 		if u.out[id] {
 			continue // it has failed and is counted already: work on it takes nothing more out
@@ -163,11 +166,11 @@
 			groupLoss[g]++
 		}
 	}
-	covered := u.coveredRacks(a)
+	covered := u.coveredRacks(request)
 	for i := range covered {
 		if have := len(u.wholeRacks) + i + 1; have > u.limits.Racks {
 			return blocked("racks", u.requestsWith(func(s *Server) bool { return u.wholeRacks[s.Rack] != 0 }),
-				"%d racks would be out whole, %d may be", have, u.limits.Racks), u.reservations(a, "racks")
+				"%d racks would be out whole, %d may be", have, u.limits.Racks), u.reservations(request, "racks")
 		}
 	}
 	for _, r := range sortedKeys(racks) {
@@ -176,42 +179,43 @@
 		}
 		if have := u.rackOut[r] + racks[r]; have > u.limits.Rack {
 			return blocked("rack", u.requestsWith(func(s *Server) bool { return s.Rack == r }),
-				"rack %d would have %d servers out, %d may be", r, have, u.limits.Rack), u.reservations(a, "rack")
+				"rack %d would have %d servers out, %d may be", r, have, u.limits.Rack), u.reservations(request, "rack")
 		}
 	}
 	for _, z := range sortedKeys(zones) {
 		if have := u.zoneOut[z] + zones[z]; have > u.limits.Zone {
 			return blocked("zone", u.requestsWith(func(s *Server) bool { return s.Zone == z }),
-				"zone %d would have %d servers out, %d may be", z, have, u.limits.Zone), u.reservations(a, "zone")
+				"zone %d would have %d servers out, %d may be", z, have, u.limits.Zone), u.reservations(request, "zone")
 		}
 	}
 	if have := len(u.out) + total; total > 0 && have > u.limits.Whole {
 		return blocked("whole", u.requestsWith(func(*Server) bool { return true }),
-			"%d servers would be out, %d may be", have, u.limits.Whole), u.reservations(a, "whole")
+			"%d servers would be out, %d may be", have, u.limits.Whole), u.reservations(request, "whole")
 	}
 	for _, g := range sortedKeys(groupLoss) {
 		if left := u.groupLeft[g] - groupLoss[g]; left < u.limits.Holders {
-			return blocked("holders", u.requestsWith(func(s *Server) bool { return slices.Contains(u.groupsOf[s.ID], g) }),
+			return blocked("holders",
+				u.requestsWith(func(s *Server) bool { return slices.Contains(u.groupsOf[s.ID], g) }),
 				"a title held by %d servers would keep %d, %d are wanted",
-				len(u.fleet.Groups[g]), left, u.limits.Holders), u.reservations(a, "holders")
+				len(u.fleet.Groups[g]), left, u.limits.Holders), u.reservations(request, "holders")
 		}
 	}
-	if room := u.room(removedKB); total > 0 && room < u.neededKB*(1+u.limits.Margin) {
+	if remainingKB := u.remainingKB(removedKB); total > 0 && remainingKB < u.neededKB*(1+u.limits.Margin) {
 		return blocked("room", u.requestsWith(func(*Server) bool { return true }),
 			"%.0f kB a second would be left, standing sessions need %.0f and a margin of %.0f %%",
-			room, u.neededKB, 100*u.limits.Margin), u.reservations(a, "room")
+			remainingKB, u.neededKB, 100*u.limits.Margin), u.reservations(request, "room")
 	}
 	// A server with more paid sessions than the limit may go alone: otherwise it could never be drained.
 	if u.paid > 0 && u.paid+paid > u.limits.Paid && paid > 0 {
 		return blocked("paid", u.requestsWith(func(s *Server) bool { return s.Paid > 0 }),
-			"%d paid sessions would be moving, %d may be", u.paid+paid, u.limits.Paid), u.reservations(a, "paid")
+			"%d paid sessions would be moving, %d may be", u.paid+paid, u.limits.Paid), u.reservations(request, "paid")
 	}
 	fronts := 0
-	for _, name := range a.Fronts {
+	for _, name := range request.Fronts {
 		if by, isOut := u.frontsOut[name]; !isOut {
 			fronts++
 		} else if by != 0 {
-			return blocked("machines", []uint64{by}, "front %s is out already", name), u.reservations(a, "fronts")
+			return blocked("machines", []uint64{by}, "front %s is out already", name), u.reservations(request, "fronts")
 		}
 	}
 	if have := len(u.frontsOut) + fronts; fronts > 0 && have > u.limits.Fronts {
@@ -220,14 +224,14 @@
 			by = append(by, id)
 		}
 		return blocked("fronts", uniqueIDs(by),
-			"%d fronts would be out, %d may be", have, u.limits.Fronts), u.reservations(a, "fronts")
+			"%d fronts would be out, %d may be", have, u.limits.Fronts), u.reservations(request, "fronts")
 	}
 	return Answer{}, nil
 }
 
-// room returns the kB a second that the servers in service carry without those of a request, bounded by the uplinks
-// of their racks.
-func (u *usage) room(removedKB map[int]float64) (kb float64) {
+// remainingKB returns the kB a second that the servers in service carry without those of a request, bounded by the
+// uplinks of their racks.
+func (u *usage) remainingKB(removedKB map[int]float64) (kb float64) {
 	for r, have := range u.rackKB {
 		have -= removedKB[r]
 		if u.fleet.RackKB > 0 {
@@ -241,9 +245,9 @@
 // requestsWith returns the IDs of the requests that have matching servers out.
 func (u *usage) requestsWith(match func(*Server) bool) []uint64 {
 	var by []uint64
-	for id, ask := range u.requestByServer {
+	for id, requestID := range u.requestByServer {
 		if s := u.fleet.server(id); s != nil && match(s) {
-			by = append(by, ask)
+			by = append(by, requestID)
 		}
 	}
 	return uniqueIDs(by)
@@ -256,16 +260,16 @@
 	return slices.DeleteFunc(ids, func(id uint64) bool { return id == 0 })
 }
 
-func (u *usage) reservations(a *Request, limit string) (list []reservation) {
+func (u *usage) reservations(request *Request, limit string) (list []reservation) {
 	if limit != "rack" && limit != "zone" {
-		return []reservation{{limit: limit, requestID: a.ID}}
+		return []reservation{{limit: limit, requestID: request.ID}}
 	}
-	for _, id := range a.Servers {
+	for _, id := range request.Servers {
 		s := u.fleet.server(id)
 		if s == nil {
 			continue
 		}
-		c := reservation{limit, s.Rack, a.ID}
+		c := reservation{limit, s.Rack, request.ID}
 		if limit == "zone" {
 			c.location = s.Zone
 		}
--- a/internal/front/api.go
+++ b/internal/front/api.go
@@ -161,7 +161,7 @@
 // Probe asks a server for its load.
 type Probe struct{ Server uint32 }
 
-// Follow subscribes to the server list.
+// Follow requests the server list and its changes.
 type Follow struct{}
 
 // Plays is the answer to a request whose session plays. Each Request gets exactly one of Plays, Refused and Failed,
@@ -220,7 +220,9 @@
 // Fault reports a bug in the module or the core that a safety rule caught. Correct software emits none.
 type Fault struct{ Text string }
 
-// Stats holds the core's counters since its start.
+// Stats holds the core's counters since its start. Taken counts requests, Left requests whose player left before the
+// answer, Further the attempts after a session's first, Lost streams that failed while playing, and Adopted restored
+// sessions.
 type Stats struct {
 	Taken, Plays, Refused, Failed, Left uint64
 	Attempts, Further, Moves, Probes    uint64
--- a/internal/front/core.go
+++ b/internal/front/core.go
@@ -77,7 +77,7 @@
 }
 
 func (c *Core) setTime(now Time) {
-	c.now = max(now, c.now, 1) // time stands still while the clock is behind
+	c.now = max(now, c.now, 1) // the time never goes back, even if the clock does
 	c.timers.start(c.now)
 	c.effects = c.effects[:0]
 }
@@ -174,14 +174,14 @@
 		return
 	}
 	c.timers.set(timer{at: s.deadline - c.cfg.FailsafeMargin, kind: timerFailsafe, session: s.id})
-	ask := policy.SessionSpec{ID: s.id, Title: request.Title, Viewer: request.Viewer, Class: request.Class,
+	spec := policy.SessionSpec{ID: s.id, Title: request.Title, Viewer: request.Viewer, Class: request.Class,
 		Tenant: request.Tenant, Home: request.Home, Copies: request.Copies, Top: request.Top,
 		Deadline: s.deadline - c.cfg.AnswerMargin, Length: request.Length, Hinted: request.Hinted,
 		Again: request.Again, Holders: request.Holders}
 	if request.Token != 0 && c.moveTokens.redeem(request.Token, request.Viewer, c.now) {
-		ask.Moved, ask.Again = true, true
+		spec.Moved, spec.Again = true, true
 	}
-	c.feed(policy.Request{SessionSpec: ask})
+	c.feed(policy.Request{SessionSpec: spec})
 }
 
 func (c *Core) leave(s *session) {
--- a/internal/front/restore.go
+++ b/internal/front/restore.go
@@ -3,7 +3,7 @@
 import "tealledge/policy"
 
 // After a restart a front restores the sessions that were playing when its previous process ended, so that their
-// viewers resume instead of requesting new sessions. The protocol layer asks the servers whether the streams still
+// viewers resume instead of requesting new sessions. The protocol layer queries the servers whether the streams still
 // play. decide/recovery chooses which sessions are restored and for how long.
 
 // Restore takes over a session that plays at a server as far as is known. It needs no answer. It waits until ExpiresAt
@@ -45,8 +45,8 @@
 	if !e.HeldByPlayer {
 		c.timers.set(timer{at: e.ExpiresAt, kind: timerResume, session: s.id, attempt: s.detachCount})
 	}
-	c.feed(policy.Restored{SessionSpec: policy.SessionSpec{ID: s.id, Title: e.Title, Viewer: e.Viewer, Class: e.Class, Tenant: e.Tenant,
-		Home: e.Home, Copies: e.Copies, Holders: e.Holders, Top: e.Top, Length: e.Length, Hinted: e.Hinted},
+	c.feed(policy.Restored{SessionSpec: policy.SessionSpec{ID: s.id, Title: e.Title, Viewer: e.Viewer, Class: e.Class,
+		Tenant: e.Tenant, Home: e.Home, Copies: e.Copies, Holders: e.Holders, Top: e.Top, Length: e.Length, Hinted: e.Hinted},
 		Server: e.Server})
 	c.feed(policy.Note{ID: s.id, Attempt: e.Attempt, Server: e.Server, Kind: policy.NoteRung, Value: float64(s.rung)})
 }
--- a/internal/front/resume.go
+++ b/internal/front/resume.go
@@ -4,8 +4,8 @@
 // its answer. No set-up and no answer is repeated: the stream keeps playing, and the module sees no change.
 //
 // A request that has no answer yet ends with its connection: its answer could not be delivered, and a player that asks
-// again makes a new request. Keeping streams has a cost: a player that is gone for good occupies its place and seat
-// until the window ends.
+// again makes a new request. Keeping streams has a cost: a player that never returns occupies its place and seat until
+// the window ends.
 
 // Detach reports that the player's connection is lost.
 type Detach struct{ Session uint64 }
@@ -82,7 +82,7 @@
 		c.emit(Unknown{e.Player})
 		return
 	}
-	// The token decides, not the old connection's state: a connection may be dead without being reported closed.
+	// The token decides, not the old connection's state: a connection may have failed without being reported closed.
 	old := s.request.Player
 	s.request.Player = e.Player
 	c.markAttached(s)
--- a/internal/front/timers.go
+++ b/internal/front/timers.go
@@ -67,7 +67,7 @@
 }
 
 // NextSessionTimer returns the time of the core's own next timer: for an attempt in flight, an unanswered request or a
-// detached session. The module's timers and timers without effect on their session any more do not count.
+// detached session. The module's timers and timers that no longer have an effect on their session do not count.
 func (c *Core) NextSessionTimer() (at Time, ok bool) {
 	if c.timers.queue == nil {
 		return 0, false
--- a/internal/hlstoken/hlstoken.go
+++ b/internal/hlstoken/hlstoken.go
@@ -1,6 +1,6 @@
-// Package hlstoken signs and verifies the tokens in HLS addresses. A token identifies a session and its viewer and holds
-// everything that another front needs to place the session again. Tokens are signed (HMAC-SHA-256 truncated to 128
-// bits) and expire. Keys rotate with overlap: the first key signs, all keys verify.
+// Package hlstoken signs and verifies the tokens in HLS addresses. A token identifies a session and its viewer and
+// holds everything that another front needs to place the session again. Tokens are signed (HMAC-SHA-256 truncated to
+// 128 bits) and expire. Keys rotate with overlap: the first key signs, all keys verify.
 package hlstoken
 
 import (
@@ -70,7 +70,8 @@
 		title = title[:maxTitleLength]
 	}
 	b := []byte{version}
-	for _, v := range []uint64{c.Session, c.Viewer, uint64(c.Class), uint64(c.Tenant), uint64(c.Top), uint64(c.Issued), uint64(c.Expires)} {
+	for _, v := range []uint64{c.Session, c.Viewer, uint64(c.Class), uint64(c.Tenant), uint64(c.Top), uint64(c.Issued),
+		uint64(c.Expires)} {
 		b = binary.AppendUvarint(b, v)
 	}
 	b = append(b, title...)
--- a/internal/rtspclient/connection.go
+++ b/internal/rtspclient/connection.go
@@ -55,7 +55,7 @@
 	p.cancelWaiting(peer, outcome.DialFailed)
 	for _, a := range slices.Clone(peer.streams) { // the streams can't be verified and are lost to their players
 		p.endAttempt(a, policy.ConnReset, nil)
-		// If only the network path failed, the server would keep playing for nobody. Found by the exhaustive check.
+		// If only the network path failed, the server would keep playing without a player. Found by the exhaustive check.
 		p.queueTeardown(peer, a)
 	}
 	if peer.probeWaiting {
@@ -89,18 +89,18 @@
 }
 
 // closeConnection closes a peer's connection. Playing streams are verified on a new connection, unless the server's
-// process is gone. silent means that the connection is closed because nothing was read on it.
-func (p *Protocol) closeConnection(peer *peerState, maxWritten uint64, processGone, silent bool) {
+// process has ended. silent means that the connection is closed because nothing was read on it.
+func (p *Protocol) closeConnection(peer *peerState, maxWritten uint64, processEnded, silent bool) {
 	if peer.connState == disconnected {
 		return
 	}
 	wasConnected := peer.connState == connected
 	if wasConnected {
 		p.effects = append(p.effects, Effect{Server: peer.server, Conn: peer.conn, Close: true})
-		if i := peer.pathIndex(peer.connAddr); i >= 0 && silent {
-			peer.pathSet.Failed(i, p.now)
-		} else if i >= 0 && !processGone {
-			peer.pathSet.ConnectionClosed(i, p.now, peer.connectedAt, peer.connAnswered)
+		if i := peer.addressIndex(peer.connAddr); i >= 0 && silent {
+			peer.addresses.Failed(i, p.now)
+		} else if i >= 0 && !processEnded {
+			peer.addresses.ConnectionClosed(i, p.now, peer.connectedAt, peer.connAnswered)
 		}
 	}
 	p.cancelRace(peer)
@@ -114,26 +114,26 @@
 			case r.kind == requestProbe && !r.timedOut:
 				p.events = append(p.events, front.Probed{Server: peer.server, Status: policy.ConnReset,
 					Took: p.now - r.startedAt})
-			case r.kind == requestPlay && !processGone:
+			case r.kind == requestPlay && !processEnded:
 				p.queueTeardown(peer, r.owner) // SETUP was accepted, and PLAY may have reached the server
 				fallthrough
 			case r.kind == requestSetup || r.kind == requestPlay:
 				p.endAttempt(r.owner, outcome.StatusOf(progress(r.owner, maxWritten), outcome.ConnectionLost, 0), nil)
-			case r.kind == requestTeardown && !processGone:
+			case r.kind == requestTeardown && !processEnded:
 				p.queueTeardown(peer, r.owner)
 			}
 		}
 	}
-	if processGone {
+	if processEnded {
 		peer.pendingTeardowns = nil
 	}
 	for _, a := range slices.Clone(peer.streams) {
 		a.unverified = true
-		if processGone {
+		if processEnded {
 			p.endAttempt(a, policy.ConnReset, nil)
 		}
 	}
-	if processGone {
+	if processEnded {
 		p.cancelWaiting(peer, outcome.ConnectionLost)
 	}
 	if len(peer.streams) > 0 || len(peer.unsent) > 0 || len(peer.pendingTeardowns) > 0 {
@@ -312,7 +312,7 @@
 	p.now = now
 	for _, id := range p.peerOrder {
 		peer := p.peers[id]
-		p.tickPaths(peer)
+		p.tickAddresses(peer)
 		if peer.connState == connecting && peer.probeWaiting && now-peer.probeAt >= p.cfg.ProbeTimeout {
 			peer.probeWaiting = false
 			p.events = append(p.events, front.Probed{Server: id, Status: policy.NoConnect, Took: now - peer.probeAt})
--- a/internal/rtspclient/race.go
+++ b/internal/rtspclient/race.go
@@ -13,7 +13,7 @@
 // an OPTIONS, not when it is established: otherwise set-ups would be lost at an address that accepts connections and
 // never answers. Set-ups never race: only the winner carries them.
 
-// candidate is a connection that takes part in a race or rechecks an address that rested.
+// candidate is a connection that takes part in a race or rechecks an address that was in backoff.
 type candidate struct {
 	conn      uint64
 	addr      string
@@ -31,8 +31,8 @@
 	deadline   Time
 }
 
-func (s *peerState) pathIndex(addr string) int {
-	return slices.IndexFunc(s.pathSet.Paths, func(p addresses.Path) bool { return p.Addr == addr })
+func (s *peerState) addressIndex(addr string) int {
+	return slices.IndexFunc(s.addresses.Paths, func(p addresses.Path) bool { return p.Addr == addr })
 }
 
 // dial starts a race, unless a connection is established or a race is running.
@@ -42,8 +42,8 @@
 	}
 	peer.connState = connecting
 	peer.race = &race{deadline: p.now + p.cfg.ConnectTimeout}
-	for _, i := range peer.pathSet.Order(p.now) {
-		peer.race.remaining = append(peer.race.remaining, peer.pathSet.Paths[i].Addr)
+	for _, i := range peer.addresses.Order(p.now) {
+		peer.race.remaining = append(peer.race.remaining, peer.addresses.Paths[i].Addr)
 	}
 	p.dialNext(peer)
 }
@@ -54,13 +54,13 @@
 	for len(r.remaining) > 0 {
 		addr := r.remaining[0]
 		r.remaining = r.remaining[1:]
-		i := peer.pathIndex(addr)
+		i := peer.addressIndex(addr)
 		if i < 0 {
 			continue // removed from the list meanwhile
 		}
 		p.pacer.Allow(peer.server, p.now, true)
 		r.candidates = append(r.candidates, p.startDial(peer, addr, r.deadline-p.now))
-		r.nextDialAt = p.now + peer.pathSet.Delay(i, r.deadline-p.now, len(r.remaining))
+		r.nextDialAt = p.now + peer.addresses.Delay(i, r.deadline-p.now, len(r.remaining))
 		return
 	}
 	if len(r.candidates) == 0 {
@@ -103,8 +103,8 @@
 		return
 	}
 	r.connected, r.lastCSeq = true, 1
-	if i := peer.pathIndex(r.addr); i >= 0 {
-		peer.pathSet.Connected(i, now, now-r.startedAt)
+	if i := peer.addressIndex(r.addr); i >= 0 {
+		peer.addresses.Connected(i, now, now-r.startedAt)
 	}
 	m := rtsp.Message{Method: rtsp.Options, URI: "rtsp://" + peer.addr + "/", CSeq: r.lastCSeq}
 	b := m.Append(nil)
@@ -118,8 +118,8 @@
 	if r == nil {
 		return
 	}
-	if i := peer.pathIndex(r.addr); i >= 0 {
-		peer.pathSet.Responded(i, p.now)
+	if i := peer.addressIndex(r.addr); i >= 0 {
+		peer.addresses.Responded(i, p.now)
 	}
 	if r == peer.recheck {
 		peer.recheck = nil
@@ -129,9 +129,9 @@
 	peer.race.candidates = slices.DeleteFunc(peer.race.candidates, func(o *candidate) bool { return o == r })
 	for _, o := range peer.race.candidates {
 		// It was dialled before the winner, with a head start of at least one delay, and has not answered: the address
-		// rests and is rechecked without set-ups.
-		if i := peer.pathIndex(o.addr); i >= 0 && o.startedAt < r.startedAt {
-			peer.pathSet.Failed(i, p.now)
+		// is in backoff and then rechecked without set-ups.
+		if i := peer.addressIndex(o.addr); i >= 0 && o.startedAt < r.startedAt {
+			peer.addresses.Failed(i, p.now)
 		}
 	}
 	p.cancelRace(peer)
@@ -172,8 +172,8 @@
 	if r == nil {
 		return
 	}
-	if i := peer.pathIndex(r.addr); i >= 0 {
-		peer.pathSet.Failed(i, p.now)
+	if i := peer.addressIndex(r.addr); i >= 0 {
+		peer.addresses.Failed(i, p.now)
 	}
 	if r == peer.recheck {
 		peer.recheck = nil
@@ -184,8 +184,8 @@
 }
 
 // tickPaths dials the next address of a race when its delay is over, ends races past their deadline, rechecks addresses
-// that rested, closes idle connections, and dials for pending teardowns and for servers in frequent use.
-func (p *Protocol) tickPaths(peer *peerState) {
+// after their backoff, closes idle connections, and dials for pending teardowns and for servers in frequent use.
+func (p *Protocol) tickAddresses(peer *peerState) {
 	if r := peer.race; r != nil {
 		switch {
 		case p.now >= r.deadline || !p.raceWorthwhile(peer):
@@ -211,8 +211,8 @@
 		p.connectionFailed(peer, peer.recheck.conn)
 	case peer.recheck == nil && peer.race == nil && peer.listed:
 		// Tests whether the address works again without risking a viewer's set-up.
-		if i, ok := peer.pathSet.RecheckDue(p.now); ok && p.pacer.Allow(peer.server, p.now, false) {
-			peer.recheck = p.startDial(peer, peer.pathSet.Paths[i].Addr, p.cfg.ConnectTimeout)
+		if i, ok := peer.addresses.RecheckDue(p.now); ok && p.pacer.Allow(peer.server, p.now, false) {
+			peer.recheck = p.startDial(peer, peer.addresses.Paths[i].Addr, p.cfg.ConnectTimeout)
 		}
 	}
 	if peer.connState == connected && p.cfg.IdleTimeout > 0 && len(peer.streams) == 0 && len(peer.requests) == 0 &&
@@ -231,7 +231,7 @@
 		}
 	}
 	if peer.connState == disconnected && peer.listed && peer.lastSetupAt > 0 && p.now-peer.lastSetupAt < warmWindow &&
-		!peer.pathSet.Unreachable(p.now) && p.pacer.Allow(peer.server, p.now, false) {
+		!peer.addresses.Unreachable(p.now) && p.pacer.Allow(peer.server, p.now, false) {
 		p.dial(peer) // sessions are frequent here: the next one finds an open connection
 	}
 }
@@ -269,9 +269,9 @@
 }
 
 // Paths returns the state of a server's addresses, for tests and the metrics page.
-func (p *Protocol) Paths(server uint32) *addresses.Set {
+func (p *Protocol) Addresses(server uint32) *addresses.Set {
 	if peer := p.peers[server]; peer != nil {
-		return &peer.pathSet
+		return &peer.addresses
 	}
 	return nil
 }
--- a/internal/rtspclient/rtspclient.go
+++ b/internal/rtspclient/rtspclient.go
@@ -39,7 +39,7 @@
 	TitleName         func(uint64) string
 	ConnectTimeout    Time           // a connection must be established and have answered once within this time
 	IdleTimeout       Time           // a connection without sessions that is unused for this long is closed; 0: never
-	Aims              []Time         // per class: a connect that takes too much of the aim is abandoned for the next holder
+	Aims              []Time         // per class: a connect that takes too much of it is abandoned for the next holder
 	Random            func() float64 // from 0 to 1; spreads the fronts' dials after a server restart
 }
 
@@ -81,13 +81,13 @@
 	server            uint32
 	addr              string // address for players
 	listed            bool
-	pathSet           addresses.Set
+	addresses         addresses.Set
 	connAddr          string // address of the connection
 	connectedAt       Time
 	connAnswered      bool // a response was read on the connection
 	lastSetupAt       Time // when the last set-up was written
 	race              *race
-	recheck           *candidate // test connection to an address that rested, without a set-up
+	recheck           *candidate // test connection to an address after its backoff, without a set-up
 	processStartedAt  Time
 	connState         connState
 	conn              uint64
@@ -171,8 +171,8 @@
 	StartedAt Time
 }
 
-// SetServers replaces the list of servers and their addresses. A server whose process is newer or whose address is gone
-// gets a new connection: replies on the old one don't apply to the new process.
+// SetServers replaces the list of servers and their addresses. A server whose process is newer or whose address was
+// removed gets a new connection: replies on the old one don't apply to the new process.
 func (p *Protocol) SetServers(now Time, servers []Server) {
 	p.now = now
 	seen := map[uint32]bool{}
@@ -188,19 +188,19 @@
 			p.peers[s.ID] = peer
 			i, _ := slices.BinarySearch(p.peerOrder, s.ID)
 			p.peerOrder = slices.Insert(p.peerOrder, i, s.ID)
-			peer.pathSet.Update(s.Paths)
+			peer.addresses.Update(s.Paths)
 			peer.listed = true
 			continue
 		}
 		restarted := s.StartedAt > peer.processStartedAt && peer.processStartedAt > 0
-		changed := peer.pathSet.Update(s.Paths)
+		changed := peer.addresses.Update(s.Paths)
 		peer.addr, peer.processStartedAt, peer.listed = s.Addr, s.StartedAt, true
 		if restarted {
 			// A new process at the same addresses: replies of the old one don't apply to it.
 			p.pacer.Restarted(peer.server, now, p.cfg.Random())
-			peer.pathSet.ResetFailures()
+			peer.addresses.ResetFailures()
 			p.closeConnection(peer, peer.bytesSent, true, false)
-		} else if changed && peer.connState == connected && peer.pathIndex(peer.connAddr) < 0 {
+		} else if changed && peer.connState == connected && peer.addressIndex(peer.connAddr) < 0 {
 			p.closeConnection(peer, peer.bytesSent, false, false) // address removed; streams are verified on another
 		} else if changed && peer.connState == connecting {
 			p.restartRace(peer)
@@ -276,7 +276,7 @@
 
 func (p *Protocol) probe(server uint32) {
 	peer := p.peers[server]
-	if peer == nil || len(peer.pathSet.Paths) == 0 {
+	if peer == nil || len(peer.addresses.Paths) == 0 {
 		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect})
 		return
 	}
--- a/internal/rtspclient/rtspclient_test.go
+++ b/internal/rtspclient/rtspclient_test.go
@@ -327,7 +327,7 @@
 	}
 }
 
-// TestTearsDownOrphanedStreamAfterReconnect guards against a stream left playing for nobody: a set-up that was
+// TestTearsDownOrphanedStreamAfterReconnect guards against a stream left playing without a player: a set-up that was
 // accepted may play although its PLAY was never answered. It is torn down by its session ID as soon as the server is
 // connected again.
 func TestTearsDownOrphanedStreamAfterReconnect(t *testing.T) {
@@ -462,8 +462,8 @@
 			}
 			closed = closed || a.Close && a.Conn == loser
 		}
-		if rests := b.protocol.Paths(1).Paths[0].InBackoff(b.now); rests != lateFirst {
-			t.Errorf("first address, dialled with a head start, rests: %v", rests)
+		if inBackoff := b.protocol.Addresses(1).Paths[0].InBackoff(b.now); inBackoff != lateFirst {
+			t.Errorf("first address, dialled with a head start, in backoff: %v", inBackoff)
 		}
 		if setups != 1 || !closed {
 			t.Errorf("%d set-ups written, losing connection closed: %v", setups, closed)
@@ -475,7 +475,7 @@
 	}
 }
 
-func TestRechecksRestedAddressWithoutSetup(t *testing.T) {
+func TestRechecksAddressAfterBackoffWithoutSetup(t *testing.T) {
 	b := newHarness(t)
 	b.protocol.SetServers(b.now, serverOne(0, "a:1", "b:1"))
 	b.setup(1)
@@ -488,7 +488,7 @@
 	b.protocol.Tick(b.now)
 	b.collect()
 	if b.dials != dials+1 {
-		t.Fatal("the rested address was not rechecked")
+		t.Fatal("the address was not rechecked after its backoff")
 	}
 	b.written = nil
 	b.protocol.Connected(b.now, 1, b.conn)
@@ -498,8 +498,8 @@
 	}
 	b.protocol.Received(b.now, 1, b.conn, &rtsp.Message{Status: 200, CSeq: 1})
 	b.collect()
-	if b.protocol.Paths(1).Paths[0].InBackoff(b.now) || b.protocol.peers[1].recheck != nil {
-		t.Error("the address still rests or the recheck did not end")
+	if b.protocol.Addresses(1).Paths[0].InBackoff(b.now) || b.protocol.peers[1].recheck != nil {
+		t.Error("the address is still in backoff or the recheck did not end")
 	}
 }
 
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -23,8 +23,8 @@
 			return err
 		}
 		var reply Reply
-		for _, h := range batch.Events {
-			if err := handle(fronts, batch.Now, h, &reply); err != nil {
+		for _, event := range batch.Events {
+			if err := handle(fronts, batch.Now, event, &reply); err != nil {
 				return err
 			}
 		}
@@ -38,32 +38,32 @@
 }
 
 // handle passes one event to its front. A panic in the front is reported as a fault record.
-func handle(fronts map[uint32]*policy.Front, now policy.Time, h FrontEvent, reply *Reply) (err error) {
+func handle(fronts map[uint32]*policy.Front, now policy.Time, event FrontEvent, reply *Reply) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			reply.Fault(h.Front, fmt.Sprint("the decision module failed: ", p))
+			reply.Fault(event.Front, fmt.Sprint("the decision module failed: ", p))
 		}
 	}()
-	switch ev := h.Event.(type) {
+	switch ev := event.Event.(type) {
 	case Start:
-		set, bad := settings.Parse(ev.Settings)
-		for _, text := range bad {
-			if err := reply.Add(h.Front, policy.Log{Text: "settings: " + text}); err != nil {
+		cfg, unusable := settings.Parse(ev.Settings)
+		for _, text := range unusable {
+			if err := reply.Add(event.Front, policy.Log{Text: "settings: " + text}); err != nil {
 				return err
 			}
 		}
-		fronts[h.Front] = policy.New(set, ev.Seed)
+		fronts[event.Front] = policy.New(cfg, ev.Seed)
 		return nil
 	case Stop:
-		delete(fronts, h.Front)
+		delete(fronts, event.Front)
 		return nil
 	}
-	front := fronts[h.Front]
+	front := fronts[event.Front]
 	if front == nil {
 		return nil
 	}
-	for _, a := range front.Handle(now, h.Event) {
-		if err := reply.Add(h.Front, a); err != nil {
+	for _, a := range front.Handle(now, event.Event) {
+		if err := reply.Add(event.Front, a); err != nil {
 			return err
 		}
 	}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -188,12 +188,12 @@
 	case eventList:
 		kinds := map[uint8]policy.ListKind{4: policy.ListDelta, 3: policy.ListFull, 2: policy.ListCached,
 			1: policy.ListFailed}
-		how := r.u8()
-		kind, ok := kinds[how]
+		kindCode := r.u8()
+		kind, ok := kinds[kindCode]
 		r.u32()
 		ref := r.u8()
 		if r.err == nil && !ok {
-			return nil, fmt.Errorf("list has the unknown kind %d", how)
+			return nil, fmt.Errorf("list has the unknown kind %d", kindCode)
 		}
 		if kind == policy.ListFailed {
 			return policy.List{Kind: kind}, nil
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -64,8 +64,8 @@
 		record []byte
 		want   any
 	}
-	ask := policy.SessionSpec{ID: 1, Title: 2, Copies: 3, Length: 4, Deadline: 5, Tenant: 6, Home: 7, Class: 1, Viewer: 8,
-		Top: 2, Hinted: true, Moved: true, Again: true}
+	spec := policy.SessionSpec{ID: 1, Title: 2, Copies: 3, Length: 4, Deadline: 5, Tenant: 6, Home: 7, Class: 1,
+		Viewer: 8, Top: 2, Hinted: true, Moved: true, Again: true}
 	return map[string]pair{
 		"start": {newRecord(1000, uint64(5), uint32(4), "me=1"), Start{Seed: 5, Settings: "me=1"}},
 		"stop":  {newRecord(1090), Stop{}},
@@ -75,10 +75,10 @@
 		"failed list": {newRecord(1010, uint8(1), uint32(1), uint8(0)), policy.List{Kind: policy.ListFailed}},
 		"request": {newRecord(1020, uint64(1), uint64(2), float32(3), uint64(4), uint64(5), uint32(6), float32(7),
 			uint16(25), uint16(1), uint64(8), float32(2)),
-			policy.Request{SessionSpec: ask}},
-		"handed": {newRecord(1100, uint64(1), uint16(1), uint32(6), uint64(8), uint64(2), uint64(5), uint64(4),
+			policy.Request{SessionSpec: spec}},
+		"restored": {newRecord(1100, uint64(1), uint16(1), uint32(6), uint64(8), uint64(2), uint64(5), uint64(4),
 			float32(7), float32(3), float32(2), uint16(25), uint32(9)),
-			policy.Restored{SessionSpec: ask, Server: 9}},
+			policy.Restored{SessionSpec: spec, Server: 9}},
 		"playing": {newRecord(1030, uint64(1), uint16(2), uint32(9), uint64(4)),
 			policy.Playing{ID: 1, Attempt: 2, Server: 9, Took: 4}},
 		"note": {newRecord(1110, uint64(1), uint16(2), uint32(9), uint8(1), float32(0.5)),
@@ -87,8 +87,8 @@
 			float32(0.25), float32(1.25)),
 			policy.Outcome{ID: 1, Attempt: 2, Server: 9, Status: policy.TimedOut, Took: 4, Final: true,
 				Report: []float64{0.25, 1.25}}},
-		"gone":  {newRecord(1050, uint64(1)), policy.ViewerLeft{ID: 1}},
-		"alarm": {newRecord(1060, uint32(6)), policy.TimerFired{Token: 6}},
+		"viewer left": {newRecord(1050, uint64(1)), policy.ViewerLeft{ID: 1}},
+		"timer fired": {newRecord(1060, uint32(6)), policy.TimerFired{Token: 6}},
 		"probed": {newRecord(1070, uint32(9), uint16(0), uint64(4), uint8(1), float32(0.5)),
 			policy.Probed{Server: 9, Took: 4, Report: []float64{0.5}}},
 	}
