--- a/decide/addresses/addresses_test.go
+++ b/decide/addresses/addresses_test.go
@@ -50,7 +50,8 @@
 		s.Failed(i, start)
 	}
 	if !s.Unreachable(start) || s.Unreachable(start+2*policy.Second) {
-		t.Fatal("unreachable after all failed, and 2 s later:", s.Unreachable(start), s.Unreachable(start+2*policy.Second))
+		t.Fatal("unreachable after all failed, and 2 s later:",
+			s.Unreachable(start), s.Unreachable(start+2*policy.Second))
 	}
 }
 
@@ -119,13 +120,15 @@
 func TestUpdateKeepsRecordsAndDropsDuplicates(t *testing.T) {
 	s := threeAddresses()
 	s.Failed(1, start)
-	if !s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "[::1]:5", Family: IPv6}, {Addr: "9.9.9.9:1", Family: IPv4}}) {
+	if !s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "[::1]:5", Family: IPv6},
+		{Addr: "9.9.9.9:1", Family: IPv4}}) {
 		t.Error("a change was not reported")
 	}
 	if len(s.Paths) != 2 || !s.Paths[0].InBackoff(start) || s.Paths[1].InBackoff(start) {
 		t.Fatalf("%+v", s.Paths)
 	}
-	if s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "9.9.9.9:1", Family: IPv4}}) {
+	if s.Update([]Path{{Addr: "[::1]:5", Family: IPv6},
+		{Addr: "9.9.9.9:1", Family: IPv4}}) {
 		t.Error("a change was reported where there is none")
 	}
 }
--- a/decide/admission/admission_test.go
+++ b/decide/admission/admission_test.go
@@ -9,7 +9,8 @@
 func TestFillingQueueRefusesRequestsBeforeOutcomes(t *testing.T) {
 	const capacity = 100
 	for length := 0; length <= capacity; length++ {
-		request, outcome, advisory := Admit(Request, length, capacity), Admit(Outcome, length, capacity), Admit(Advisory, length, capacity)
+		request, outcome, advisory := Admit(Request, length, capacity), Admit(Outcome, length, capacity),
+			Admit(Advisory, length, capacity)
 		if (request == Refuse) != (length >= 50) || request == Wait {
 			t.Errorf("request at queue length %d: verdict %d", length, request)
 		}
--- a/decide/schedule/schedule_test.go
+++ b/decide/schedule/schedule_test.go
@@ -34,7 +34,8 @@
 func TestBackgroundWorkKeepsToItsShare(t *testing.T) {
 	p := &Plan{}
 	p.Add(policy.Second, Task{Name: "a"})
-	if used := simulate(p, policy.Second, 10*policy.Second, calm, endless)["a"]; used < policy.Second || used > 2100*ms {
+	if used := simulate(p, policy.Second, 10*policy.Second, calm, endless)["a"]; used < policy.Second ||
+		used > 2100*ms {
 		t.Errorf("task a used %v of 10 s", used)
 	}
 }
@@ -73,7 +74,8 @@
 		}
 	}
 	p.Add(11*policy.Second, Task{Name: "first", Priority: 1})
-	if used := simulate(p, 11*policy.Second, 5*policy.Second, calm, endless); used["first"] < 900*ms || used["a"] > 50*ms {
+	if used := simulate(p, 11*policy.Second, 5*policy.Second, calm, endless); used["first"] < 900*ms ||
+		used["a"] > 50*ms {
 		t.Error("the task of higher priority is not first", used)
 	}
 }
--- a/decide/upkeep/upkeep.go
+++ b/decide/upkeep/upkeep.go
@@ -207,7 +207,8 @@
 	}
 	if request.Deadline > 0 && now+request.WorkDuration > request.Deadline {
 		return Answer{Limit: "by", Why: fmt.Sprintf("work of %v can't end in time: it is %v too late",
-			time.Duration(request.WorkDuration), time.Duration(now+request.WorkDuration-request.Deadline).Round(time.Second))}
+			time.Duration(request.WorkDuration),
+			time.Duration(now+request.WorkDuration-request.Deadline).Round(time.Second))}
 	}
 	for _, id := range request.Servers {
 		if fleet.server(id) == nil {
--- a/decide/upkeep/upkeep_test.go
+++ b/decide/upkeep/upkeep_test.go
@@ -168,8 +168,10 @@
 			Margin: 0.2, Paid: 100, Patience: 10}
 		var requests []Request
 		for i := range rapid.IntRange(1, 8).Draw(t, "asks") {
-			requests = append(requests, Request{ID: uint64(i + 1), RequestedAt: Time(rapid.IntRange(0, 20).Draw(t, "asked")),
-				Servers: rapid.SliceOfNDistinct(rapid.Uint32Range(1, uint32(n)), 1, 3, rapid.ID[uint32]).Draw(t, "servers")})
+			requests = append(requests, Request{ID: uint64(i + 1),
+				RequestedAt: Time(rapid.IntRange(0, 20).Draw(t, "asked")),
+				Servers: rapid.SliceOfNDistinct(rapid.Uint32Range(1, uint32(n)), 1, 3, rapid.ID[uint32]).
+					Draw(t, "servers")})
 		}
 		verdicts := map[uint64]Answer{}
 		for _, a := range Decide(20, l, f, requests) {
--- a/internal/front/core_test.go
+++ b/internal/front/core_test.go
@@ -154,7 +154,8 @@
 	if out := r.step(AttemptStarted{Session: s.Session, Attempt: s.Attempt}); answers(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	if next := onlyEffect[Setup](t, r.step(AttemptEnded{Session: s.Session, Status: policy.TimedOut})); next.Attempt != 1 {
+	if next := onlyEffect[Setup](t, r.step(AttemptEnded{Session: s.Session,
+		Status: policy.TimedOut})); next.Attempt != 1 {
 		t.Fatal(next)
 	}
 }
@@ -285,7 +286,8 @@
 	if a := onlyEffect[Abandon](t, r.step(Leave{s.Session})); a.Cause != outcome.Cancelled {
 		t.Fatal(a)
 	}
-	if out := r.step(AttemptEnded{Session: s.Session, Status: policy.Cancelled}); answers(out)+len(effectsOf[Setup](out)) > 0 {
+	if out := r.step(AttemptEnded{Session: s.Session,
+		Status: policy.Cancelled}); answers(out)+len(effectsOf[Setup](out)) > 0 {
 		t.Fatalf("%+v", out)
 	}
 	if r.core.SessionCount() != 0 {
@@ -421,7 +423,8 @@
 	r.step(AttemptStarted{Session: s.Session})
 	r.step(Detach{s.Session})
 	out := r.request(0)
-	if stop := onlyEffect[Stop](t, out); stop.Session != s.Session || onlyEffect[SessionEnded](t, out).Reason != EndReasonPlayerLeft ||
+	if stop := onlyEffect[Stop](t, out); stop.Session != s.Session ||
+		onlyEffect[SessionEnded](t, out).Reason != EndReasonPlayerLeft ||
 		onlyEffect[Setup](t, out).Session == s.Session {
 		t.Fatalf("%+v", out)
 	}
@@ -510,7 +513,8 @@
 	set := settings()
 	set.Classes[1].Seats = 1
 	r := &harness{t: t, now: start, core: New(Config{Settings: set, Module: policy.New(set, 1),
-		NewToken: func() uint64 { return 4 }, AnswerMargin: 50 * ms, FailsafeMargin: 20 * ms, ResumeWindow: 3 * policy.Second})}
+		NewToken: func() uint64 { return 4 }, AnswerMargin: 50 * ms, FailsafeMargin: 20 * ms,
+		ResumeWindow: 3 * policy.Second})}
 	r.step(Listed{policy.List{Kind: policy.ListFull, Entries: entries(policy.Ready, 1, 2, 3)}})
 	r.step(Restore{Request: Request{Title: 5, Copies: 3, Class: 1, Viewer: 9}, ID: 500, Server: 2,
 		ExpiresAt: r.now + 20*policy.Second, Unconfirmed: true})
--- a/internal/front/restore.go
+++ b/internal/front/restore.go
@@ -46,7 +46,8 @@
 		c.timers.set(timer{at: e.ExpiresAt, kind: timerResume, session: s.id, attempt: s.detachCount})
 	}
 	c.feed(policy.Restored{SessionSpec: policy.SessionSpec{ID: s.id, Title: e.Title, Viewer: e.Viewer, Class: e.Class,
-		Tenant: e.Tenant, Home: e.Home, Copies: e.Copies, Holders: e.Holders, Top: e.Top, Length: e.Length, Hinted: e.Hinted},
+		Tenant: e.Tenant, Home: e.Home, Copies: e.Copies, Holders: e.Holders, Top: e.Top,
+		Length: e.Length, Hinted: e.Hinted},
 		Server: e.Server})
 	c.feed(policy.Note{ID: s.id, Attempt: e.Attempt, Server: e.Server, Kind: policy.NoteRung, Value: float64(s.rung)})
 }
--- a/internal/hlstoken/hlstoken.go
+++ b/internal/hlstoken/hlstoken.go
@@ -104,8 +104,8 @@
 		}
 		values[i], rest = x, rest[n:]
 	}
-	c = Claims{Session: values[0], Viewer: values[1], Class: int(values[2]), Tenant: int(values[3]), Top: int(values[4]),
-		Issued: int64(values[5]), Expires: int64(values[6]), Title: string(rest)}
+	c = Claims{Session: values[0], Viewer: values[1], Class: int(values[2]), Tenant: int(values[3]),
+		Top: int(values[4]), Issued: int64(values[5]), Expires: int64(values[6]), Title: string(rest)}
 	if now >= c.Expires {
 		return c, ErrExpired
 	}
--- a/internal/hlstoken/hlstoken_test.go
+++ b/internal/hlstoken/hlstoken_test.go
@@ -9,7 +9,8 @@
 var (
 	oldKey = bytes.Repeat([]byte("o"), 16)
 	newKey = bytes.Repeat([]byte("n"), 32)
-	claims = Claims{Session: 77, Viewer: 1 << 63, Title: "guide é", Class: 2, Tenant: 1, Top: 5, Issued: 1000, Expires: 2000}
+	claims = Claims{Session: 77, Viewer: 1 << 63, Title: "guide é", Class: 2, Tenant: 1, Top: 5,
+		Issued: 1000, Expires: 2000}
 )
 
 func newKeys(t *testing.T, list ...[]byte) *Keys {
--- a/internal/inbox/inbox_test.go
+++ b/internal/inbox/inbox_test.go
@@ -33,7 +33,8 @@
 	}
 	q.Force(99) // the end of a connection is always accepted
 	list, backlog := q.Take(10, nil)
-	if len(list) != 10 || list[0] != 8 || list[8] != 0 || backlog != 6 || !<-got { // outcomes first, requests not starved
+	// Outcomes come first, but requests are not starved.
+	if len(list) != 10 || list[0] != 8 || list[8] != 0 || backlog != 6 || !<-got {
 		t.Fatal(list, backlog)
 	}
 	if rest, _ := q.Take(100, nil); len(rest) != 8 {
--- a/internal/rtspclient/connection.go
+++ b/internal/rtspclient/connection.go
@@ -55,7 +55,7 @@
 	p.cancelWaiting(peer, outcome.DialFailed)
 	for _, a := range slices.Clone(peer.streams) { // the streams can't be verified and are lost to their players
 		p.endAttempt(a, policy.ConnReset, nil)
-		// If only the network path failed, the server would keep playing without a player. Found by the exhaustive check.
+		// If only the network failed, the server would keep playing without a player. Found by the exhaustive check.
 		p.queueTeardown(peer, a)
 	}
 	if peer.probeWaiting {
--- a/internal/rtspclient/rtspclient_test.go
+++ b/internal/rtspclient/rtspclient_test.go
@@ -379,7 +379,8 @@
 	id := b.startStream(1)
 	onlyEvent[front.AttemptStarted](b)
 	set := func(body string) {
-		b.reply((&rtsp.Message{Method: rtsp.SetParameter, URI: "*", CSeq: 5, Body: []byte(body)}).AddHeader("Session", id))
+		b.reply((&rtsp.Message{Method: rtsp.SetParameter, URI: "*", CSeq: 5, Body: []byte(body)}).
+			AddHeader("Session", id))
 	}
 	set("share: 0.5\r\n")
 	if n := onlyEvent[front.Note](b); n.Kind != policy.NoteShare || n.Value != 0.5 || n.Session != 1 {
@@ -390,7 +391,8 @@
 	if r := onlyEvent[Redirected](b); r.Server != 1 {
 		t.Fatal(r)
 	}
-	b.reply((&rtsp.Message{Method: rtsp.PlayNotify, URI: "*", CSeq: 7}).AddHeader("Session", id).AddHeader("Notify-Reason", "end-of-stream"))
+	b.reply((&rtsp.Message{Method: rtsp.PlayNotify, URI: "*", CSeq: 7}).AddHeader("Session", id).
+		AddHeader("Notify-Reason", "end-of-stream"))
 	if e := onlyEvent[front.AttemptEnded](b); e.Status != policy.OK {
 		t.Fatal(e)
 	}
@@ -512,7 +514,7 @@
 	}
 }
 
-// TestKeepsPendingTeardownWhenNextConnectionFails guards against streams left at their server that nobody watches.
+// TestKeepsPendingTeardownWhenNextConnectionFails guards against streams left playing at their server without a player.
 // The exhaustive check found three ways; each is one case that states what happens to the connection that should
 // carry the TEARDOWN.
 func TestKeepsPendingTeardownWhenNextConnectionFails(t *testing.T) {
--- a/internal/timerwheel/timerwheel.go
+++ b/internal/timerwheel/timerwheel.go
@@ -1,7 +1,7 @@
 // Package timerwheel implements a hierarchical timing wheel. Setting a timer takes O(1), for fronts with tens of
-// thousands of deadlines, most of which have no effect when they pass. It has 4 levels of 256 slots; a slot of one level spans the whole level
-// below it. The caller passes the time in, and due timers are returned in the order of their times, then of their
-// setting, so that runs can be replayed.
+// thousands of deadlines, most of which have no effect when they pass. It has 4 levels of 256 slots; a slot of one
+// level spans the whole level below it. The caller passes the time in, and due timers are returned in the order of
+// their times, then of their setting, so that runs can be replayed.
 package timerwheel
 
 import (
--- a/internal/timerwheel/timerwheel_test.go
+++ b/internal/timerwheel/timerwheel_test.go
@@ -40,7 +40,8 @@
 			if next, ok := w.Next(); ok != (h.Len() > 0) || ok && next > max((*h)[0].at, now) {
 				t.Fatalf("next %d, %v; the first timer is at %v", next, ok, (*h)[0].at)
 			}
-			now += rapid.Int64Range(0, []int64{10, 2 * tick, 400 * tick, 1 << 33, 1 << 44}[rapid.IntRange(0, 4).Draw(t, "pass")]).Draw(t, "by")
+			now += rapid.Int64Range(0, []int64{10, 2 * tick, 400 * tick, 1 << 33, 1 << 44}[rapid.IntRange(0, 4).
+				Draw(t, "pass")]).Draw(t, "by")
 			for {
 				item, ok := w.Pop(now)
 				want := h.Len() > 0 && (*h)[0].at <= now
--- a/policy/playing.go
+++ b/policy/playing.go
@@ -110,7 +110,7 @@
 		}
 		for _, o := range f.candidates(s) {
 			// A hung server says nothing about its rack, and any other holder is better. Off a server that
-			// is only short, a guess of spare capacity elsewhere is no reason to move.
+			// is only short, unreported spare capacity elsewhere is no reason to move.
 			if (o.rack == v.rack || f.reportStale(o)) && v.lastShare >= hungShare || f.breakerBlocks(o, s) {
 				continue
 			}
--- a/policy/playing_test.go
+++ b/policy/playing_test.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// A guess of the use leaves a reserve: with a recent report of the same use the rung is higher.
+// An uncertain use leaves a reserve: with a recent report of the same use the rung is higher.
 func TestUncertainUseReservesCapacity(t *testing.T) {
 	rung := func(reported bool) int {
 		w := newWorld(t, settings())
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -58,7 +58,7 @@
 	// Lowering aims at lowerTarget of the delivered rate; its effect is visible only after lowerInterval.
 	lowerTarget, lowerInterval = 0.95, 12 * Second / 10
 	maxReserve                 = 0.4  // spare part of a link that the highest rung must leave
-	uncertaintyReserve         = 0.15 // the same for each rung over the floor where the use is a guess
+	uncertaintyReserve         = 0.15 // the same for each rung over the floor where the use is uncertain
 	probeMinScore              = 0.6  // score from which a choice needs a recent report
 	probesPerChoice            = 2    // best holders probed for a choice: two give most of the benefit
 	reserveFromRungs           = 1.0  // rungs below the rack's mean rung from which a reserve is left
@@ -72,11 +72,12 @@
 	// maxRaiseReportAge is the oldest report that allows a raise; minRungInterval is the time between
 	// changes.
 	maxRaiseReportAge, minRungInterval = 8 * Second, 5 * Second
-	minRaiseGain                       = 3.0         // a raise must earn its price so many times over, as it may be undone
-	defaultRemaining                   = 20 * Second // expected remaining length of a session without a hint
-	typicalSamples                     = 50.0        // first requests that the typical worth is averaged over
-	maxMovedViewers                    = 1000        // moved viewers remembered
-	minRetryAfterPart                  = 0.85        // least part of the longest retry delay that is returned
+	// A raise must earn minRaiseGain times its price, as it may be undone.
+	minRaiseGain      = 3.0
+	defaultRemaining  = 20 * Second // expected remaining length of a session without a hint
+	typicalSamples    = 50.0        // first requests that the typical worth is averaged over
+	maxMovedViewers   = 1000        // moved viewers remembered
+	minRetryAfterPart = 0.85        // least part of the longest retry delay that is returned
 )
 
 // Timer tokens.
--- a/policy/state.go
+++ b/policy/state.go
@@ -96,7 +96,8 @@
 
 // valid tells whether a request fits the settings and has a new ID.
 func (f *Front) valid(spec *SessionSpec) bool {
-	return spec.Class >= 0 && spec.Class < len(f.cfg.Classes) && len(f.cfg.RungKB) > f.cfg.Classes[spec.Class].Floor &&
+	return spec.Class >= 0 && spec.Class < len(f.cfg.Classes) &&
+		len(f.cfg.RungKB) > f.cfg.Classes[spec.Class].Floor &&
 		len(f.cfg.RungWorth) >= len(f.cfg.RungKB) && f.byID[spec.ID] == nil
 }
 
--- a/policy/use.go
+++ b/policy/use.go
@@ -52,7 +52,7 @@
 			mean += f.othersUse(&v.link) * v.link.capacity / m.capacity
 		}
 	}
-	limit := max(maxUse-m.own/m.capacity, 0) // the other fronts keep to maxUse too: no guess exceeds it
+	limit := max(maxUse-m.own/m.capacity, 0) // the other fronts keep to maxUse too: no estimate exceeds it
 	mean = min(mean, limit)
 	if !m.reported {
 		return mean
@@ -73,7 +73,8 @@
 	return min(others, maxFullPeers+math.Sqrt(max(others-maxFullPeers, 0)))
 }
 
-// uncertainty is the part of an estimated use that is a guess: 1 without a report, less for newer reports.
+// uncertainty is the part of an estimated use that no report supports: 1 without a report, less for newer
+// reports.
 func (f *Front) uncertainty(m *meter) float64 {
 	if m.servers != nil && !slices.Contains(f.cfg.Fields, FieldUplink) {
 		// Uplinks are not reported: the use is that of the servers, the capacity is unknown. The reserve
@@ -90,7 +91,7 @@
 	return 1 - math.Exp2(-float64(f.now-m.measuredAt)/float64(reportHalfLife))
 }
 
-// reportStale tells whether a server's estimated use is more a guess than a report.
+// reportStale tells whether a server's estimated use rests on assumptions more than on a report.
 func (f *Front) reportStale(v *server) bool {
 	return !v.link.reported || f.now-v.link.measuredAt > reportHalfLife
 }
@@ -113,10 +114,10 @@
 		reserve := maxReserve * min(float64(rung-floor), max(float64(rung)-baseRung, 0)) /
 			float64(len(f.cfg.RungKB))
 		uplinkReserve := reserve
-		if rung > floor { // a guess may be far off, and a short link costs more than a low rung
+		if rung > floor { // an uncertain use may be far off, and a short link costs more than a low rung
 			link, uplinkUncertainty := f.uncertainty(&v.link), f.uncertainty(&v.rack.meter)
-			reserve, uplinkReserve = reserve+uncertaintyReserve*link,
-				uplinkReserve+uncertaintyReserve*max(uplinkUncertainty-link, 0) // the same spare is not left twice
+			reserve, uplinkReserve = reserve+uncertaintyReserve*link, uplinkReserve+
+				uncertaintyReserve*max(uplinkUncertainty-link, 0) // the same reserve is not left twice
 		}
 		if f.rateKB(s, rung)-currentKB <= min((link-reserve*v.link.capacity)*f.sparePart(&v.link, draw),
 			(uplink-uplinkReserve*v.rack.capacity)*f.sparePart(&v.rack.meter, draw)) {
