--- a/internal/rtspclient/rtspclient_test.go
+++ b/internal/rtspclient/rtspclient_test.go
@@ -327,7 +327,7 @@
 	}
 }
 
-// TestTearsDownOrphanedStreamAfterReconnect guards against a stream left playing for nobody: a set-up that was
+// TestTearsDownOrphanedStreamAfterReconnect guards against a stream left playing without a player: a set-up that was
 // accepted may play although its PLAY was never answered. It is torn down by its session ID as soon as the server is
 // connected again.
 func TestTearsDownOrphanedStreamAfterReconnect(t *testing.T) {
@@ -379,7 +379,8 @@
 	id := b.startStream(1)
 	onlyEvent[front.AttemptStarted](b)
 	set := func(body string) {
-		b.reply((&rtsp.Message{Method: rtsp.SetParameter, URI: "*", CSeq: 5, Body: []byte(body)}).AddHeader("Session", id))
+		b.reply((&rtsp.Message{Method: rtsp.SetParameter, URI: "*", CSeq: 5, Body: []byte(body)}).
+			AddHeader("Session", id))
 	}
 	set("share: 0.5\r\n")
 	if n := onlyEvent[front.Note](b); n.Kind != policy.NoteShare || n.Value != 0.5 || n.Session != 1 {
@@ -390,7 +391,8 @@
 	if r := onlyEvent[Redirected](b); r.Server != 1 {
 		t.Fatal(r)
 	}
-	b.reply((&rtsp.Message{Method: rtsp.PlayNotify, URI: "*", CSeq: 7}).AddHeader("Session", id).AddHeader("Notify-Reason", "end-of-stream"))
+	b.reply((&rtsp.Message{Method: rtsp.PlayNotify, URI: "*", CSeq: 7}).AddHeader("Session", id).
+		AddHeader("Notify-Reason", "end-of-stream"))
 	if e := onlyEvent[front.AttemptEnded](b); e.Status != policy.OK {
 		t.Fatal(e)
 	}
@@ -462,8 +464,8 @@
 			}
 			closed = closed || a.Close && a.Conn == loser
 		}
-		if rests := b.protocol.Paths(1).Paths[0].InBackoff(b.now); rests != lateFirst {
-			t.Errorf("first address, dialled with a head start, rests: %v", rests)
+		if inBackoff := b.protocol.Addresses(1).Paths[0].InBackoff(b.now); inBackoff != lateFirst {
+			t.Errorf("first address, dialled with a head start, in backoff: %v", inBackoff)
 		}
 		if setups != 1 || !closed {
 			t.Errorf("%d set-ups written, losing connection closed: %v", setups, closed)
@@ -475,7 +477,7 @@
 	}
 }
 
-func TestRechecksRestedAddressWithoutSetup(t *testing.T) {
+func TestRechecksAddressAfterBackoffWithoutSetup(t *testing.T) {
 	b := newHarness(t)
 	b.protocol.SetServers(b.now, serverOne(0, "a:1", "b:1"))
 	b.setup(1)
@@ -488,7 +490,7 @@
 	b.protocol.Tick(b.now)
 	b.collect()
 	if b.dials != dials+1 {
-		t.Fatal("the rested address was not rechecked")
+		t.Fatal("the address was not rechecked after its backoff")
 	}
 	b.written = nil
 	b.protocol.Connected(b.now, 1, b.conn)
@@ -498,8 +500,8 @@
 	}
 	b.protocol.Received(b.now, 1, b.conn, &rtsp.Message{Status: 200, CSeq: 1})
 	b.collect()
-	if b.protocol.Paths(1).Paths[0].InBackoff(b.now) || b.protocol.peers[1].recheck != nil {
-		t.Error("the address still rests or the recheck did not end")
+	if b.protocol.Addresses(1).Paths[0].InBackoff(b.now) || b.protocol.peers[1].recheck != nil {
+		t.Error("the address is still in backoff or the recheck did not end")
 	}
 }
 
@@ -512,7 +514,7 @@
 	}
 }
 
-// TestKeepsPendingTeardownWhenNextConnectionFails guards against streams left at their server that nobody watches.
+// TestKeepsPendingTeardownWhenNextConnectionFails guards against streams left playing at their server without a player.
 // The exhaustive check found three ways; each is one case that states what happens to the connection that should
 // carry the TEARDOWN.
 func TestKeepsPendingTeardownWhenNextConnectionFails(t *testing.T) {
