--- a/internal/platform/node/client_gone_test.go
+++ b/internal/platform/node/client_exit_test.go
@@ -63,13 +63,14 @@
 	return c.(*net.TCPConn)
 }
 
-// checkNotSent waits until the front has noticed that a client has gone. It checks that one set-up of the client was
+// checkNotSent waits until the front has noticed that a client has left. It checks that one set-up of the client was
 // held back just before it would have been written, and that servers received no more than before.
 func (x *testFront) checkNotSent(sid uint64, before int) {
 	x.t.Helper()
 	x.waitFor("departure processed", func() bool { s := x.snapshot(); return s.Open == 0 && s.Queue == 0 && s.Held == 0 })
 	if s := x.snapshot(); s.Servers.Left != 1 || x.setUps(sid) != before {
-		x.t.Errorf("%d set-ups held back, %d sent, want %d sent before the client left: %+v", s.Servers.Left, x.setUps(sid), before, s)
+		x.t.Errorf("%d set-ups held back, %d sent, want %d sent before the client left: %+v",
+			s.Servers.Left, x.setUps(sid), before, s)
 	}
 }
 
@@ -84,7 +85,7 @@
 }
 
 // A client leaves while its request is in the owner's queue, and the event of that is queued behind the request. No
-// server may be sent a set-up for a client that has gone.
+// server may be sent a set-up for a client that has left.
 func TestDoesNotSendQueuedRequestOfDepartedClient(t *testing.T) {
 	for name, exit := range clientExits {
 		t.Run(name, func(t *testing.T) {
@@ -163,7 +164,8 @@
 			fmt.Fprint(c, platformsim.OpenLine(sid, "safe", 1500*time.Millisecond, ""))
 			x.waitForQueued("the request", 1)
 			reply := make(chan Snapshot)
-			x.node.queue.Force(snapshotRequested{reply}) // the owner takes the request, starts to connect, and is blocked again
+			// The owner takes the request, starts to connect, and is blocked again.
+			x.node.queue.Force(snapshotRequested{reply})
 			release()
 			x.queuedWhenBlocked = 0
 			x.waitFor("the connection", func() bool { return !x.node.serverConns.IsClosed(1) })
@@ -209,8 +211,8 @@
 	const sid = 77
 	fmt.Fprint(c, platformsim.OpenLine(sid, "safe", time.Second, ""))
 	k := <-receiver.arrived
-	if !clients.clientWaits(k.id, sid) {
-		t.Error("a waiting client counts as gone")
+	if !clients.clientWaiting(k.id, sid) {
+		t.Error("a waiting client is reported as not waiting")
 	}
 	if clients.inputDrained(k.id) {
 		t.Error("input counts as drained before the request was processed")
@@ -228,7 +230,7 @@
 	if clients.inputDrained(k.id) {
 		t.Error("input counts as drained while bytes are unread")
 	}
-	if !clients.clientWaits(k.id, sid) {
+	if !clients.clientWaiting(k.id, sid) {
 		t.Error("the end of another session counts as a withdrawal")
 	}
 }
--- a/internal/platform/node/clients.go
+++ b/internal/platform/node/clients.go
@@ -70,7 +70,7 @@
 	slotWaitTimeout     = 20 * time.Millisecond
 	listenTimeout       = 3 * time.Second // for an address that is in use at start
 	listenRetryInterval = 10 * time.Millisecond
-	slotBackoffFactor   = 5 // Accept does not wait for this many slotTimeouts after a wait without success
+	slotBackoffFactor   = 5 // after a wait that timed out, Accept does not wait for this many times slotTimeout
 )
 
 // listen creates a listener and an event loop for viewers' connections.
@@ -95,7 +95,8 @@
 // returned only after listenTimeout.
 func listenWithRetry(addr string) (ln netpoll.Listener, err error) {
 	for startedAt := time.Now(); ; time.Sleep(listenRetryInterval) {
-		if ln, err = transport.Listen(addr); !errors.Is(err, syscall.EADDRINUSE) || time.Since(startedAt) >= listenTimeout {
+		if ln, err = transport.Listen(addr); !errors.Is(err, syscall.EADDRINUSE) ||
+			time.Since(startedAt) >= listenTimeout {
 			return ln, err
 		}
 	}
@@ -169,7 +170,8 @@
 // onConnect registers a new connection.
 func (c *clients) onConnect(ctx context.Context, nc netpoll.Connection) context.Context {
 	transport.SetTCPOptions(nc)
-	k := &client{id: c.lastID.Add(1), conn: nc, writer: transport.NewWriter(nc, maxClientQueueBytes, clientWriteTimeout),
+	k := &client{id: c.lastID.Add(1), conn: nc,
+		writer:   transport.NewWriter(nc, maxClientQueueBytes, clientWriteTimeout),
 		splitter: wire.NewSplitter(wire.MaxMessage)}
 	c.mu.Lock()
 	c.conns[k.id] = k
@@ -275,7 +277,7 @@
 	return !unread
 }
 
-// poll reports the kernel's state of a connection, see pipe.Poll.
+// poll reports the kernel's state of a connection, see transport.Poll.
 func (k *client) poll() (closed, unread bool) {
 	c, ok := k.conn.(netpoll.Conn)
 	if !ok {
@@ -286,10 +288,10 @@
 	return closed || !k.conn.IsActive(), unread
 }
 
-// clientWaits reports whether the client of a request is still connected and has not withdrawn it. It considers all
+// clientWaiting reports whether the client of a request is still connected and has not withdrawn it. It considers all
 // input that has reached this machine: lines that were read but not processed by the owner goroutine, and unread
 // bytes in the socket.
-func (c *clients) clientWaits(conn, session uint64) bool {
+func (c *clients) clientWaiting(conn, session uint64) bool {
 	k := c.get(conn)
 	if k == nil || k.closing.Load() {
 		return false
--- a/internal/platform/node/clients_test.go
+++ b/internal/platform/node/clients_test.go
@@ -15,9 +15,11 @@
 func TestDescriptorLimitsLeaveViewersAThirdAndServersTheRest(t *testing.T) {
 	for _, n := range []int{10, 200, 1200} {
 		x := newListedNode(t, n)
-		conns, links := x.viewers.MaxConns(), x.servers.MaxConns()
-		if conns < 608/3 || conns+links > 608-reservedDescriptors || links < min(2*n, 608-reservedDescriptors-608/3) || x.serverIDs.len() != n || x.core.ReadyServers() != n {
-			t.Errorf("%d servers: %d connections of viewers, %d to servers, %d listed, %d ready", n, conns, links, x.serverIDs.len(), x.core.ReadyServers())
+		viewerConns, serverConns := x.viewers.MaxConns(), x.servers.MaxConns()
+		if viewerConns < 608/3 || viewerConns+serverConns > 608-reservedDescriptors ||
+			serverConns < min(2*n, 608-reservedDescriptors-608/3) || x.serverIDs.len() != n || x.core.ReadyServers() != n {
+			t.Errorf("%d servers: %d connections of viewers, %d to servers, %d listed, %d ready", n, viewerConns, serverConns,
+				x.serverIDs.len(), x.core.ReadyServers())
 		}
 		x.clients.close(context.Background())
 	}
@@ -26,8 +28,9 @@
 // With 64 descriptors, the full reserve would leave one connection for all servers together.
 func TestSmallDescriptorLimitLeavesServersConnections(t *testing.T) {
 	x := newListedNodeWithLimit(t, 8, 64)
-	if conns, links := x.viewers.MaxConns(), x.servers.MaxConns(); conns < 64/3 || links < 2*8 || conns+links > 64-12 {
-		t.Errorf("%d connections of viewers, %d to servers", conns, links)
+	if viewerConns, serverConns := x.viewers.MaxConns(), x.servers.MaxConns(); viewerConns < 64/3 ||
+		serverConns < 2*8 || viewerConns+serverConns > 64-12 {
+		t.Errorf("%d connections of viewers, %d to servers", viewerConns, serverConns)
 	}
 	x.clients.close(context.Background())
 }
@@ -66,11 +69,11 @@
 	}
 	x.waitFor("all requests read", func() bool { return x.snapshot().Viewers.TakenBack+x.snapshot().Taken-taken >= 300 })
 	flood.Close()
-	usual := x.viewer()
-	if _, a := x.open(usual, "safe"); a.Msg != "ready" {
-		t.Errorf("a usual viewer: %+v", a)
+	regular := x.viewer()
+	if _, a := x.open(regular, "safe"); a.Msg != "ready" {
+		t.Errorf("a regular viewer: %+v", a)
 	}
-	usual.Close()
+	regular.Close()
 	x.waitFor("connections closed", func() bool { return x.snapshot().Conns == 0 })
 	x.closeAndAudit()
 }
@@ -78,8 +81,8 @@
 // Idle connections past the limit are closed, and regular viewers are still served.
 func TestServesViewersWhenDescriptorsRunShort(t *testing.T) {
 	x := newTestFront(t, 128)
-	usual := x.viewer()
-	sid, _ := x.open(usual, "safe")
+	regular := x.viewer()
+	sid, _ := x.open(regular, "safe")
 	var silent []*platformsim.Viewer
 	for range 150 {
 		silent = append(silent, x.viewer())
@@ -87,16 +90,16 @@
 	if n := x.snapshot().Conns; n > 110 {
 		t.Errorf("%d connections with 128 descriptors", n)
 	}
-	if _, a := x.open(usual, "paid"); a.Msg != "ready" {
-		t.Errorf("a usual viewer: %+v", a)
+	if _, a := x.open(regular, "paid"); a.Msg != "ready" {
+		t.Errorf("a regular viewer: %+v", a)
 	}
 	x.serverOf(sid).EndSession(sid, 16)
-	if l := x.lineFor(usual, sid); l.Msg != "close" {
+	if l := x.lineFor(regular, sid); l.Msg != "close" {
 		t.Errorf("%+v", l)
 	}
 	for _, v := range silent {
 		v.Close()
 	}
-	usual.Close()
+	regular.Close()
 	x.closeAndAudit()
 }
--- a/internal/platform/node/config_test.go
+++ b/internal/platform/node/config_test.go
@@ -13,7 +13,8 @@
 	good := fmt.Sprintf(`{"name":"n3","listen":"10.0.0.4:5070","seed":"8c1f30d27a5be964","limits":{"cores":0.5,"memory_mb":64,"sockets":256},"journal":"10.2.0.1:4222",
 		"known":{"pos":3,"entries":[{"pos":1,"hosts":{"whole":true,"hosts":[{"host":"s-00000005","dial":"a:1","site":"z","class":"k","block":2,"health":"active","share":4,"born_ms":7}]}}]},"settings":%s}`, settingsJSON)
 	c, err := Parse([]byte(good))
-	if err != nil || len(c.Invalid) != 0 || c.Seed != 0x8c1f30d27a5be964 || c.JournalPos != 3 || c.Names.Classes[1] != "paid" || !c.Settings.Classes[1].Paid ||
+	if err != nil || len(c.Invalid) != 0 || c.Seed != 0x8c1f30d27a5be964 || c.JournalPos != 3 || c.Names.Classes[1] != "paid" ||
+		!c.Settings.Classes[1].Paid ||
 		c.Settings.Classes[0].Deadline != 3_000_000_000 || c.Settings.Cells != 3 || len(c.Settings.Tenants) != 0 {
 		t.Fatalf("%+v %v", c, err)
 	}
@@ -21,12 +22,15 @@
 		t.Error(procs, memory)
 	}
 	ids := newServerIDs(c.Names.Zones, c.Names.Kinds)
-	if entries, list, invalid := ids.apply(c.KnownEvents[0].Hosts); len(invalid) != 0 || entries[0].Server != 5 || entries[0].Started != 7_000_000 || entries[0].Cell != 2 ||
+	if entries, list, invalid := ids.apply(c.KnownEvents[0].Hosts); len(invalid) != 0 || entries[0].Server != 5 ||
+		entries[0].Started != 7_000_000 || entries[0].Cell != 2 ||
 		list[0].Addr != "a:1" {
 		t.Errorf("%+v %+v %v", entries, list, invalid)
 	}
-	next := &wire.Hosts{Whole: true, Hosts: []wire.Host{{Name: "other", Address: "a:1", Zone: "nowhere", Kind: "k", Health: wire.HostReady}}}
-	if entries, list, invalid := ids.apply(next); len(entries) != 1 || len(list) != 2 || list[1].ID != 5 || !list[1].Unlisted || ids.len() != 1 || len(invalid) != 1 {
+	next := &wire.Hosts{Whole: true, Hosts: []wire.Host{{Name: "other", Address: "a:1", Zone: "nowhere", Kind: "k",
+		Health: wire.HostReady}}}
+	if entries, list, invalid := ids.apply(next); len(entries) != 1 || len(list) != 2 || list[1].ID != 5 ||
+		!list[1].Removed || ids.len() != 1 || len(invalid) != 1 {
 		t.Errorf("full list without a known server: %+v %+v %v", entries, list, invalid)
 	}
 	for name, change := range map[string][2]string{
--- a/internal/platform/node/malformed_replies_test.go
+++ b/internal/platform/node/malformed_replies_test.go
@@ -163,12 +163,15 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				x.journal.AddHosts(false, wire.Host{Name: "scripted", Address: scripted.listener.Addr().String(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10},
-					wire.Host{Name: good.Name(), Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10})
+				x.journal.AddHosts(false, wire.Host{Name: "scripted", Address: scripted.listener.Addr().String(), Zone: "z", Kind: "k",
+					Cell: 50, Health: wire.HostReady, Share: 10},
+					wire.Host{Name: good.Name(), Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50,
+						Health: wire.HostReady, Share: 10})
 				x.waitFor("listed", func() bool { s := x.snapshot(); return s.Ready == 5 && s.Held == 1 })
 				for n := 0; n < 60 && scripted.setUpCount() == 0; n++ { // the module may pick either of the two
 					sid := x.newID()
-					v.Write(strings.Replace(strings.Replace(platformsim.OpenLine(sid, class, 1500*time.Millisecond, ""), "home:0;copies:3", "home:50;copies:1", 1), "top:2", "top:0", 1))
+					v.Write(strings.Replace(strings.Replace(platformsim.OpenLine(sid, class, 1500*time.Millisecond, ""),
+						"home:0;copies:3", "home:50;copies:1", 1), "top:2", "top:0", 1))
 					l := x.lineFor(v, sid)
 					got := l.Msg
 					if l.Msg == wire.LineClose {
--- a/internal/platform/node/node.go
+++ b/internal/platform/node/node.go
@@ -35,7 +35,7 @@
 	defaultMaxConns     = 4096                    // connections of each kind if no limit is configured
 	minServers          = 8                       // connections are reserved for at least this many servers
 	statsInterval       = 10 * policy.Second
-	shutdownDelay       = 1500 * policy.Millisecond // requests arrive for this long after SIGTERM, with a margin
+	shutdownDelay       = 1500 * policy.Millisecond // requests may arrive this long after SIGTERM; includes a margin
 	shutdownQuietWindow = 300 * policy.Millisecond  // viewers must have sent nothing for this long
 	shutdownTimeout     = 60 * policy.Second        // then sessions are no longer waited for, only open requests
 	maxServerQueueBytes = 256 << 10                 // unwritten bytes on one connection to a server
@@ -75,13 +75,16 @@
 	for _, text := range cfg.Invalid {
 		log.Warn().Str("from", "configuration").Msg(text)
 	}
-	n.core = front.New(front.Config{Settings: cfg.Settings, Module: policy.New(cfg.Settings, cfg.Seed), TrustViewerIDs: true,
-		AnswerMargin: answerMargin, FailsafeMargin: unansweredMargin, MoveTokenTTL: movedTTL, MaxMoveTokens: 10_000})
+	n.core = front.New(front.Config{Settings: cfg.Settings, Module: policy.New(cfg.Settings, cfg.Seed),
+		TrustViewerIDs: true, AnswerMargin: answerMargin, FailsafeMargin: unansweredMargin,
+		MoveTokenTTL: movedTTL, MaxMoveTokens: 10_000})
 	connectTimeout := max(cfg.Settings.ConnectTimeout, 50*policy.Millisecond)
-	n.servers = servers.New(servers.Config{Classes: cfg.Names.Classes, Fields: cfg.Names.Fields, ConnectTimeout: connectTimeout,
-		ProbeTimeout: connectTimeout, ClientWaiting: n.clientWaits, Ended: func(conn uint64) bool { return n.serverConns.IsClosed(conn) }})
-	n.viewers = viewers.New(viewers.Config{Settings: cfg.Settings, Classes: cfg.Names.Classes, ServerID: n.serverIDs.lookup,
-		MaxOpenRequests: maxOpenPerConn, Silent: silentTimeout, PartialLineTimeout: partialLineTimeout, Idle: idleTimeout,
+	n.servers = servers.New(servers.Config{Classes: cfg.Names.Classes, Fields: cfg.Names.Fields,
+		ConnectTimeout: connectTimeout, ProbeTimeout: connectTimeout, ClientWaiting: n.clientWaiting,
+		ConnEnded: func(conn uint64) bool { return n.serverConns.IsClosed(conn) }})
+	n.viewers = viewers.New(viewers.Config{Settings: cfg.Settings, Classes: cfg.Names.Classes,
+		ServerID: n.serverIDs.lookup, MaxOpenRequests: maxOpenPerConn, SilentTimeout: silentTimeout,
+		PartialLineTimeout: partialLineTimeout, IdleTimeout: idleTimeout,
 		NoPendingInput: func(conn uint64) bool { return n.clients.inputDrained(conn) }})
 	n.follower = watch.New(cfg.Journal, cfg.JournalPos, rand.Float64)
 	n.serverConns, n.journalConns = transport.NewConns(maxServerQueueBytes, serverWriteTimeout),
@@ -116,10 +119,10 @@
 	}
 }
 
-// clientWaits reports whether the client of a request is still waiting. It is called just before a set-up is sent.
-func (n *Node) clientWaits(session uint64) bool {
+// clientWaiting reports whether the client of a request is still waiting. It is called just before a set-up is sent.
+func (n *Node) clientWaiting(session uint64) bool {
 	conn, ok := n.viewers.RequestConn(session)
-	return ok && n.clients.clientWaits(conn, session)
+	return ok && n.clients.clientWaiting(conn, session)
 }
 
 // now returns the module's time: Unix time at the start, monotonic from there.
--- a/internal/platform/node/node_test.go
+++ b/internal/platform/node/node_test.go
@@ -59,9 +59,12 @@
 // newTestFrontWith is newTestFront with other settings.
 func newTestFrontWith(t *testing.T, sockets int, settings string) *testFront {
 	t.Helper()
-	x := &testFront{t: t, world: platformsim.NewWorld("safe", "paid"), configPath: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1), lastID: 100}
-	x.world.Recorder.Add(audit.Rules{Classes: []audit.Class{{Name: "safe", Deadline: 3 * time.Second}, {Name: "paid", Paid: true, Deadline: 2 * time.Second}},
-		AnswerGrace: 500 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Skew: 100 * time.Millisecond, RungWorth: []float64{0.4, 0.7, 1}}.Event())
+	x := &testFront{t: t, world: platformsim.NewWorld("safe", "paid"),
+		configPath: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1), lastID: 100}
+	x.world.Recorder.Add(audit.Rules{Classes: []audit.Class{{Name: "safe", Deadline: 3 * time.Second},
+		{Name: "paid", Paid: true, Deadline: 2 * time.Second}},
+		AnswerGrace: 500 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Skew: 100 * time.Millisecond,
+		RungWorth: []float64{0.4, 0.7, 1}}.Event())
 	var err error
 	if x.journal, err = platformsim.NewJournal(x.world, nil); err != nil {
 		t.Fatal(err)
--- a/internal/platform/node/owner.go
+++ b/internal/platform/node/owner.go
@@ -87,8 +87,8 @@
 		return true
 	}
 	waiting, _, _ := n.queue.Stats()
-	return n.core.OpenRequests() == 0 && n.core.SessionCount() == 0 && waiting == 0 && now >= n.clientActiveAt+shutdownQuietWindow &&
-		!n.viewers.HasPartialLine() && n.clients.drained()
+	return n.core.OpenRequests() == 0 && n.core.SessionCount() == 0 && waiting == 0 &&
+		now >= n.clientActiveAt+shutdownQuietWindow && !n.viewers.HasPartialLine() && n.clients.drained()
 }
 
 // handle processes one item of the queue.
@@ -193,14 +193,15 @@
 		if !n.servers.Restore(now, front.Setup{Session: a.ID, Server: a.Server, Title: a.Title, Class: a.Class,
 			Viewer: a.Viewer, Name: a.Name}) {
 			n.log.Warn().Str("session", wire.Sid(a.ID)).Msg("restored session names an unknown server; ending it")
-			n.viewers.Apply(now, front.SessionEnded{Session: a.ID, Reason: front.EndReasonLost}) // otherwise its client would hold it forever
+			// Otherwise its client would hold it forever.
+			n.viewers.Apply(now, front.SessionEnded{Session: a.ID, Reason: front.EndReasonLost})
 			return
 		}
 	}
 	n.execute(n.core.Step(now, e))
 }
 
-// execute carries out effects of the core. A session that plays but whose viewer has gone is ended at once.
+// execute carries out effects of the core. A session that plays but whose viewer has left is ended at once.
 func (n *Node) execute(effects []front.Effect) {
 	if len(effects) == 0 {
 		return
@@ -246,7 +247,7 @@
 	if n.log.GetLevel() <= zerolog.DebugLevel {
 		for _, server := range serverList {
 			n.log.Debug().Str("server", fmt.Sprintf("%08x", server.ID)).Str("addr", server.Addr).
-				Bool("drains", server.Drains).Bool("gone", server.Unlisted).Msg("listed")
+				Bool("drains", server.Draining).Bool("gone", server.Removed).Msg("listed")
 		}
 	}
 	n.servers.Listed(now, serverList)
--- a/internal/platform/node/server_changes_test.go
+++ b/internal/platform/node/server_changes_test.go
@@ -34,7 +34,8 @@
 				t.Errorf("%+v", l)
 			}
 			if s := x.snapshot(); s.Servers.Again != 1 || s.Stats.Attempts != 1 || x.setUps(sid) != 1 {
-				t.Errorf("requeued %d times, %d attempts, %d set-ups received", s.Servers.Again, s.Stats.Attempts, x.setUps(sid))
+				t.Errorf("requeued %d times, %d attempts, %d set-ups received", s.Servers.Again, s.Stats.Attempts,
+					x.setUps(sid))
 			}
 			v.Cancel(sid)
 			v.Close()
@@ -45,9 +46,11 @@
 
 // setUpWaitingForConnect opens a paid request whose set-up waits for an unanswered connect to the only server that
 // holds its title. It returns the list entry of that server and a function that closes the listener.
-func setUpWaitingForConnect(t *testing.T) (x *testFront, v *platformsim.Viewer, sid uint64, host wire.Host, done func()) {
+func setUpWaitingForConnect(t *testing.T) (x *testFront, v *platformsim.Viewer, sid uint64, host wire.Host,
+	done func()) {
 	t.Helper()
-	x = newTestFrontWith(t, 1024, strings.NewReplacer(`"positions":3`, `"positions":100`, `"connect-timeout-ns":250000000`, `"connect-timeout-ns":8000000000`).Replace(settingsJSON))
+	x = newTestFrontWith(t, 1024, strings.NewReplacer(`"positions":3`, `"positions":100`,
+		`"connect-timeout-ns":250000000`, `"connect-timeout-ns":8000000000`).Replace(settingsJSON))
 	addr, done, err := platformsim.UnansweredListener()
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +60,8 @@
 	x.journal.AddHosts(false, host)
 	x.waitFor("listed", func() bool { return x.snapshot().Ready == 4 })
 	v, sid = x.viewer(), x.newID()
-	v.Write(strings.Replace(platformsim.OpenLine(sid, "paid", 2*time.Second, ""), "home:0;copies:3", "home:50;copies:1", 1))
+	v.Write(strings.Replace(platformsim.OpenLine(sid, "paid", 2*time.Second, ""),
+		"home:0;copies:3", "home:50;copies:1", 1))
 	x.waitFor("connect in progress", func() bool { s := x.snapshot(); return s.Attempts == 1 && s.Open == 1 })
 	return x, v, sid, host, done
 }
@@ -93,7 +97,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := wire.Host{Name: "old", Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10}
+	old := wire.Host{Name: "old", Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50,
+		Health: wire.HostReady, Share: 10}
 	next := old
 	next.Name, next.Cell = good.Name(), 60
 	x.journal.AddHosts(false, old)
@@ -102,7 +107,8 @@
 	v := x.viewer()
 	request := func(home string) (uint64, wire.Line) {
 		sid := x.newID()
-		v.Write(strings.Replace(platformsim.OpenLine(sid, "paid", 1500*time.Millisecond, ""), "home:0;copies:3", "home:"+home+";copies:1", 1))
+		v.Write(strings.Replace(platformsim.OpenLine(sid, "paid", 1500*time.Millisecond, ""),
+			"home:0;copies:3", "home:"+home+";copies:1", 1))
 		return sid, x.lineFor(v, sid)
 	}
 	if sid, l := request("50"); l.Msg != wire.LineClose || l.Code != wire.CauseRefused || x.setUps(sid) != 0 {
--- a/internal/platform/node/server_faults_test.go
+++ b/internal/platform/node/server_faults_test.go
@@ -25,7 +25,8 @@
 			for _, l := range x.openMany(v, n, 0) {
 				plays += map[string]int{"ready": 1}[l.Msg]
 			}
-			minPlays := map[string]int{"doubled": n, "full": n, "answer exceeds a line": n / 2}[name] // safe requests are tried elsewhere
+			// Safe requests are tried elsewhere.
+			minPlays := map[string]int{"doubled": n, "full": n, "answer exceeds a line": n / 2}[name]
 			if plays < max(minPlays, 2) {
 				t.Errorf("%d of %d play", plays, n)
 			}
@@ -57,7 +58,8 @@
 			t.Errorf("%+v", l)
 		}
 	}
-	if d, n := time.Since(diedAt), x.snapshot().Servers.Refused; len(cutOff) == 0 || d > 5*time.Second || n == 0 { // the limit is 8 s
+	if d, n := time.Since(diedAt), x.snapshot().Servers.Refused; len(cutOff) == 0 ||
+		d > 5*time.Second || n == 0 { // the limit is 8 s
 		t.Error("ends reported after", d, "and refused connects:", n)
 	}
 	if err := s.Start(); err != nil {
--- a/internal/platform/node/server_ids.go
+++ b/internal/platform/node/server_ids.go
@@ -21,7 +21,8 @@
 
 // newServerIDs returns an empty map for a platform with the given zones and kinds of servers.
 func newServerIDs(zones, kinds []string) serverIDs {
-	h := serverIDs{zones: map[string]int{}, kinds: map[string]int{}, byName: map[string]uint32{}, used: map[uint32]bool{}}
+	h := serverIDs{zones: map[string]int{}, kinds: map[string]int{}, byName: map[string]uint32{},
+		used: map[uint32]bool{}}
 	for i, z := range zones {
 		h.zones[z] = i
 	}
@@ -69,7 +70,8 @@
 // apply applies a list event and translates it for the module and for the servers' protocol. invalid describes values
 // of the event that could not be used.
 func (h *serverIDs) apply(e *wire.Hosts) (entries []policy.Entry, serverList []servers.Server, invalid []string) {
-	health := map[string]policy.Health{wire.HostReady: policy.Ready, wire.HostDraining: policy.Draining, wire.HostRemoved: policy.Removed}
+	health := map[string]policy.Health{wire.HostReady: policy.Ready, wire.HostDraining: policy.Draining,
+		wire.HostRemoved: policy.Removed}
 	listed := map[string]bool{}
 	for _, host := range e.Hosts {
 		listed[host.Name] = true
@@ -85,11 +87,11 @@
 			continue
 		}
 		id := h.assign(host.Name)
-		entry := policy.Entry{Server: id, Zone: zone, Kind: kind, Cell: host.Cell, Health: health[host.Health], Size: host.Share,
-			Started: host.Started * policy.Millisecond}
+		entry := policy.Entry{Server: id, Zone: zone, Kind: kind, Cell: host.Cell, Health: health[host.Health],
+			Size: host.Share, Started: host.Started * policy.Millisecond}
 		entries = append(entries, entry)
-		serverList = append(serverList, servers.Server{ID: id, Addr: host.Address, Started: entry.Started, Drains: entry.Health != policy.Ready,
-			Unlisted: entry.Health == policy.Removed})
+		serverList = append(serverList, servers.Server{ID: id, Addr: host.Address, Started: entry.Started,
+			Draining: entry.Health != policy.Ready, Removed: entry.Health == policy.Removed})
 		if entry.Health == policy.Removed {
 			h.remove(host.Name)
 		}
@@ -97,7 +99,7 @@
 	if e.Whole {
 		for _, name := range sortedNames(h.byName) {
 			if !listed[name] {
-				serverList = append(serverList, servers.Server{ID: h.byName[name], Drains: true, Unlisted: true})
+				serverList = append(serverList, servers.Server{ID: h.byName[name], Draining: true, Removed: true})
 				h.remove(name)
 			}
 		}
--- a/internal/platform/node/sessions_test.go
+++ b/internal/platform/node/sessions_test.go
@@ -127,7 +127,8 @@
 	}
 	x.closeAndAudit()
 	goleak.VerifyNone(t, before, goleak.IgnoreTopFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"),
-		goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"), goleak.IgnoreAnyFunction("github.com/bytedance/gopkg/util/gopool.(*worker).run.func1"))
+		goleak.IgnoreAnyFunction("github.com/cloudwego/netpoll.(*defaultPoll).Wait"),
+		goleak.IgnoreAnyFunction("github.com/bytedance/gopkg/util/gopool.(*worker).run.func1"))
 }
 
 // The audit finds a second answer, a second set-up of an attempt and a set-up on a draining server in a front's
@@ -148,7 +149,8 @@
 			answer = e
 		}
 	}
-	repeated, drains := setup, record.Event{At: setup.At - int64(time.Second), Kind: record.ServerListed, Front: platformsim.Front, Server: setup.Server, Health: "draining"}
+	repeated, drains := setup, record.Event{At: setup.At - int64(time.Second), Kind: record.ServerListed,
+		Front: platformsim.Front, Server: setup.Server, Health: "draining"}
 	repeated.Attempt, repeated.At = 1, setup.At+int64(time.Second)
 	for rule, bad := range map[string][]record.Event{audit.RuleAnswer: append(good[:len(good):len(good)], answer),
 		audit.RuleOnce: append(good[:len(good):len(good)], repeated), audit.RuleDrain: {good[0], drains, setup}} {
--- a/internal/platform/node/slow_connect_test.go
+++ b/internal/platform/node/slow_connect_test.go
@@ -24,13 +24,16 @@
 				t.Fatal(err)
 			}
 			defer done()
-			x.journal.AddHosts(false, wire.Host{Name: "slow", Address: slow, Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10},
-				wire.Host{Name: good.Name(), Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50, Health: wire.HostReady, Share: 10})
+			x.journal.AddHosts(false, wire.Host{Name: "slow", Address: slow, Zone: "z", Kind: "k", Cell: 50,
+				Health: wire.HostReady, Share: 10},
+				wire.Host{Name: good.Name(), Address: good.Addr(), Zone: "z", Kind: "k", Cell: 50,
+					Health: wire.HostReady, Share: 10})
 			x.waitFor("listed", func() bool { return x.snapshot().Ready == 5 })
 			v, other := x.viewer(), x.viewer()
 			for n := 0; n < 60 && x.snapshot().Servers.Unanswered == 0; n++ { // the module may pick either of the two
 				sid := x.newID()
-				v.Write(strings.Replace(strings.Replace(platformsim.OpenLine(sid, class, 1500*time.Millisecond, ""), "home:0;copies:3", "home:50;copies:1", 1), "top:2", "top:0", 1))
+				v.Write(strings.Replace(strings.Replace(platformsim.OpenLine(sid, class, 1500*time.Millisecond, ""),
+					"home:0;copies:3", "home:50;copies:1", 1), "top:2", "top:0", 1))
 				if startedAt, id := time.Now(), uint64(0); true {
 					var l wire.Line
 					if id, l = x.open(other, "safe"); l.Msg != "ready" || time.Since(startedAt) > time.Second {
--- a/internal/platform/node/snapshot.go
+++ b/internal/platform/node/snapshot.go
@@ -12,6 +12,11 @@
 )
 
 // Snapshot is the internal state of a front, for logs and tests.
+//
+// Of the core: Open requests, Held sessions and Ready servers. Of the servers' protocol: Attempts (sessions included),
+// servers (Lines) and connections to them (Links). Of the viewers' protocol: Conns, Sessions, ids of ended sessions
+// (Recent) and ends of sessions that wait for a connection (Owed). Of the node: Hosts in the list, connections with a
+// known server (Owners) and items in the Queue.
 type Snapshot struct {
 	front.Stats
 	Open, Held, Ready          int
@@ -27,7 +32,8 @@
 
 // takeSnapshot returns the current state. It runs on the owner goroutine.
 func (n *Node) takeSnapshot() (s Snapshot) {
-	s.Stats, s.Open, s.Held, s.Ready = n.core.Stats(), n.core.OpenRequests(), n.core.SessionCount(), n.core.ReadyServers()
+	s.Stats, s.Open, s.Held, s.Ready = n.core.Stats(), n.core.OpenRequests(), n.core.SessionCount(),
+		n.core.ReadyServers()
 	s.Attempts, s.Lines, s.Links = n.servers.Counts()
 	s.Conns, s.Sessions, s.Recent, s.Owed = n.viewers.Counts()
 	s.Hosts, s.Owners, s.Pos = n.serverIDs.len(), len(n.serverByConn), n.follower.Pos()
--- a/internal/platform/node/sockets.go
+++ b/internal/platform/node/sockets.go
@@ -74,7 +74,8 @@
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return servers.Refused
-	case errors.As(err, &timeout) && timeout.Timeout(), errors.Is(err, syscall.EHOSTUNREACH), errors.Is(err, syscall.ENETUNREACH):
+	case errors.As(err, &timeout) && timeout.Timeout(), errors.Is(err, syscall.EHOSTUNREACH),
+		errors.Is(err, syscall.ENETUNREACH):
 		return servers.TimedOut
 	}
 	return servers.OtherFailure
--- a/internal/platform/servers/address_test.go
+++ b/internal/platform/servers/address_test.go
@@ -8,8 +8,8 @@
 	"tealledge/policy"
 )
 
-// A server's address changes while a connect to the old one is in progress: the resulting connection was used for the
-// server, and unsent set-ups were written to whichever server has the old address now.
+// A server's address changes while a connect to the old one is in progress. The resulting connection must not be used:
+// unsent set-ups would be written to whichever server has the old address now.
 func TestAddressChangeDuringDial(t *testing.T) {
 	r := newRig(t)
 	r.setup(5)
@@ -32,7 +32,7 @@
 	}
 }
 
-// A new server is listed at the address of one whose removal is not received yet: set-ups for the old server would
+// A new server is listed at the address of one whose removal is not received yet. Set-ups for the old server must not
 // reach the new one.
 func TestRefusesSetUpForServerThatLostItsAddress(t *testing.T) {
 	r := newRig(t)
@@ -41,27 +41,27 @@
 	r.p.Listed(r.now, []Server{{ID: 3, Addr: "a:1", Started: r.now}})
 	r.setup(6)
 	r.checkEnded(6, policy.NotSent)
-	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true}})
+	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Draining: true, Removed: true}})
 	r.take()
 	r.events = nil
 	r.do(front.Setup{Session: 7, Server: 3, Class: 1, Name: "7f3a9c21e0b4d655", Text: "who", Timeout: 900 * ms})
 	r.checkWritten(r.connect(), wire.SetUp)
-	r.p.Listed(r.now, []Server{{ID: 3, Unlisted: true, Drains: true}, {ID: 4, Addr: "a:1"}}) // once more
+	r.p.Listed(r.now, []Server{{ID: 3, Removed: true, Draining: true}, {ID: 4, Addr: "a:1"}}) // once more
 	r.do(front.Setup{Session: 8, Server: 4, Class: 1, Name: "7f3a9c21e0b4d655", Text: "who", Timeout: 900 * ms})
 	r.checkWritten(r.connect(), wire.SetUp)
-	r.p.Listed(r.now, []Server{{ID: 4, Unlisted: true, Drains: true}})
+	r.p.Listed(r.now, []Server{{ID: 4, Removed: true, Draining: true}})
 	if len(r.p.byAddr) != 1 { // that of server 2
 		t.Errorf("addresses held: %v, want 1", r.p.byAddr)
 	}
 }
 
-// The server ends a connection just before a set-up is written there: once written, the set-up could not be
+// The server ends a connection just before a set-up is written there. It must not be written: it could not be
 // distinguished from one that ran.
 func TestDoesNotWriteSetUpToEndedConnection(t *testing.T) {
 	r := newRig(t)
 	first := r.startSession(4)
 	ended := map[uint64]bool{first: true}
-	r.p.cfg.Ended = func(conn uint64) bool { return ended[conn] }
+	r.p.cfg.ConnEnded = func(conn uint64) bool { return ended[conn] }
 	r.setup(5)
 	r.checkWritten(first, wire.SetUp)
 	second := r.connect()
@@ -85,17 +85,17 @@
 func TestEndsUnsentSetUpOfDrainingServer(t *testing.T) {
 	r := newRig(t)
 	r.setup(5)
-	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true}})
+	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Draining: true}})
 	r.checkWritten(r.connect())
 	r.checkEnded(5, policy.NotSent)
 }
 
-// Several set-ups and a probe wait for a connection that its server ends as it opens: after the first set-up had
-// detected this, the second was written to a nil connection, and the front crashed.
+// Several set-ups and a probe wait for a connection that its server ends as it opens. After the first set-up has
+// detected this, the others must wait for the next connection; a write to the nil connection would crash the front.
 func TestAllUnsentSetUpsWaitForNextConnection(t *testing.T) {
 	r := newRig(t)
 	ended := map[uint64]bool{}
-	r.p.cfg.Ended = func(conn uint64) bool { return ended[conn] }
+	r.p.cfg.ConnEnded = func(conn uint64) bool { return ended[conn] }
 	r.setup(5)
 	r.setup(6)
 	r.do(front.Probe{Server: 1})
--- a/internal/platform/servers/connections.go
+++ b/internal/platform/servers/connections.go
@@ -145,7 +145,7 @@
 )
 
 // DialFailed handles a failed connect.
-func (p *Protocol) DialFailed(now Time, server uint32, connID uint64, why Failure) {
+func (p *Protocol) DialFailed(now Time, server uint32, connID uint64, failure Failure) {
 	p.now = now
 	remote := p.peers[server]
 	p.openConns--
@@ -153,7 +153,7 @@
 		return
 	}
 	remote.dialing = 0
-	switch why {
+	switch failure {
 	case Refused:
 		p.Stats.Refused++
 		remote.refusedDials, remote.timedOutDials = remote.refusedDials+1, 0
@@ -183,8 +183,8 @@
 	}
 }
 
-// Lost handles the end of a connection. begun is an upper bound of the bytes handed to the kernel.
-func (p *Protocol) Lost(now Time, server uint32, connID uint64, begun uint64) {
+// Lost handles the end of a connection. submitted is an upper bound of the bytes handed to the kernel.
+func (p *Protocol) Lost(now Time, server uint32, connID uint64, submitted uint64) {
 	p.now = now
 	remote := p.peers[server]
 	if remote == nil {
@@ -192,7 +192,7 @@
 	}
 	if c := remote.conns[connID]; c != nil {
 		p.Stats.Lost++
-		p.dropConn(remote, c, begun)
+		p.dropConn(remote, c, submitted)
 	}
 }
 
@@ -216,13 +216,13 @@
 }
 
 // dropConn closes a connection, ends what was open on it, and opens another if one is needed.
-func (p *Protocol) dropConn(remote *peer, c *conn, begun uint64) {
-	p.removeConn(remote, c, begun)
+func (p *Protocol) dropConn(remote *peer, c *conn, submitted uint64) {
+	p.removeConn(remote, c, submitted)
 	p.ensureConn(remote)
 }
 
 // removeConn closes a connection and ends what was open on it.
-func (p *Protocol) removeConn(remote *peer, c *conn, begun uint64) {
+func (p *Protocol) removeConn(remote *peer, c *conn, submitted uint64) {
 	delete(remote.conns, c.id)
 	p.openConns--
 	if remote.current == c {
@@ -232,14 +232,14 @@
 	for _, id := range sorted(c.inFlight) {
 		a := c.inFlight[id]
 		switch {
-		case begun < a.end && !a.retried && !remote.draining && !remote.removed:
+		case submitted < a.endOffset && !a.retried && !remote.draining && !remote.removed:
 			// A server runs only complete set-ups: this one was not sent whole, and waits for the next connection,
 			// once.
 			p.Stats.Again++
 			delete(c.inFlight, id)
 			a.retried, a.conn = true, nil
 			remote.unsent = append(remote.unsent, a)
-		case begun < a.end:
+		case submitted < a.endOffset:
 			p.end(a, outcome.StatusOf(outcome.PartlyWritten, outcome.ConnectionLost, 0), nil)
 		default:
 			p.end(a, outcome.StatusOf(outcome.Written, outcome.ConnectionLost, 0), nil)
--- a/internal/platform/servers/connections_test.go
+++ b/internal/platform/servers/connections_test.go
@@ -123,7 +123,7 @@
 	}
 	r.p.Listed(r.now, list)
 	r.p.SetMaxConns(20)
-	open, most := map[uint64]bool{}, 0
+	open, maxOpen := map[uint64]bool{}, 0
 	for id := range uint32(1200) {
 		r.do(front.Setup{Session: uint64(id) + 1, Server: id + 1, Name: "7f3a9c21e0b4d655", Text: "who",
 			Timeout: 900 * ms})
@@ -132,7 +132,7 @@
 		for c := range r.closed {
 			delete(open, c)
 		}
-		most = max(most, len(open))
+		maxOpen = max(maxOpen, len(open))
 		if id%2 == 0 { // half of the sessions are established: their connections are evicted last
 			b, _ := (&wire.Message{Type: wire.Ready, Session: uint64(id) + 1}).Add(wire.ParamText, "here").Append(nil)
 			r.p.Received(r.now, id+1, conn, b)
@@ -142,8 +142,8 @@
 		}
 		r.take()
 	}
-	if most > 20 || r.p.Stats.Crowded != 0 {
-		t.Errorf("%d connections at a time, %d set-ups without a connection", most, r.p.Stats.Crowded)
+	if maxOpen > 20 || r.p.Stats.Crowded != 0 {
+		t.Errorf("%d connections at a time, %d set-ups without a connection", maxOpen, r.p.Stats.Crowded)
 	}
 	r = newRig(t) // all connections are in use: the next set-up is reported as never run
 	r.p.SetMaxConns(1)
--- a/internal/platform/servers/invariants_test.go
+++ b/internal/platform/servers/invariants_test.go
@@ -24,7 +24,7 @@
 	requests    map[uint64]*simulatedAttempt
 	ids         []uint64
 	next        uint64
-	clientGone  map[uint64]bool // sessions whose client has left
+	clientLeft  map[uint64]bool // sessions whose client has left
 }
 
 // simulatedConn is a connection that was opened.
@@ -40,17 +40,18 @@
 // simulatedAttempt is an attempt as the core knows it.
 type simulatedAttempt struct {
 	setup       front.Setup
-	pending     bool // no Ended event yet
+	pending     bool // no AttemptEnded event yet
 	established bool
 	sent        int
 }
 
 func newSimulation(t *rapid.T) *simulation {
 	o := &simulation{T: t, now: start, maxConns: 1 << 30, connections: map[uint64]*simulatedConn{},
-		listed: map[uint32]Server{}, requests: map[uint64]*simulatedAttempt{}, clientGone: map[uint64]bool{}}
-	o.p = New(Config{Classes: []string{"safe", "paid"}, Fields: []string{"x0"}, ConnectTimeout: 250 * ms, ProbeTimeout: 250 * ms,
-		ClientWaiting: func(session uint64) bool { return !o.clientGone[session] },
-		Ended:         func(conn uint64) bool { k := o.connections[conn]; return k == nil || k.ended || k.lost }})
+		listed: map[uint32]Server{}, requests: map[uint64]*simulatedAttempt{}, clientLeft: map[uint64]bool{}}
+	o.p = New(Config{Classes: []string{"safe", "paid"}, Fields: []string{"x0"},
+		ConnectTimeout: 250 * ms, ProbeTimeout: 250 * ms,
+		ClientWaiting: func(session uint64) bool { return !o.clientLeft[session] },
+		ConnEnded:     func(conn uint64) bool { k := o.connections[conn]; return k == nil || k.ended || k.lost }})
 	for id := range uint32(4) {
 		o.list(Server{ID: id + 1, Addr: fmt.Sprint("a:", id)})
 	}
@@ -103,7 +104,7 @@
 				o.Fatalf("%+v of an established session", e)
 			}
 		case front.Leave:
-			if !o.clientGone[e.Session] {
+			if !o.clientLeft[e.Session] {
 				o.Fatalf("%+v of a client that still waits", e)
 			}
 		}
@@ -124,12 +125,12 @@
 		return
 	}
 	sim, s := o.requests[m.Session], o.listed[a.Server]
-	if sim == nil || !sim.pending || sim.setup.Server != a.Server || s.Drains || s.Unlisted || o.clientGone[m.Session] ||
-		o.connections[a.Conn].server != a.Server {
-		o.Fatalf("set-up of %+v sent to %+v; client has left: %v", sim, s, o.clientGone[m.Session])
+	if sim == nil || !sim.pending || sim.setup.Server != a.Server || s.Draining || s.Removed ||
+		o.clientLeft[m.Session] || o.connections[a.Conn].server != a.Server {
+		o.Fatalf("set-up of %+v sent to %+v; client has left: %v", sim, s, o.clientLeft[m.Session])
 	}
 	for id, other := range o.listed {
-		if id != a.Server && other.Addr == s.Addr && !other.Unlisted && o.p.byAddr[s.Addr] == id {
+		if id != a.Server && other.Addr == s.Addr && !other.Removed && o.p.byAddr[s.Addr] == id {
 			o.Fatalf("set-up for server %d sent to the address of server %d", a.Server, id)
 		}
 	}
@@ -166,7 +167,7 @@
 		o.next++
 		o.ids = append(o.ids, o.next)
 		o.setup(o.next, 0)
-	case n == 3 && haveSession && !sim.pending && !o.clientGone[session]: // the core tries again elsewhere
+	case n == 3 && haveSession && !sim.pending && !o.clientLeft[session]: // the core tries again elsewhere
 		o.setup(session, sim.setup.Attempt+1)
 	case n <= 6 && len(o.dials) > 0:
 		i := rapid.IntRange(0, len(o.dials)-1).Draw(o.T, "dial")
@@ -182,12 +183,12 @@
 	case n == 7 && haveSession && sim.pending && !sim.established:
 		cause := outcome.Expired
 		if rapid.Bool().Draw(o.T, "left") {
-			cause, o.clientGone[session] = outcome.Cancelled, true
+			cause, o.clientLeft[session] = outcome.Cancelled, true
 		}
 		o.p.Apply(o.now, front.Abandon{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server,
 			Cause: cause})
 	case n == 8 && haveSession && sim.established && sim.pending:
-		sim.pending = false // a Stop gets no Ended event
+		sim.pending = false // a Stop gets no AttemptEnded event
 		o.p.Apply(o.now, front.Stop{Session: session, Attempt: sim.setup.Attempt, Server: sim.setup.Server,
 			Moved: rapid.Bool().Draw(o.T, "moved")})
 	case n == 9 && haveSession:
@@ -204,11 +205,11 @@
 		}
 		switch rapid.IntRange(0, 4).Draw(o.T, "listed") {
 		case 0:
-			s.Drains = true
+			s.Draining = true
 		case 1:
-			s.Drains, s.Unlisted = true, true
+			s.Draining, s.Removed = true, true
 		case 2:
-			s.Drains, s.Unlisted = false, false
+			s.Draining, s.Removed = false, false
 		case 3:
 			s.Started = o.now
 		case 4:
@@ -219,7 +220,7 @@
 		o.maxConns = rapid.IntRange(1, 8).Draw(o.T, "most")
 		o.p.SetMaxConns(o.maxConns)
 	case n == 14 && haveSession && sim.pending && !sim.established:
-		o.clientGone[session] = true
+		o.clientLeft[session] = true
 	case n == 15 && haveConn && !c.lost:
 		c.ended = true
 		if rapid.Bool().Draw(o.T, "notified") {
--- a/internal/platform/servers/liveness.go
+++ b/internal/platform/servers/liveness.go
@@ -13,7 +13,7 @@
 	for _, s := range list {
 		remote := p.peers[s.ID]
 		if remote == nil {
-			if s.Unlisted {
+			if s.Removed {
 				continue
 			}
 			remote = &peer{server: s.ID, addr: s.Addr, started: s.Started,
@@ -23,8 +23,8 @@
 			p.peerIDs = nil
 			p.byAddr[s.Addr] = s.ID
 		}
-		remote.draining, remote.removed = s.Drains, s.Unlisted
-		if s.Unlisted && p.byAddr[remote.addr] == s.ID {
+		remote.draining, remote.removed = s.Draining, s.Removed
+		if s.Removed && p.byAddr[remote.addr] == s.ID {
 			delete(p.byAddr, remote.addr)
 		}
 		if s.Started > remote.started { // the process restarted: sessions of the old process have ended
@@ -46,7 +46,7 @@
 				delete(p.byAddr, remote.addr)
 			}
 			remote.addr = s.Addr
-			if !s.Unlisted {
+			if !s.Removed {
 				p.byAddr[remote.addr] = s.ID
 			}
 			for c := range remote.eachConn {
--- a/internal/platform/servers/liveness_test.go
+++ b/internal/platform/servers/liveness_test.go
@@ -67,16 +67,16 @@
 // The end of a process does not always show on its open connections. Its sessions have ended nevertheless, and their
 // viewers must be notified within 8 s.
 func TestDetectsProcessEndWithoutReset(t *testing.T) {
-	gone := []Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true}}
+	removed := []Server{{ID: 1, Addr: "a:1", Draining: true, Removed: true}}
 	for name, c := range map[string]struct {
 		listed []Server
 		at     Time // when the list reports the removal
 		dials  Failure
 	}{
-		"removed from the list first": {gone, 100 * ms, Refused},
-		"refusing connects first":     {gone, 3500 * ms, Refused},
+		"removed from the list first": {removed, 100 * ms, Refused},
+		"refusing connects first":     {removed, 3500 * ms, Refused},
 		"never removed from the list": {nil, 0, Refused},
-		"address reused by another": {[]Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true},
+		"address reused by another": {[]Server{{ID: 1, Addr: "a:1", Draining: true, Removed: true},
 			{ID: 3, Addr: "a:1", Started: start}},
 			100 * ms, OtherFailure},
 	} {
@@ -105,7 +105,7 @@
 func TestEndsSessionsWhenAddressIsReused(t *testing.T) {
 	r := newRig(t)
 	conn := r.startSession(5)
-	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true}, {ID: 3, Addr: "a:1"}})
+	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Draining: true, Removed: true}, {ID: 3, Addr: "a:1"}})
 	if len(r.events) != 0 {
 		t.Error("session ended before its connection:", r.events)
 	}
@@ -126,7 +126,7 @@
 func TestForgetsRemovedServer(t *testing.T) {
 	r := newRig(t)
 	conn := r.startSession(5)
-	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true, Unlisted: true}})
+	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Draining: true, Removed: true}})
 	r.advance(500 * ms)
 	if _, peers, _ := r.p.Counts(); peers != 2 {
 		t.Fatal("server forgotten while a session is established")
--- a/internal/platform/servers/receive.go
+++ b/internal/platform/servers/receive.go
@@ -113,8 +113,8 @@
 	a.playing = true
 	remote.sessions[m.Session] = a
 	a.setup.Text = ""
-	p.events = append(p.events, front.AttemptStarted{Session: m.Session, Attempt: a.setup.Attempt, Took: p.now - a.startedAt,
-		Report: p.report(m), Text: string(text)})
+	p.events = append(p.events, front.AttemptStarted{Session: m.Session, Attempt: a.setup.Attempt,
+		Took: p.now - a.startedAt, Report: p.report(m), Text: string(text)})
 	return nil
 }
 
--- a/internal/platform/servers/servers.go
+++ b/internal/platform/servers/servers.go
@@ -30,7 +30,7 @@
 	ProbeTimeout   Time     // a probe unanswered for this long has failed
 
 	ClientWaiting func(session uint64) bool // whether the client of a request is still connected; nil: it always is
-	Ended         func(conn uint64) bool    // whether the server has ended a connection, read or not; nil: it never has
+	ConnEnded     func(conn uint64) bool    // whether the server has ended a connection, read or not; nil: it never has
 }
 
 // Timeouts and limits of the protocol. They only decide when a connection is no longer usable and when the requests and
@@ -66,8 +66,8 @@
 	ID       uint32
 	Addr     string
 	Started  Time
-	Drains   bool // it takes nothing new
-	Unlisted bool // it was removed from the list
+	Draining bool // it takes nothing new
+	Removed  bool // it was removed from the list
 }
 
 // Protocol holds the protocol state of all servers.
@@ -85,7 +85,11 @@
 	Stats     Stats
 }
 
-// Stats counts what happened to connections. Dialed and Tests also number the connections and probes.
+// Stats counts events of connections. Dialed and Tests also number the connections and probes.
+//
+// Of connects: Dialed started, Crowded not started at the limit, Refused, Unanswered, and Broke with any other failure.
+// Of connections: Lost by a close of the other side, Spoilt by an invalid message, Stuck with an incomplete one. Of
+// set-ups: Late answers after the abandon, Again those that waited for a second connection.
 type Stats struct {
 	Dialed, Crowded, Refused, Unanswered, Broke, Lost, Spoilt, Stuck, Late, Again uint64
 
@@ -138,7 +142,7 @@
 	setup       front.Setup
 	startedAt   Time
 	conn        *conn  // connection that it was written to; nil: not written
-	end         uint64 // offset of the end of its bytes on that connection
+	endOffset   uint64 // offset of the end of its bytes on that connection
 	retried     bool   // its first connection ended before it was sent
 	playing     bool
 	ended       bool
--- a/internal/platform/servers/servers_test.go
+++ b/internal/platform/servers/servers_test.go
@@ -83,14 +83,14 @@
 	return a.Conn
 }
 
-func (r *rig) failDial(why Failure) {
+func (r *rig) failDial(failure Failure) {
 	r.t.Helper()
 	if len(r.dials) == 0 {
 		r.t.Fatal("no connect")
 	}
 	a := r.dials[0]
 	r.dials = nil
-	r.p.DialFailed(r.now, a.Server, a.Conn, why)
+	r.p.DialFailed(r.now, a.Server, a.Conn, failure)
 	r.take()
 }
 
@@ -112,7 +112,7 @@
 	return r.written[conn][len(r.written[conn])-1]
 }
 
-func (r *rig) loseConn(conn, begun uint64) { r.p.Lost(r.now, 1, conn, begun); r.take() }
+func (r *rig) loseConn(conn, submitted uint64) { r.p.Lost(r.now, 1, conn, submitted); r.take() }
 
 func (r *rig) advance(d Time) {
 	for end := r.now + d; r.now < end; {
@@ -122,7 +122,7 @@
 	}
 }
 
-// checkEnded checks that the session got exactly one Ended event since the last call, with the wanted status.
+// checkEnded checks that the session got exactly one AttemptEnded event since the last call, with the wanted status.
 func (r *rig) checkEnded(session uint64, want policy.Status) {
 	r.t.Helper()
 	var got []policy.Status
--- a/internal/platform/servers/setups.go
+++ b/internal/platform/servers/setups.go
@@ -50,7 +50,7 @@
 		remote.unsent = append(remote.unsent, a)
 		p.dial(remote, true)
 		return
-	case !a.retried && p.cfg.Ended != nil && p.cfg.Ended(remote.current.id):
+	case !a.retried && p.cfg.ConnEnded != nil && p.cfg.ConnEnded(remote.current.id):
 		// Written to a connection that its server has ended, it could not be distinguished from one that ran, and a
 		// paid request would fail. It waits once for the next connection; the end of this one is read in its turn.
 		p.Stats.Again++
@@ -71,7 +71,7 @@
 		p.end(a, policy.NotSent, nil)
 		return
 	}
-	a.conn, a.end = c, c.sentBytes
+	a.conn, a.endOffset = c, c.sentBytes
 	c.inFlight[e.Session] = a
 }
 
--- a/internal/platform/servers/setups_test.go
+++ b/internal/platform/servers/setups_test.go
@@ -123,7 +123,7 @@
 	r := newRig(t)
 	r.setup(5)
 	conn := r.connect()
-	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Drains: true}})
+	r.p.Listed(r.now, []Server{{ID: 1, Addr: "a:1", Draining: true}})
 	r.loseConn(conn, 3)
 	r.checkEnded(5, policy.NoConnect)
 }
--- a/internal/platform/viewers/connections.go
+++ b/internal/platform/viewers/connections.go
@@ -136,28 +136,28 @@
 		}
 		switch {
 		case c.closed:
-		case !c.sentValidLine && now-c.connectedAt >= p.cfg.Silent && p.noPendingInput(c):
+		case !c.sentValidLine && now-c.connectedAt >= p.cfg.SilentTimeout && p.noPendingInput(c):
 			p.Stats.Silent++
 			p.closeConn(c, nil)
 		case c.partialSince != 0 && now-c.partialSince >= p.cfg.PartialLineTimeout:
 			p.reject(c, 0, errors.New("a line that does not end"))
 		case c.sentValidLine && len(c.openRequests) == 0 && c.established == 0 &&
-			now-c.lastReceivedAt >= p.cfg.Idle && p.noPendingInput(c):
+			now-c.lastReceivedAt >= p.cfg.IdleTimeout && p.noPendingInput(c):
 			p.Stats.Idle++
 			p.closeConn(c, nil)
 		case c.established > 0 && carrier == nil:
 			carrier = c
 		}
 	}
-	for _, sid := range slices.Sorted(maps.Keys(p.pendingRestore)) {
+	for _, sid := range slices.Sorted(maps.Keys(p.pendingRestores)) {
 		p.tryRestore(sid)
 	}
-	for _, sid := range slices.Sorted(maps.Keys(p.pendingRelease)) {
+	for _, sid := range slices.Sorted(maps.Keys(p.pendingEnds)) {
 		if carrier != nil {
-			p.send(carrier, p.pendingRelease[sid].bytes)
+			p.send(carrier, p.pendingEnds[sid].bytes)
 		}
-		if carrier != nil || now >= p.pendingRelease[sid].expiresAt {
-			delete(p.pendingRelease, sid)
+		if carrier != nil || now >= p.pendingEnds[sid].expiresAt {
+			delete(p.pendingEnds, sid)
 		}
 	}
 	for len(p.recentOrder) > 0 && p.recent[p.recentOrder[0]] <= now {
--- a/internal/platform/viewers/connections_test.go
+++ b/internal/platform/viewers/connections_test.go
@@ -13,14 +13,14 @@
 func TestLimitsOpenRequestsPerConnection(t *testing.T) {
 	r := newRig(t)
 	for sid := uint64(5); sid < 9; sid++ {
-		r.clientSends(1, openLine(sid, usualAttrs))
+		r.clientSends(1, openLine(sid, validAttrs))
 	}
 	if l := r.lastLine(1); len(r.events) != 3 || l.Sid != 8 || l.Code != wire.CauseRefused ||
 		l.Attrs["wait"] != "1000" {
 		t.Errorf("%d requests started, want 3; reply %+v", len(r.events), l)
 	}
 	r.do(front.Refused{Session: 5})
-	r.clientSends(1, openLine(10, usualAttrs))
+	r.clientSends(1, openLine(10, validAttrs))
 	if len(r.events) != 4 {
 		t.Error("an answered request still counts towards the limit")
 	}
@@ -28,7 +28,7 @@
 
 func TestEvictionOrder(t *testing.T) {
 	r := newRig(t)
-	r.clientSends(1, openLine(5, usualAttrs)) // an open request
+	r.clientSends(1, openLine(5, validAttrs)) // an open request
 	r.accept(2)
 	r.establish(2, 6) // an established session
 	r.accept(3)
@@ -51,7 +51,7 @@
 func TestClosesUnusedConnections(t *testing.T) {
 	r := newRig(t)
 	r.accept(2)
-	r.clientSends(2, openLine(5, usualAttrs))
+	r.clientSends(2, openLine(5, validAttrs))
 	r.accept(3)
 	r.establish(3, 6)
 	r.accept(4)
@@ -75,20 +75,20 @@
 	if !r.closed[1] {
 		t.Fatal("idle connection not closed")
 	}
-	r.clientSends(1, openLine(6, usualAttrs)) // it was in flight
+	r.clientSends(1, openLine(6, validAttrs)) // it was in flight
 	if len(r.events) != 0 {
 		t.Fatal("request started on a closed connection:", r.events)
 	}
 	r.p.Lost(r.now, 1)
 	r.accept(2)
-	r.clientSends(2, openLine(6, usualAttrs)) // the client repeats it on a new connection
+	r.clientSends(2, openLine(6, validAttrs)) // the client repeats it on a new connection
 	if len(r.events) != 1 || len(r.written[2]) != 0 {
 		t.Errorf("events %+v, want one; written %+v, want nothing", r.events, r.written[2])
 	}
 }
 
-// A pending release must not be lost on a connection that is closed in the same tick.
-func TestSendsPendingReleaseBeforeClosingConnection(t *testing.T) {
+// A pending end must not be lost on a connection that is closed in the same tick.
+func TestSendsPendingEndBeforeClosingConnection(t *testing.T) {
 	r := newRig(t)
 	r.establish(1, 5)
 	r.p.Lost(r.now, 1)
--- a/internal/platform/viewers/invariants_test.go
+++ b/internal/platform/viewers/invariants_test.go
@@ -46,7 +46,8 @@
 	o.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetryAfter: policy.Second},
 		Classes:         []string{"live", "paid"},
 		ServerID:        func(string) (uint32, bool) { return 7, o.listed },
-		MaxOpenRequests: 3, Silent: 2 * policy.Second, PartialLineTimeout: 2 * policy.Second, Idle: 6 * policy.Second,
+		MaxOpenRequests: 3, SilentTimeout: 2 * policy.Second, PartialLineTimeout: 2 * policy.Second,
+		IdleTimeout:    6 * policy.Second,
 		NoPendingInput: func(conn uint64) bool { return conn%5 != 0 }})
 	o.p.SetMaxConns(6)
 	return o
@@ -142,7 +143,7 @@
 		id := uint64(100 + len(o.ids))
 		o.ids = append(o.ids, id)
 		o.requests[id] = &request{conn: conn}
-		o.clientSends(conn, openLine(id, usualAttrs))
+		o.clientSends(conn, openLine(id, validAttrs))
 	case n == 5 && haveConn:
 		id := uint64(100 + len(o.ids))
 		o.ids = append(o.ids, id)
@@ -152,7 +153,7 @@
 		if r.ambiguous = r.ambiguous || !r.restored || r.ended || r.cancelled; r.restored {
 			o.clientSends(conn, restoreLine(sid, "s-7"))
 		} else {
-			o.clientSends(conn, openLine(sid, usualAttrs))
+			o.clientSends(conn, openLine(sid, validAttrs))
 		}
 	case n == 7 && haveConn && haveSession:
 		if open && (r.answers > 0 || r.restored || conn == r.conn) {
@@ -219,7 +220,7 @@
 	}
 	for sid, s := range o.p.sessions {
 		r := o.requests[sid]
-		_, pendingRestore := o.p.pendingRestore[sid]
+		_, pendingRestore := o.p.pendingRestores[sid]
 		if r.held == pendingRestore || !pendingRestore && r.playing != s.established || r.ended && !r.ambiguous {
 			o.Fatalf("session %d: the core has %+v, the Protocol %+v, restore pending: %v", sid, r, s, pendingRestore)
 		}
--- a/internal/platform/viewers/receive.go
+++ b/internal/platform/viewers/receive.go
@@ -16,9 +16,11 @@
 	Err  error
 }
 
-// Received handles lines that were read together. broken is the error after which the stream can't be read any further,
-// partial reports whether an incomplete line follows them, and inUse whether the core still uses a session's id.
-func (p *Protocol) Received(now, read Time, conn uint64, inputs []Input, broken error, partial bool, inUse func(uint64) bool) {
+// Received handles lines that were read together at readAt. readErr is the error after which the stream can't be read
+// any further, partial reports whether an incomplete line follows them, and inUse whether the core still uses a
+// session's id.
+func (p *Protocol) Received(now, readAt Time, conn uint64, inputs []Input, readErr error, partial bool,
+	inUse func(uint64) bool) {
 	p.now = now
 	c := p.conns[conn]
 	if c == nil || c.closed {
@@ -39,10 +41,10 @@
 			p.reject(c, in.Line.Sid, in.Err)
 			continue
 		}
-		p.handleLine(c, read, in.Line, cancelled, inUse)
+		p.handleLine(c, readAt, in.Line, cancelled, inUse)
 	}
-	if broken != nil && !c.closed {
-		p.reject(c, 0, broken)
+	if readErr != nil && !c.closed {
+		p.reject(c, 0, readErr)
 	}
 }
 
@@ -88,7 +90,8 @@
 }
 
 // handleLine handles a line that could be parsed.
-func (p *Protocol) handleLine(c *client, read Time, line wire.Line, cancelled map[uint64]bool, inUse func(uint64) bool) {
+func (p *Protocol) handleLine(c *client, readAt Time, line wire.Line, cancelled map[uint64]bool,
+	inUse func(uint64) bool) {
 	switch line.Msg {
 	case wire.LineOpen:
 		if cancelled[line.Sid] {
@@ -96,7 +99,7 @@
 			p.remember(line.Sid)
 			return
 		}
-		p.handleOpen(c, read, line, inUse)
+		p.handleOpen(c, readAt, line, inUse)
 	case wire.LineClose:
 		s := p.sessions[line.Sid]
 		_, recently := p.recent[line.Sid]
--- a/internal/platform/viewers/replies.go
+++ b/internal/platform/viewers/replies.go
@@ -10,8 +10,8 @@
 
 // Messages to viewers: answers to requests, and the ends of sessions.
 
-// releaseTimeout is how long the end of a session waits for a connection on which it can be sent.
-const releaseTimeout = 8 * policy.Second
+// pendingEndTTL is how long the end of a session waits for a connection on which it can be sent.
+const pendingEndTTL = 8 * policy.Second
 
 // format encodes a line; it returns nil for one that can't be encoded.
 func (p *Protocol) format(line *wire.Line) []byte {
@@ -115,8 +115,8 @@
 		}
 	}
 	if c == nil {
-		if len(p.pendingRelease) < maxRecent {
-			p.pendingRelease[sid] = pendingRelease{b, p.now + releaseTimeout}
+		if len(p.pendingEnds) < maxRecent {
+			p.pendingEnds[sid] = pendingEnd{b, p.now + pendingEndTTL}
 		}
 		return
 	}
--- a/internal/platform/viewers/requests.go
+++ b/internal/platform/viewers/requests.go
@@ -14,8 +14,8 @@
 // Requests: parsed completely, or answered with an error.
 
 // handleOpen handles a request for a session.
-func (p *Protocol) handleOpen(c *client, read Time, line wire.Line, inUse func(uint64) bool) {
-	ask, server, err := p.parseRequest(line)
+func (p *Protocol) handleOpen(c *client, readAt Time, line wire.Line, inUse func(uint64) bool) {
+	request, server, err := p.parseRequest(line)
 	s := p.sessions[line.Sid]
 	_, used := p.recent[line.Sid]
 	if err == nil && server != "" && (s != nil && s.established || used) {
@@ -42,7 +42,7 @@
 	if server != "" {
 		p.sessions[line.Sid] = &session{conn: c.id, established: true}
 		c.established++
-		p.pendingRestore[line.Sid] = pendingRestore{ask, server, p.now + restoreTimeout}
+		p.pendingRestores[line.Sid] = pendingRestore{request, server, p.now + restoreTimeout}
 		p.tryRestore(line.Sid)
 		return
 	}
@@ -56,8 +56,8 @@
 	}
 	p.sessions[line.Sid] = &session{conn: c.id}
 	c.openRequests[line.Sid] = true
-	ask.Player, ask.ReadAt, ask.ID = c.id, read, line.Sid
-	p.events = append(p.events, ask)
+	request.Player, request.ReadAt, request.ID = c.id, readAt, line.Sid
+	p.events = append(p.events, request)
 }
 
 // restoreTimeout is how long a session to restore waits for its server to be listed: the list that a front gets at
@@ -66,21 +66,21 @@
 
 // pendingRestore is a session to restore whose server is not listed yet.
 type pendingRestore struct {
-	ask      front.Request
+	request  front.Request
 	server   string
 	deadline Time
 }
 
-// tryRestore restores a session once its server is listed. If it were not kept until then, its client would be told
-// that the session has ended, or nobody would ever be notified of its end.
+// tryRestore restores a session once its server is listed. If it were not kept until then, its client would be notified
+// that the session has ended while it still plays, or would never be notified of its end.
 func (p *Protocol) tryRestore(sid uint64) {
-	e := p.pendingRestore[sid]
+	e := p.pendingRestores[sid]
 	server, ok := p.cfg.ServerID(e.server)
 	switch {
 	case ok:
-		delete(p.pendingRestore, sid)
-		p.events = append(p.events, front.Restore{Request: e.ask, ID: sid, Server: server, HeldByPlayer: true})
-	case p.now >= e.deadline || len(p.pendingRestore) > maxRecent:
+		delete(p.pendingRestores, sid)
+		p.events = append(p.events, front.Restore{Request: e.request, ID: sid, Server: server, HeldByPlayer: true})
+	case p.now >= e.deadline || len(p.pendingRestores) > maxRecent:
 		p.sendEnd(sid, wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseReset})
 	}
 }
@@ -92,9 +92,9 @@
 	c.sentValidLine = true
 	if s == nil {
 		reply := p.format(&wire.Line{Msg: wire.LineClose, Sid: sid, Code: wire.CauseReset})
-		if pending, found := p.pendingRelease[sid]; found { // its end was waiting for a connection
+		if pending, found := p.pendingEnds[sid]; found { // its end was waiting for a connection
 			reply = pending.bytes
-			delete(p.pendingRelease, sid)
+			delete(p.pendingEnds, sid)
 		}
 		p.send(c, reply)
 		return
@@ -114,33 +114,33 @@
 )
 
 // parseRequest parses and validates a request. server is the name of the server of a session to restore, or empty.
-func (p *Protocol) parseRequest(line wire.Line) (ask front.Request, server string, err error) {
+func (p *Protocol) parseRequest(line wire.Line) (request front.Request, server string, err error) {
 	class, ok := p.classes[line.Attrs["class"]]
 	if !ok {
-		return ask, "", fmt.Errorf("no class %.32q", line.Attrs["class"])
+		return request, "", fmt.Errorf("no class %.32q", line.Attrs["class"])
 	}
-	ask.Class = class
+	request.Class = class
 	title, err := strconv.ParseUint(line.Attrs["key"], 16, 64)
 	if err != nil || len(line.Attrs["key"]) != 16 {
-		return ask, "", fmt.Errorf("no title %.32q", line.Attrs["key"])
+		return request, "", fmt.Errorf("no title %.32q", line.Attrs["key"])
 	}
-	ask.Title, ask.Name = title, line.Attrs["key"]
+	request.Title, request.Name = title, line.Attrs["key"]
 	waitMs, waitOK := wire.ParseNumber(line.Attrs["left"])
 	if hint, given := line.Attrs["hint"]; given {
 		number, ok := wire.ParseNumber(hint)
 		if !ok || number < 0 || number > maxHintMs {
-			return ask, "", fmt.Errorf("hint %.32q", hint)
+			return request, "", fmt.Errorf("hint %.32q", hint)
 		}
-		ask.Length, ask.Hinted = Time(number*float64(policy.Millisecond)), true
+		request.Length, request.Hinted = Time(number*float64(policy.Millisecond)), true
 	}
 	if retry, given := line.Attrs["retry"]; given {
 		number, ok := wire.ParseNumber(retry)
 		if !ok || number < 0 || number > maxNumber {
-			return ask, "", fmt.Errorf("retry %.32q", retry)
+			return request, "", fmt.Errorf("retry %.32q", retry)
 		}
-		ask.Again = number > 0
+		request.Again = number > 0
 	}
-	ask.Home, ask.Top = -1, -1
+	request.Home, request.Top = -1, -1
 	for _, item := range strings.Split(line.Attrs["extras"], ";") {
 		key, value, _ := strings.Cut(item, ":")
 		n, parseErr := strconv.ParseUint(value, 10, 64)
@@ -148,30 +148,30 @@
 		var wrong bool
 		switch key {
 		case "home":
-			ask.Home, wrong = count, parseErr != nil || count >= max(p.cfg.Settings.Cells, 1)
+			request.Home, wrong = count, parseErr != nil || count >= max(p.cfg.Settings.Cells, 1)
 		case "copies":
-			ask.Copies, wrong = count, parseErr != nil || count < 1 || count >= maxNumber
+			request.Copies, wrong = count, parseErr != nil || count < 1 || count >= maxNumber
 		case "top":
-			ask.Top, wrong = count, parseErr != nil || count >= maxNumber
+			request.Top, wrong = count, parseErr != nil || count >= maxNumber
 		case "again":
-			ask.Again, wrong = ask.Again || n > 0, parseErr != nil
+			request.Again, wrong = request.Again || n > 0, parseErr != nil
 		case "viewer":
-			ask.Viewer, parseErr = strconv.ParseUint(value, 16, 64)
+			request.Viewer, parseErr = strconv.ParseUint(value, 16, 64)
 			wrong = parseErr != nil || len(value) != 16
 		case "at":
 			server, wrong = value, value == "" || len(value) > 256
 		}
 		if wrong {
-			return ask, "", fmt.Errorf("extras %.32q", item)
+			return request, "", fmt.Errorf("extras %.32q", item)
 		}
 	}
 	if server == "" && (!waitOK || waitMs <= 0 || waitMs > maxWaitMs) { // a playing session has no waiting time
-		return ask, "", fmt.Errorf("left %.32q", line.Attrs["left"])
+		return request, "", fmt.Errorf("left %.32q", line.Attrs["left"])
 	}
-	ask.Timeout = Time(max(waitMs, 0) * float64(policy.Millisecond))
-	if ask.Home < 0 || ask.Copies < 1 || ask.Top < 0 || line.Text == "" {
-		return ask, "", errors.New("a set-up without all of its figures, or without a description")
+	request.Timeout = Time(max(waitMs, 0) * float64(policy.Millisecond))
+	if request.Home < 0 || request.Copies < 1 || request.Top < 0 || line.Text == "" {
+		return request, "", errors.New("a set-up without all of its figures, or without a description")
 	}
-	ask.Text = line.Text
-	return ask, server, nil
+	request.Text = line.Text
+	return request, server, nil
 }
--- a/internal/platform/viewers/restore_test.go
+++ b/internal/platform/viewers/restore_test.go
@@ -12,7 +12,7 @@
 
 // restoreLine is a request to restore a session that already plays at a server.
 func restoreLine(sid uint64, server string) string {
-	return openLine(sid, strings.Replace(usualAttrs, "again:1", "at:"+server, 1))
+	return openLine(sid, strings.Replace(validAttrs, "again:1", "at:"+server, 1))
 }
 
 // A request to restore a session at a server that is never listed is refused, not at once but after restoreTimeout, and
@@ -24,13 +24,13 @@
 	if l := r.lastLine(1); l.Msg != "close" || l.Sid != 5 || l.Code != wire.CauseReset || len(r.events) != 0 {
 		t.Errorf("reply %+v, events %+v", l, r.events)
 	}
-	if _, n, _, _ := r.p.Counts(); n != 0 || len(r.p.pendingRestore) != 0 {
+	if _, n, _, _ := r.p.Counts(); n != 0 || len(r.p.pendingRestores) != 0 {
 		t.Error("the session is still held")
 	}
 }
 
-// The list that a front gets at its start may be older than the session: the client was notified of an end of its
-// session.
+// The list that a front gets at its start may be older than the session. Its client must not be notified that the
+// session has ended.
 func TestRestoreWaitsForServerToBeListed(t *testing.T) {
 	r := newRig(t)
 	listed := false
@@ -51,15 +51,15 @@
 	}
 }
 
-// A request may name a session that the front already holds: its client was notified of the end of a session that
-// still played.
+// A request may name a session that the front already holds. Its client must not be notified of the end of a session
+// that still plays.
 func TestRepeatedRestoreOfHeldSession(t *testing.T) {
 	r := newRig(t)
 	r.accept(2)
 	r.establish(1, 5)
 	r.clientSends(2, restoreLine(5, "s-7"))
 	if len(r.events) != 0 || len(r.written[2]) != 0 {
-		t.Fatalf("written %+v, events %+v; want none of both", r.written[2], r.events)
+		t.Fatalf("written %+v, events %+v; want neither", r.written[2], r.events)
 	}
 	r.p.Lost(r.now, 1)
 	r.do(front.SessionEnded{Session: 5, Reason: front.EndReasonFinished})
--- a/internal/platform/viewers/viewers.go
+++ b/internal/platform/viewers/viewers.go
@@ -22,10 +22,10 @@
 	Classes            []string                    // class names, by the module's class numbers
 	ServerID           func(string) (uint32, bool) // returns a server's number by its name; false: not listed
 	MaxOpenRequests    int                         // limit on unanswered requests on one connection
-	Silent             Time                        // a connection without a valid line is closed after this time
+	SilentTimeout      Time                        // a connection without a valid line is closed after this time
 	PartialLineTimeout Time                        // a line incomplete for this long is an error
-	Idle               Time                        // a connection without sessions and requests is closed after this silence
-	NoPendingInput     func(conn uint64) bool      // whether no input of a connection waits to be handled; nil: none does
+	IdleTimeout        Time                        // silence after which an unused connection is closed
+	NoPendingInput     func(conn uint64) bool      // whether all input of a connection was handled; nil: always
 }
 
 // The ids of ended sessions are kept for recentTTL, so that messages that cross the end are not rejected as invalid.
@@ -43,22 +43,26 @@
 
 // Protocol holds the protocol state of all viewers.
 type Protocol struct {
-	cfg            Config
-	now            Time
-	classes        map[string]int
-	conns          map[uint64]*client
-	sessions       map[uint64]*session
-	pendingRelease map[uint64]pendingRelease // ends of sessions that no connection could carry yet
-	pendingRestore map[uint64]pendingRestore
-	recent         map[uint64]Time
-	recentOrder    []uint64 // keys of recent, oldest first
-	maxConns       int      // limit on connections
-	effects        []Effect
-	events         []front.Event
-	Stats          Stats
+	cfg             Config
+	now             Time
+	classes         map[string]int
+	conns           map[uint64]*client
+	sessions        map[uint64]*session
+	pendingEnds     map[uint64]pendingEnd // ends of sessions that no connection could carry yet
+	pendingRestores map[uint64]pendingRestore
+	recent          map[uint64]Time
+	recentOrder     []uint64 // keys of recent, oldest first
+	maxConns        int      // limit on connections
+	effects         []Effect
+	events          []front.Event
+	Stats           Stats
 }
 
 // Stats counts events of viewers and their connections.
+//
+// Of connections: Accepted, Evicted at the limit, Silent and Idle closed by these timeouts. Of input: BadLines
+// rejected; BadAsks requests that are invalid or reuse an id; Crowded requests refused at MaxOpenRequests; TakenBack
+// requests cancelled in the batch that they were read in.
 type Stats struct {
 	Accepted, Evicted, Silent, Idle, BadLines, BadAsks, Crowded, TakenBack uint64
 	LastBad                                                                string // error of the last invalid line
@@ -82,8 +86,8 @@
 	established bool
 }
 
-// pendingRelease is the encoded end of a session, waiting for a connection until it expires.
-type pendingRelease struct {
+// pendingEnd is the encoded end of a session, waiting for a connection until it expires.
+type pendingEnd struct {
 	bytes     []byte
 	expiresAt Time
 }
@@ -91,7 +95,7 @@
 // New returns a Protocol without connections.
 func New(cfg Config) *Protocol {
 	p := &Protocol{cfg: cfg, classes: map[string]int{}, conns: map[uint64]*client{}, sessions: map[uint64]*session{},
-		pendingRelease: map[uint64]pendingRelease{}, pendingRestore: map[uint64]pendingRestore{},
+		pendingEnds: map[uint64]pendingEnd{}, pendingRestores: map[uint64]pendingRestore{},
 		recent: map[uint64]Time{}, maxConns: math.MaxInt}
 	for i, name := range cfg.Classes {
 		p.classes[name] = i
@@ -113,7 +117,7 @@
 		return
 	}
 	delete(p.sessions, sid)
-	delete(p.pendingRestore, sid)
+	delete(p.pendingRestores, sid)
 	if c := p.conns[s.conn]; c != nil {
 		delete(c.openRequests, sid)
 		if s.established {
@@ -144,7 +148,7 @@
 	return s.conn, true
 }
 
-// Counts returns the numbers of connections, sessions, ids of ended sessions and pending releases held.
-func (p *Protocol) Counts() (conns, sessions, recent, pendingRelease int) {
-	return len(p.conns), len(p.sessions), len(p.recent), len(p.pendingRelease)
+// Counts returns the numbers of connections, sessions, ids of ended sessions and pending ends held.
+func (p *Protocol) Counts() (conns, sessions, recent, pendingEnds int) {
+	return len(p.conns), len(p.sessions), len(p.recent), len(p.pendingEnds)
 }
--- a/internal/platform/viewers/viewers_test.go
+++ b/internal/platform/viewers/viewers_test.go
@@ -32,7 +32,8 @@
 	r.p = New(Config{Settings: policy.Settings{Cells: 12, RetryAfter: true, MaxRetryAfter: policy.Second},
 		Classes:         []string{"live", "paid"},
 		ServerID:        func(name string) (uint32, bool) { return 7, name == "s-7" },
-		MaxOpenRequests: 3, Silent: 2 * policy.Second, PartialLineTimeout: 2 * policy.Second, Idle: 6 * policy.Second})
+		MaxOpenRequests: 3, SilentTimeout: 2 * policy.Second, PartialLineTimeout: 2 * policy.Second,
+		IdleTimeout: 6 * policy.Second})
 	r.p.SetMaxConns(4)
 	r.accept(1)
 	return r
@@ -82,7 +83,7 @@
 	}
 }
 
-const usualAttrs = `"class":"paid","left":"1500","key":"7f3a9c21e0b4d655","hint":"8200.0","extras":"home:4;copies:3;top:4;viewer:00000000b4d65521;again:1"`
+const validAttrs = `"class":"paid","left":"1500","key":"7f3a9c21e0b4d655","hint":"8200.0","extras":"home:4;copies:3;top:4;viewer:00000000b4d65521;again:1"`
 
 func openLine(sid uint64, attrs string) string {
 	return fmt.Sprintf(`{"msg":"open","sid":"%016x","attrs":{%s},"text":"who\r\n"}`, sid, attrs)
@@ -94,7 +95,7 @@
 
 // establish establishes a session.
 func (r *rig) establish(conn, sid uint64) {
-	r.clientSends(conn, openLine(sid, usualAttrs))
+	r.clientSends(conn, openLine(sid, validAttrs))
 	r.do(front.Plays{Session: sid, Text: "mine"})
 	r.events = nil
 }
@@ -109,7 +110,7 @@
 
 func TestParsesRequest(t *testing.T) {
 	r := newRig(t)
-	r.clientSends(1, openLine(5, usualAttrs))
+	r.clientSends(1, openLine(5, validAttrs))
 	want := front.Request{Player: 1, ReadAt: start, Timeout: 1500 * ms, Title: 0x7f3a9c21e0b4d655, Home: 4, Copies: 3,
 		Name:  "7f3a9c21e0b4d655",
 		Class: 1, Viewer: 0xb4d65521, Top: 4, Length: 8200 * ms, Hinted: true, Again: true, ID: 5, Text: "who\r\n"}
@@ -120,7 +121,7 @@
 	if a := r.events[1].(front.Request); a.Hinted || a.Again || a.Timeout != 300*ms {
 		t.Errorf("%+v", a)
 	}
-	r.clientSends(1, openLine(7, strings.Replace(strings.Replace(usualAttrs, "again:1", "at:s-7", 1),
+	r.clientSends(1, openLine(7, strings.Replace(strings.Replace(validAttrs, "again:1", "at:s-7", 1),
 		`"1500"`, `"0"`, 1)))
 	if a, ok := r.events[2].(front.Restore); !ok || a.ID != 7 || a.Server != 7 || !a.HeldByPlayer {
 		t.Errorf("%+v", r.events[2])
@@ -133,7 +134,7 @@
 func TestReplies(t *testing.T) {
 	r := newRig(t)
 	for sid := uint64(5); sid < 8; sid++ {
-		r.clientSends(1, openLine(sid, usualAttrs))
+		r.clientSends(1, openLine(sid, validAttrs))
 	}
 	if !r.do(front.Plays{Session: 5, Text: "mine"}) {
 		t.Fatal("answer not sent")
@@ -147,7 +148,7 @@
 	if !reflect.DeepEqual(r.written[1], want) {
 		t.Fatalf("%+v", r.written[1])
 	}
-	r.clientSends(1, openLine(8, usualAttrs))
+	r.clientSends(1, openLine(8, validAttrs))
 	if r.do(front.Plays{Session: 8, Text: "\xff"}) || r.lastLine(1).Msg != "close" {
 		t.Error("want a close for a description that is not UTF-8, got", r.lastLine(1))
 	}
@@ -206,7 +207,7 @@
 
 func TestCancellation(t *testing.T) {
 	r := newRig(t)
-	r.clientSends(1, openLine(5, usualAttrs))
+	r.clientSends(1, openLine(5, validAttrs))
 	r.clientSends(1, closeLine(5))
 	if len(r.events) != 2 || !reflect.DeepEqual(r.events[1], front.Leave{Session: 5}) {
 		t.Fatalf("%+v", r.events)
@@ -216,7 +217,7 @@
 	if len(r.events) != 0 || r.lastLine(1).Msg != "closed" {
 		t.Errorf("%+v %+v", r.events, r.lastLine(1))
 	}
-	r.clientSends(1, openLine(6, usualAttrs), openLine(7, usualAttrs), closeLine(6)) // cancelled in the same batch
+	r.clientSends(1, openLine(6, validAttrs), openLine(7, validAttrs), closeLine(6)) // cancelled in the same batch
 	if len(r.events) != 1 || r.events[0].(front.Request).ID != 7 || r.p.Stats.TakenBack != 1 {
 		t.Errorf("%+v", r.events)
 	}
@@ -230,20 +231,20 @@
 
 func TestRejectsInvalidInput(t *testing.T) {
 	for name, line := range map[string]string{
-		"unknown class":        openLine(5, strings.Replace(usualAttrs, "paid", "gold", 1)),
+		"unknown class":        openLine(5, strings.Replace(validAttrs, "paid", "gold", 1)),
 		"no title":             openLine(5, `"class":"paid","left":"1500"`),
-		"no time":              openLine(5, strings.Replace(usualAttrs, `"1500"`, `"0"`, 1)),
-		"negative time":        openLine(5, strings.Replace(usualAttrs, `"1500"`, `"-5"`, 1)),
-		"time is not a number": openLine(5, strings.Replace(usualAttrs, `"1500"`, `"NaN"`, 1)),
-		"time too large":       openLine(5, strings.Replace(usualAttrs, `"1500"`, `"1e11"`, 1)),
-		"hint is not finite":   openLine(5, strings.Replace(usualAttrs, `8200.0`, `inf`, 1)),
-		"home out of range":    openLine(5, strings.Replace(usualAttrs, `home:4`, `home:12`, 1)),
-		"negative home":        openLine(5, strings.Replace(usualAttrs, `home:4`, `home:-1`, 1)),
-		"no copies":            openLine(5, strings.Replace(usualAttrs, `copies:3`, `copies:0`, 1)),
-		"top too large":        openLine(5, strings.Replace(usualAttrs, `top:4`, `top:99999999999`, 1)),
-		"viewer is not hex":    openLine(5, strings.Replace(usualAttrs, `viewer:0`, `viewer:z`, 1)),
+		"no time":              openLine(5, strings.Replace(validAttrs, `"1500"`, `"0"`, 1)),
+		"negative time":        openLine(5, strings.Replace(validAttrs, `"1500"`, `"-5"`, 1)),
+		"time is not a number": openLine(5, strings.Replace(validAttrs, `"1500"`, `"NaN"`, 1)),
+		"time too large":       openLine(5, strings.Replace(validAttrs, `"1500"`, `"1e11"`, 1)),
+		"hint is not finite":   openLine(5, strings.Replace(validAttrs, `8200.0`, `inf`, 1)),
+		"home out of range":    openLine(5, strings.Replace(validAttrs, `home:4`, `home:12`, 1)),
+		"negative home":        openLine(5, strings.Replace(validAttrs, `home:4`, `home:-1`, 1)),
+		"no copies":            openLine(5, strings.Replace(validAttrs, `copies:3`, `copies:0`, 1)),
+		"top too large":        openLine(5, strings.Replace(validAttrs, `top:4`, `top:99999999999`, 1)),
+		"viewer is not hex":    openLine(5, strings.Replace(validAttrs, `viewer:0`, `viewer:z`, 1)),
 		"no extras":            openLine(5, `"class":"paid","left":"1500","key":"7f3a9c21e0b4d655"`),
-		"no description":       fmt.Sprintf(`{"msg":"open","sid":"%016x","attrs":{%s}}`, 5, usualAttrs),
+		"no description":       fmt.Sprintf(`{"msg":"open","sid":"%016x","attrs":{%s}}`, 5, validAttrs),
 		"unknown session":      closeLine(5),
 		"a front's message":    `{"msg":"ready","sid":"0000000000000005"}`,
 		"unknown message":      `{"msg":"dance","sid":"0000000000000005"}`,
@@ -256,7 +257,7 @@
 	}
 	for name, line := range map[string]string{"no id": `{"msg":"open","attrs":{}}`, "no JSON": "hello"} {
 		r := newRig(t)
-		r.clientSends(1, line, openLine(5, usualAttrs))
+		r.clientSends(1, line, openLine(5, validAttrs))
 		if !r.closed[1] || len(r.events) != 0 || len(r.written[1]) != 1 {
 			t.Errorf("%s: closed %v, events %+v, written %+v", name, r.closed[1], r.events, r.written[1])
 		}
@@ -270,7 +271,7 @@
 
 func TestRejectsDuplicateSessionID(t *testing.T) {
 	r := newRig(t)
-	r.clientSends(1, openLine(5, usualAttrs), openLine(5, usualAttrs), openLine(5, usualAttrs))
+	r.clientSends(1, openLine(5, validAttrs), openLine(5, validAttrs), openLine(5, validAttrs))
 	requests := 0
 	for _, n := range r.events {
 		if _, ok := n.(front.Request); ok {
@@ -282,18 +283,18 @@
 	}
 	r = newRig(t)
 	r.accept(2)
-	r.clientSends(1, openLine(5, usualAttrs))
-	r.clientSends(2, openLine(5, usualAttrs)) // another client uses the id: the first request continues
+	r.clientSends(1, openLine(5, validAttrs))
+	r.clientSends(2, openLine(5, validAttrs)) // another client uses the id: the first request continues
 	if len(r.events) != 1 || r.lastLine(2).Code != wire.CauseMalformed || len(r.written[1]) != 0 {
 		t.Errorf("%+v %+v", r.events, r.lastLine(2))
 	}
 	r.events = nil
-	r.clientSends(2, openLine(5, usualAttrs), closeLine(5)) // nor can another client cancel it
+	r.clientSends(2, openLine(5, validAttrs), closeLine(5)) // nor can another client cancel it
 	if len(r.events) != 0 {
 		t.Errorf("%+v", r.events)
 	}
 	r.inUse[9] = true // a set-up with this id is still being abandoned
-	r.clientSends(1, openLine(9, usualAttrs))
+	r.clientSends(1, openLine(9, validAttrs))
 	if len(r.events) != 0 {
 		t.Errorf("%+v", r.events)
 	}
@@ -304,7 +305,7 @@
 	for i := range uint64(2000) {
 		conn := 100 + i
 		r.accept(conn)
-		r.clientSends(conn, openLine(conn, usualAttrs))
+		r.clientSends(conn, openLine(conn, validAttrs))
 		switch i % 4 {
 		case 0:
 			r.do(front.Refused{Session: conn})
@@ -321,7 +322,7 @@
 	}
 	r.p.Lost(r.now, 1)
 	r.advance(10 * policy.Second)
-	if conns, sessions, recent, pendingReleases := r.p.Counts(); conns+sessions+recent+pendingReleases+len(r.p.recentOrder) != 0 {
-		t.Error(conns, sessions, recent, pendingReleases, len(r.p.recentOrder))
+	if conns, sessions, recent, pendingEnds := r.p.Counts(); conns+sessions+recent+pendingEnds+len(r.p.recentOrder) != 0 {
+		t.Error(conns, sessions, recent, pendingEnds, len(r.p.recentOrder))
 	}
 }
--- a/internal/platform/watch/backoff_test.go
+++ b/internal/platform/watch/backoff_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The service ends all its connections at the same moment: the fronts reconnected together, all in one tick.
+// The service ends all its connections at the same moment. The fronts must not all reconnect in one tick.
 func TestReconnectsAreSpreadOut(t *testing.T) {
 	const fronts, tick = 300, 5 * ms
 	rng := rand.New(rand.NewSource(1))
@@ -17,7 +17,7 @@
 		rigs[i].connect()
 	}
 	brokenAt := start + 10*1000*ms
-	most, last := 0, Time(0)
+	maxDials, last := 0, Time(0)
 	for _, r := range rigs {
 		r.now = brokenAt
 		r.f.Received(r.now-ms, r.conn, [][]byte{[]byte("3")}, nil) // the connection was stable
@@ -33,9 +33,9 @@
 		if dials > 0 {
 			last = now - brokenAt
 		}
-		most = max(most, dials)
+		maxDials = max(maxDials, dials)
 	}
-	if most > fronts/2 || last > minBackoff || last == 0 {
-		t.Errorf("up to %d of %d connects in one tick, the last after %d ms", most, fronts, last/ms)
+	if maxDials > fronts/2 || last > minBackoff || last == 0 {
+		t.Errorf("up to %d of %d connects in one tick, the last after %d ms", maxDials, fronts, last/ms)
 	}
 }
--- a/internal/platform/watch/watch.go
+++ b/internal/platform/watch/watch.go
@@ -54,7 +54,8 @@
 	Stats          Stats
 }
 
-// Stats counts events of the connection.
+// Stats counts events of the connection: Dials, Breaks (lost connections and failed connects), Silences past the
+// timeout, Unreadable lines, events received Twice, and Gaps in the numbers.
 type Stats struct{ Dials, Breaks, Silences, Unreadable, Twice, Gaps uint64 }
 
 // New returns a Follower of the service at addr that has the events up to pos; random returns numbers from 0 to 1.
@@ -123,23 +124,23 @@
 	}
 }
 
-// Received handles complete lines; broken is the error after which the stream can't be read any further.
-func (f *Follower) Received(now Time, conn uint64, lines [][]byte, broken error) {
+// Received handles complete lines; readErr is the error after which the stream can't be read any further.
+func (f *Follower) Received(now Time, conn uint64, lines [][]byte, readErr error) {
 	for _, line := range lines {
 		if conn != f.conn || !f.connected {
 			return
 		}
 		f.lastReceivedAt = now
-		f.line(now, line)
+		f.handleLine(now, line)
 	}
-	if broken != nil && conn == f.conn && f.connected {
+	if readErr != nil && conn == f.conn && f.connected {
 		f.Stats.Unreadable++
 		f.reconnect(now)
 	}
 }
 
-// line handles one line: an event, or only the number of the last one.
-func (f *Follower) line(now Time, line []byte) {
+// handleLine handles one line: an event, or only the number of the last one.
+func (f *Follower) handleLine(now Time, line []byte) {
 	if len(line) == 0 {
 		return
 	}
--- a/internal/platform/watch/watch_test.go
+++ b/internal/platform/watch/watch_test.go
@@ -71,10 +71,10 @@
 	return fmt.Sprintf(`{"pos":%d,"hosts":{"seq":1,"whole":false,"hosts":[{"host":"s-1","dial":"x:1","health":"leaving"}]}}`, pos)
 }
 
-func (r *rig) checkEvents(got ...uint64) {
+func (r *rig) checkEvents(want ...uint64) {
 	r.t.Helper()
-	if !slices.Equal(r.received, got) {
-		r.t.Errorf("events %v, want %v", r.received, got)
+	if !slices.Equal(r.received, want) {
+		r.t.Errorf("events %v, want %v", r.received, want)
 	}
 }
 
@@ -179,8 +179,8 @@
 	r.connect()
 	r.checkRequest(4)
 	r.f.AddressChanged(r.now, "b:2")
-	if acts, _ := r.f.Take(); len(acts) != 0 {
-		t.Error("effects of a change to the same address:", acts)
+	if effects, _ := r.f.Take(); len(effects) != 0 {
+		t.Error("effects of a change to the same address:", effects)
 	}
 }
 
--- a/internal/transport/conns.go
+++ b/internal/transport/conns.go
@@ -25,8 +25,8 @@
 type Handler struct {
 	Connected func()
 	Failed    func(error)
-	Read      func(b []byte) // b is valid until Read returns
-	Closed    func(begun uint64)
+	Read      func(b []byte)         // b is valid until Read returns
+	Closed    func(submitted uint64) // submitted: see Writer.Stop
 }
 
 // NewConns returns an empty set. Each connection queues at most maxQueuedBytes and is closed if its peer accepts
@@ -154,7 +154,7 @@
 
 // userTimeout bounds how long written bytes may stay unacknowledged (TCP_USER_TIMEOUT). Without it, a peer that
 // vanished without closing is noticed only after many minutes of retransmission. A longer network outage therefore
-// closes the connection, and its streams are looked up on a new one.
+// closes the connection, and its streams are verified on a new one.
 const userTimeout = 5 * time.Second
 
 // Settings of the kernel's TCP keep-alive probes, for connections on which neither side sends.
--- a/internal/transport/conns_test.go
+++ b/internal/transport/conns_test.go
@@ -73,7 +73,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, send := range map[string]func(*Conns, uint64, []byte){"queued": (*Conns).Send, "here": (*Conns).SendInline} {
+	for name, send := range map[string]func(*Conns, uint64, []byte){"queued": (*Conns).Send,
+		"inline": (*Conns).SendInline} {
 		conns := NewConns(1<<16, 50*time.Millisecond)
 		connected, closed, everQueued := make(chan struct{}), make(chan uint64, 1), false
 		conns.Dial(1, dialer(ln.Addr().String()), Handler{Connected: func() { close(connected) },
@@ -119,7 +120,7 @@
 	conns.Close()
 }
 
-// A host that does not answer a connect is told apart from one that refuses it.
+// A connect that is not answered is reported as a timeout, unlike a refused one.
 func TestDialTimeoutIsReportedAsTimeout(t *testing.T) {
 	addr, done, err := platformsim.UnansweredListener()
 	if err != nil {
--- a/internal/transport/writer.go
+++ b/internal/transport/writer.go
@@ -176,7 +176,8 @@
 // deadline: if the core stalls for a moment, a deadline set before a write may have passed by the time the write
 // starts. The write would then fail untried, and the connection would be lost with all sessions and requests on it.
 func (w *Writer) writeBytes(b []byte) error {
-	if w.raw == nil { // netpoll does the same itself; Write, unlike netpoll's Writer, may race with the close of the connection
+	// netpoll does the same itself. Its Write, unlike its Writer, may race with the close of the connection.
+	if w.raw == nil {
 		_, err := w.conn.Write(b)
 		return err
 	}
