--- a/internal/platform/node/malformed_replies_test.go
+++ b/internal/platform/node/malformed_replies_test.go
@@ -139,7 +139,7 @@
 		"full": {func(c net.Conn, s uint64) {
 			c.Write(encoded((&wire.Message{Type: wire.Release, Session: s}).AddCause(wire.CauseFull)))
 		}, "ready"},
-		"moot": {func(c net.Conn, s uint64) {
+		"not run": {func(c net.Conn, s uint64) {
 			c.Write(encoded((&wire.Message{Type: wire.Release, Session: s}).AddCause(wire.CauseNotRun)))
 		}, "ready"},
 		"answer for another session first": {func(c net.Conn, s uint64) { c.Write(append(readyMessage(s^1<<40), readyMessage(s)...)) }, "ready"},
--- a/internal/platform/node/server_faults_test.go
+++ b/internal/platform/node/server_faults_test.go
@@ -9,11 +9,12 @@
 	"tealledge/internal/standin/platformsim"
 )
 
-// With a fault on two of three servers, enough requests still play and no rule is broken.
+// With a fault on two of three servers, enough requests still play and the audit finds no violation.
 func TestEachServerFault(t *testing.T) {
 	for name, f := range map[string]platformsim.Faults{
-		"full": {Full: true}, "error": {Error: true}, "hang": {NoReply: true}, "noise": {InvalidReply: true}, "half": {HalfReply: true},
-		"break": {CloseConn: true}, "doubled": {DuplicateReply: true}, "answer exceeds a line": {HugeText: true},
+		"full": {Full: true}, "error": {Error: true}, "no reply": {NoReply: true}, "invalid reply": {InvalidReply: true},
+		"half a reply": {HalfReply: true}, "connection closed": {CloseConn: true}, "duplicate reply": {DuplicateReply: true},
+		"answer exceeds a line": {HugeText: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newTestFront(t, 1024)
@@ -26,7 +27,7 @@
 				plays += map[string]int{"ready": 1}[l.Msg]
 			}
 			// Safe requests are tried elsewhere.
-			minPlays := map[string]int{"doubled": n, "full": n, "answer exceeds a line": n / 2}[name]
+			minPlays := map[string]int{"duplicate reply": n, "full": n, "answer exceeds a line": n / 2}[name]
 			if plays < max(minPlays, 2) {
 				t.Errorf("%d of %d play", plays, n)
 			}
--- a/internal/platform/servers/connections_test.go
+++ b/internal/platform/servers/connections_test.go
@@ -97,7 +97,8 @@
 
 func TestRestoresSession(t *testing.T) {
 	r := newRig(t)
-	if !r.p.Restore(r.now, front.Setup{Session: 5, Server: 1}) || r.p.Restore(r.now, front.Setup{Session: 6, Server: 9}) {
+	if !r.p.Restore(r.now, front.Setup{Session: 5, Server: 1}) ||
+		r.p.Restore(r.now, front.Setup{Session: 6, Server: 9}) {
 		t.Fatal("want the session restored at the listed server, and refused at the unknown one")
 	}
 	r.take()
--- a/internal/platform/viewers/viewers_test.go
+++ b/internal/platform/viewers/viewers_test.go
@@ -322,7 +322,8 @@
 	}
 	r.p.Lost(r.now, 1)
 	r.advance(10 * policy.Second)
-	if conns, sessions, recent, pendingEnds := r.p.Counts(); conns+sessions+recent+pendingEnds+len(r.p.recentOrder) != 0 {
+	if conns, sessions, recent, pendingEnds := r.p.Counts(); conns+sessions+recent+pendingEnds+
+		len(r.p.recentOrder) != 0 {
 		t.Error(conns, sessions, recent, pendingEnds, len(r.p.recentOrder))
 	}
 }
--- a/internal/transport/conns_test.go
+++ b/internal/transport/conns_test.go
@@ -58,7 +58,8 @@
 			t.Fatal("close not reported")
 		}
 		if !bytes.Equal(got, sent) || closes.Load() != 1 {
-			t.Errorf("connection %d: read %d of %d bytes, close reported %d times", conn, len(got), len(sent), closes.Load())
+			t.Errorf("connection %d: read %d of %d bytes, close reported %d times", conn, len(got), len(sent),
+				closes.Load())
 		}
 	}
 	if acceptedConns.Load() != 200 {
