--- a/internal/platform/node/reload.go
+++ b/internal/platform/node/reload.go
@@ -54,7 +54,7 @@
 		n.loadConfig()
 	}
 	if e.err != nil {
-		n.log.Error().Err(e.err).Msg("invalid configuration; the previous one stays in use")
+		n.log.Error().Err(e.err).Msg("configuration not taken; the old one stands")
 		return
 	}
 	n.log.Info().Str("journal", e.cfg.Journal).Msg("configuration read again")
