--- a/internal/transport/conns_test.go
+++ b/internal/transport/conns_test.go
@@ -58,7 +58,8 @@
 			t.Fatal("close not reported")
 		}
 		if !bytes.Equal(got, sent) || closes.Load() != 1 {
-			t.Errorf("connection %d: read %d of %d bytes, close reported %d times", conn, len(got), len(sent), closes.Load())
+			t.Errorf("connection %d: read %d of %d bytes, close reported %d times", conn, len(got), len(sent),
+				closes.Load())
 		}
 	}
 	if acceptedConns.Load() != 200 {
@@ -73,7 +74,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, send := range map[string]func(*Conns, uint64, []byte){"queued": (*Conns).Send, "here": (*Conns).SendInline} {
+	for name, send := range map[string]func(*Conns, uint64, []byte){"queued": (*Conns).Send,
+		"inline": (*Conns).SendInline} {
 		conns := NewConns(1<<16, 50*time.Millisecond)
 		connected, closed, everQueued := make(chan struct{}), make(chan uint64, 1), false
 		conns.Dial(1, dialer(ln.Addr().String()), Handler{Connected: func() { close(connected) },
@@ -119,7 +121,7 @@
 	conns.Close()
 }
 
-// A host that does not answer a connect is told apart from one that refuses it.
+// A connect that is not answered is reported as a timeout, unlike a refused one.
 func TestDialTimeoutIsReportedAsTimeout(t *testing.T) {
 	addr, done, err := platformsim.UnansweredListener()
 	if err != nil {
