--- a/internal/catalogue/catalogue_test.go
+++ b/internal/catalogue/catalogue_test.go
@@ -225,12 +225,14 @@
 
 func TestEligibleHoldersHoldAllRungsFromFloor(t *testing.T) {
 	x := &Title{Name: "x", Holders: []Holding{{1, 0b1111}, {2, 0b0011}, {3, 0b1110}, {4, 0b1101}}}
-	for floor, want := range map[int]string{0: "[{1 3} {2 1} {4 0}]", 1: "[{1 3} {2 1} {3 3}]", 3: "[{1 3} {3 3} {4 3}]"} {
+	for floor, want := range map[int]string{0: "[{1 3} {2 1} {4 0}]", 1: "[{1 3} {2 1} {3 3}]",
+		3: "[{1 3} {3 3} {4 3}]"} {
 		if got := fmt.Sprint(x.EligibleHolders(floor)); got != want {
 			t.Errorf("floor %d: got %s, want %s", floor, got, want)
 		}
 	}
-	if got := (&Title{Name: "y", Holders: []Holding{{1, 1<<32 - 1}}}).EligibleHolders(0); got[0] != (policy.Holder{Server: 1, Top: 31}) {
+	if got := (&Title{Name: "y", Holders: []Holding{{1, 1<<32 - 1}}}).EligibleHolders(0); got[0] !=
+		(policy.Holder{Server: 1, Top: 31}) {
 		t.Error(got)
 	}
 	if x := (&Title{Name: "z"}).EligibleHolders(0); x == nil || len(x) != 0 {
@@ -238,7 +240,8 @@
 	}
 }
 
-// TestConcurrentReadersSeeWholeVersions: while the catalogue changes, a reader must never see a mixture of two versions.
+// TestConcurrentReadersSeeWholeVersions: while the catalogue changes, a reader must never see a mixture of two
+// versions.
 func TestConcurrentReadersSeeWholeVersions(t *testing.T) {
 	version := func(n uint64) *Version {
 		var list []*Title
--- a/internal/catalogue/file.go
+++ b/internal/catalogue/file.go
@@ -255,8 +255,8 @@
 // maxDeltasPerPoll bounds the deltas applied by one call of Poll.
 const maxDeltasPerPoll = 64
 
-// Poll applies new files. changed reports whether the catalogue has changed. An error leaves the catalogue unchanged and
-// is returned only once for as long as it stays the same.
+// Poll applies new files. changed reports whether the catalogue has changed. An error leaves the catalogue unchanged
+// and is returned only once for as long as it stays the same.
 func (d *Dir) Poll(c *Catalogue) (changed bool, err error) {
 	defer func() {
 		text := ""
--- a/internal/catalogue/file_test.go
+++ b/internal/catalogue/file_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestPollSkipsInvalidFiles: the catalogue applies valid files, rejects early, incomplete and wrong ones, and returns an
-// error once.
+// TestPollSkipsInvalidFiles: the catalogue applies valid files, rejects early, incomplete and wrong ones, and returns
+// an error once.
 func TestPollSkipsInvalidFiles(t *testing.T) {
 	dir := Dir{Path: t.TempDir()}
 	v1, v2, v3, v4 := build(t, 1, title(1, 1)), build(t, 2, title(1, 1), title(2, 2)),
--- a/internal/fleet/core/core.go
+++ b/internal/fleet/core/core.go
@@ -38,7 +38,7 @@
 	Voters   []string // names of the fronts that vote, the same on every front
 	Limits   upkeep.Limits
 	Timeouts upkeep.Timeouts
-	// StaleTimeout is the age from which a front's report of its sessions is replaced by its recent maxima.
+	// StaleAfter is the age from which a front's report of its sessions is replaced by its recent maxima.
 	StaleAfter Time
 	RackKB     float64
 	Random     func() uint64 // returns a random number
@@ -57,7 +57,7 @@
 	commandTimeout       = 10 * second       // a command without a reply fails after this
 	freshWindow          = 15 * second       // the state counts as fresh for this long after contact with a voter
 	maxCommands          = 256
-	goneFrontTTL         = 60 * second // a front that left is kept with its sessions for this long
+	leftFrontTTL         = 60 * second // a front that left is kept with its sessions for this long
 )
 
 // Member is a front in the member list.
@@ -179,8 +179,9 @@
 
 // New returns the Core of a front.
 func New(now Time, cfg Config, start StoredState) (*Core, error) {
-	c := &Core{cfg: cfg, now: now, state: ledger.New(), members: map[string]Member{}, leftAt: map[string]Time{}, ownLoad: map[uint32]ServerLoad{},
-		commands: map[string]*command{}, leader: leaderState{reports: map[string]*report{}, failedAt: map[uint32]Time{}}}
+	c := &Core{cfg: cfg, now: now, state: ledger.New(), members: map[string]Member{}, leftAt: map[string]Time{},
+		ownLoad: map[uint32]ServerLoad{}, commands: map[string]*command{},
+		leader: leaderState{reports: map[string]*report{}, failedAt: map[uint32]Time{}}}
 	if slices.Contains(cfg.Voters, cfg.Name) {
 		if err := c.startVoter(start); err != nil {
 			return nil, err
@@ -248,7 +249,7 @@
 		}
 	}
 	for name, at := range c.leftAt {
-		if c.now-at > goneFrontTTL {
+		if c.now-at > leftFrontTTL {
 			delete(c.leftAt, name)
 			delete(c.leader.reports, name)
 		}
--- a/internal/fleet/core/core_test.go
+++ b/internal/fleet/core/core_test.go
@@ -22,7 +22,8 @@
 func newTestCore(t testing.TB, me string) *Core {
 	t.Helper()
 	n := uint64(0)
-	c, err := New(1, Config{Name: me, Cluster: "t", Voters: []string{"a", "b", "c"}, Random: func() uint64 { n++; return n }, Log: silentLogger{}}, StoredState{})
+	c, err := New(1, Config{Name: me, Cluster: "t", Voters: []string{"a", "b", "c"},
+		Random: func() uint64 { n++; return n }, Log: silentLogger{}}, StoredState{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +35,8 @@
 
 // No message of a member makes a front panic; invalid messages are counted and don't change the replicated state.
 func FuzzMessage(f *testing.F) {
-	for _, kind := range []byte{msgRaft, msgIncarnation, msgIncarnationReply, msgReport, msgCommand, msgFetch, msgUpdate, msgWaitRequest, msgWaitReply, 'z'} {
+	for _, kind := range []byte{msgRaft, msgIncarnation, msgIncarnationReply, msgReport, msgCommand, msgFetch,
+		msgUpdate, msgWaitRequest, msgWaitReply, 'z'} {
 		f.Add("b", append([]byte{kind}, `{"i":{"id":1},"l":1,"n":1,"s":{"1":{"Sessions":-1}}}`...))
 		f.Add("x", []byte{kind, 8, 3, 16, 1, 24, 2, 32, 9, 48, 200, 1})
 	}
--- a/internal/fleet/core/follow.go
+++ b/internal/fleet/core/follow.go
@@ -71,9 +71,10 @@
 	c.emit(Reservations{Servers: servers, Deadlines: deadlines, Fronts: fronts, Returned: c.state.Returned()})
 }
 
-// expired reports whether work has exceeded its maximum duration on a front that is out of contact and received no end
-// of it. Without this rule a front that is permanently partitioned would never use the machines again. The cost: a
-// machine whose work takes longer than requested gets requests from partitioned fronts, at the rate for cold servers.
+// expired reports whether work has exceeded its maximum duration on a front that is out of contact, so that it cannot
+// learn that the work has ended. Otherwise a permanently partitioned front would never use the machines again. The
+// cost: a machine whose work takes longer than requested gets requests from partitioned fronts, at the rate for cold
+// servers.
 func (c *Core) expired(w *ledger.Work) bool {
 	return !c.Fresh() && w.Phase.Reserved() && c.now > w.Since+c.cfg.Timeouts.MaxDuration(w.Request.WorkDuration)
 }
@@ -81,7 +82,8 @@
 // checkExpired logs work that expired within the last tick and emits the reservations without it.
 func (c *Core) checkExpired() {
 	for _, w := range c.state.Works {
-		if deadline := w.Since + c.cfg.Timeouts.MaxDuration(w.Request.WorkDuration); w.Phase.Reserved() && c.now > deadline && c.now <= deadline+TickInterval && c.expired(w) {
+		if deadline := w.Since + c.cfg.Timeouts.MaxDuration(w.Request.WorkDuration); w.Phase.Reserved() &&
+			c.now > deadline && c.now <= deadline+TickInterval && c.expired(w) {
 			c.log(fmt.Sprintf("work %d has expired: its end was not reported", w.ID))
 			c.emitReservations()
 		}
@@ -130,13 +132,14 @@
 		return
 	}
 	a := c.voter.acks[from]
-	asksForUpdates := a.index == m.GetIndex() && a.sentIndex <= a.index // it received nothing newer and requests a reply even if there is nothing
-	a.index = min(m.GetIndex(), c.state.Index)                          // it may be ahead of this voter
+	// A follower that repeats its index though nothing newer was sent to it requests a reply even without new entries.
+	requestsUpdates := a.index == m.GetIndex() && a.sentIndex <= a.index
+	a.index = min(m.GetIndex(), c.state.Index) // it may be ahead of this voter
 	if string(m.GetContext()) != c.state.Cluster {
 		a.index, a.sentIndex = 0, 0 // it holds another record or none
 	}
 	c.voter.acks[from] = a
-	if a.index < c.state.Index || asksForUpdates {
+	if a.index < c.state.Index || requestsUpdates {
 		c.sendUpdates(from, a.index)
 	}
 }
--- a/internal/fleet/core/lead.go
+++ b/internal/fleet/core/lead.go
@@ -16,7 +16,8 @@
 func (c *Core) plan() {
 	if c.leader.leadsSince == 0 || c.voter.node.Status().Term != c.leader.term {
 		// A new leader has no reports yet: it waits for them and grants nothing on the data of an earlier term.
-		c.leader.leadsSince, c.leader.term, c.leader.stepProposedAt = c.now, c.voter.node.Status().Term, map[uint64]Time{}
+		c.leader.leadsSince, c.leader.term, c.leader.stepProposedAt =
+			c.now, c.voter.node.Status().Term, map[uint64]Time{}
 		c.reportSoon = true
 	}
 	for id := range c.leader.stepProposedAt {
@@ -33,7 +34,8 @@
 		if w.Phase == ledger.Granted || w.Phase == ledger.Draining {
 			if reason := upkeep.ExceededLimit(c.cfg.Limits, fleet, requests, w.ID); reason != "" {
 				c.leader.stepProposedAt[w.ID] = c.now
-				c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, PrevPhase: w.Phase, NextPhase: ledger.Requested, Reason: "taken back: " + reason})
+				c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, PrevPhase: w.Phase,
+					NextPhase: ledger.Requested, Reason: "taken back: " + reason})
 				continue
 			}
 		}
@@ -42,7 +44,8 @@
 			continue
 		}
 		c.leader.stepProposedAt[w.ID] = c.now
-		c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, PrevPhase: w.Phase, NextPhase: stepPhases[to], Deadline: until, Reason: reason})
+		c.propose(ledger.Entry{Kind: ledger.KindAdvance, ID: w.ID, Fence: w.Fence, PrevPhase: w.Phase,
+			NextPhase: stepPhases[to], Deadline: until, Reason: reason})
 	}
 	c.leader.answers = map[uint64]upkeep.Answer{}
 	for _, a := range upkeep.Decide(c.now, c.cfg.Limits, fleet, requests) {
@@ -55,17 +58,20 @@
 			}
 		case upkeep.Grant:
 			// One grant at a time: the next is decided with this one taken into account, once it is committed.
-			if c.leader.proposedBasis == c.state.LastGrant && c.now-c.leader.proposedAt < retryInterval && c.leader.proposedAt > 0 {
+			if c.leader.proposedBasis == c.state.LastGrant && c.now-c.leader.proposedAt < retryInterval &&
+				c.leader.proposedAt > 0 {
 				continue
 			}
 			c.leader.proposedBasis, c.leader.proposedAt = c.state.LastGrant, c.now
-			c.propose(ledger.Entry{Kind: ledger.KindGrant, ID: a.ID, Basis: c.state.LastGrant, Deadline: c.now + c.cfg.Timeouts.AckTimeout, Reason: "within every limit"})
+			c.propose(ledger.Entry{Kind: ledger.KindGrant, ID: a.ID, Basis: c.state.LastGrant,
+				Deadline: c.now + c.cfg.Timeouts.AckTimeout, Reason: "within every limit"})
 		}
 	}
 }
 
 // stepPhases maps the steps of decide/upkeep to phases of the ledger.
-var stepPhases = map[upkeep.Step]ledger.Phase{upkeep.Draining: ledger.Draining, upkeep.Out: ledger.Out, upkeep.Back: ledger.Back, upkeep.Done: ledger.Done}
+var stepPhases = map[upkeep.Step]ledger.Phase{upkeep.Draining: ledger.Draining, upkeep.Out: ledger.Out,
+	upkeep.Back: ledger.Back, upkeep.Done: ledger.Done}
 
 // requests returns all work that counts as out and all that waits.
 func (c *Core) requests() (list []upkeep.Request) {
@@ -73,7 +79,8 @@
 		if w.Phase.Ended() {
 			continue
 		}
-		request := upkeep.Request{ID: w.ID, RequestedAt: w.RequestedAt, Deadline: w.Request.Deadline, WorkDuration: w.Request.WorkDuration, Fronts: w.Request.Fronts, Granted: w.Phase.CountsAsOut(),
+		request := upkeep.Request{ID: w.ID, RequestedAt: w.RequestedAt, Deadline: w.Request.Deadline,
+			WorkDuration: w.Request.WorkDuration, Fronts: w.Request.Fronts, Granted: w.Phase.CountsAsOut(),
 			Drained: w.Phase == ledger.Out || w.Phase == ledger.Back}
 		for _, p := range w.Request.Servers {
 			request.Servers = append(request.Servers, p.Server)
@@ -156,7 +163,8 @@
 	}
 }
 
-// ErrUnknown is the error of a command whose outcome is unknown: no majority replied in time. Clients compare this text.
+// ErrUnknown is the error of a command whose outcome is unknown: no majority replied in time. Clients compare this
+// text.
 const ErrUnknown = "no majority answered in time: it may still come to be; give the same command with the same key, or look at the list"
 
 // proposeCommand proposes a command on a voter; raft forwards it to the leader.
@@ -177,8 +185,10 @@
 		c.countBad(&c.Stats.Unreadable, from, err)
 	case c.voter == nil, newer && len(b) > ledger.MaxEntryBytes:
 		c.countBad(&c.Stats.Misplaced, from, errors.New("command sent to a front that is not a voter, or too long"))
-	case !newer && (e.Key == "" || e.Kind != ledger.KindRequest && e.Kind != ledger.KindCancel && e.Kind != ledger.KindDone):
-		c.countBad(&c.Stats.Strangers, from, fmt.Errorf("a follower must not propose %q", e.Kind)) // only the leader may grant
+	case !newer && (e.Key == "" ||
+		e.Kind != ledger.KindRequest && e.Kind != ledger.KindCancel && e.Kind != ledger.KindDone):
+		// Only the leader may grant.
+		c.countBad(&c.Stats.Strangers, from, fmt.Errorf("a follower must not propose %q", e.Kind))
 	default:
 		if _, done := c.state.Keys[e.Key]; !done {
 			c.proposeCommand(b)
--- a/internal/fleet/core/names.go
+++ b/internal/fleet/core/names.go
@@ -40,7 +40,7 @@
 		switch kind {
 		case "front":
 			if _, known := c.members[rest]; !known && rest != c.cfg.Name {
-				if _, gone := c.leftAt[rest]; !gone {
+				if _, leftRecently := c.leftAt[rest]; !leftRecently {
 					return a, fmt.Errorf("no front %q is a member or was one recently", rest)
 				}
 			}
@@ -117,7 +117,8 @@
 
 func (c *Core) receiveWaitReply(from string, b []byte) {
 	var reply waitReply
-	if err := json.Unmarshal(b, &reply); err != nil || from != c.leaderName || len(reply.Answers) > ledger.MaxOpenWorks {
+	if err := json.Unmarshal(b, &reply); err != nil || from != c.leaderName ||
+		len(reply.Answers) > ledger.MaxOpenWorks {
 		c.countBad(&c.Stats.Unreadable, from, fmt.Errorf("invalid wait reply, or not from the leader: %v", err))
 		return
 	}
@@ -156,7 +157,8 @@
 
 // Status returns the state of this front.
 func (c *Core) Status() Status {
-	s := Status{Name: c.cfg.Name, Cluster: c.state.Cluster, Leader: c.leaderName, Fresh: c.Fresh(), LastContactMs: -1, Index: c.state.Index, NewerFormat: c.state.NewerFormat, Stats: c.Stats}
+	s := Status{Name: c.cfg.Name, Cluster: c.state.Cluster, Leader: c.leaderName, Fresh: c.Fresh(), LastContactMs: -1,
+		Index: c.state.Index, NewerFormat: c.state.NewerFormat, Stats: c.Stats}
 	if c.lastContactAt > 0 {
 		s.LastContactMs = (c.now - c.lastContactAt) / millisecond
 	}
@@ -169,9 +171,10 @@
 			s.OpenWorks++
 		}
 	}
-	here, gone := c.fronts()
-	for _, name := range here {
-		h := FrontStatus{Name: name, Zone: c.members[name].Meta.Zone, Voter: slices.Contains(c.cfg.Voters, name), Alive: true}
+	alive, left := c.fronts()
+	for _, name := range alive {
+		h := FrontStatus{Name: name, Zone: c.members[name].Meta.Zone, Voter: slices.Contains(c.cfg.Voters, name),
+			Alive: true}
 		if id := c.members[name].Meta.Identity; id != nil {
 			h.Incarnation = id.Incarnation
 		}
@@ -183,7 +186,7 @@
 		}
 		s.Fronts = append(s.Fronts, h)
 	}
-	for _, name := range gone {
+	for _, name := range left {
 		s.Fronts = append(s.Fronts, FrontStatus{Name: name, Voter: slices.Contains(c.cfg.Voters, name)})
 	}
 	return s
--- a/internal/fleet/core/parts.go
+++ b/internal/fleet/core/reports.go
@@ -15,7 +15,8 @@
 
 // report is one front's report of its sessions.
 type report struct {
-	StartedAt  int64                 `json:"l"` // when its process started: reports of a later process replace those of an earlier one
+	// StartedAt is when its process started: reports of a later process replace those of an earlier one.
+	StartedAt  int64                 `json:"l"`
 	Seq        uint64                `json:"n"`
 	Applied    uint64                `json:"a"`
 	Servers    map[uint32]ServerLoad `json:"s,omitempty"`
@@ -33,7 +34,8 @@
 		interval = urgentReportInterval
 	}
 	if c.reportedAt == 0 {
-		c.reportedAt = c.now - Time(c.cfg.Random()%uint64(reportInterval)) // random phase: fronts that start together do not report together
+		// A random phase keeps fronts that start together from reporting together.
+		c.reportedAt = c.now - Time(c.cfg.Random()%uint64(reportInterval))
 	}
 	if c.now-c.reportedAt < interval {
 		return
@@ -53,7 +55,7 @@
 	}
 }
 
-// processStart returns the time of the first report, by which this process differs from earlier ones of its name.
+// processStart returns the time of the first report; it distinguishes this process from earlier ones of its name.
 func (c *Core) processStart() int64 {
 	if c.startedAt == 0 {
 		c.startedAt = c.now
@@ -69,7 +71,8 @@
 	}
 	for id, s := range r.Servers {
 		if s.Sessions < 0 || s.Paid < 0 || s.Paid > s.Sessions || !(s.KB >= 0 && s.KB < 1e12) {
-			c.countBad(&c.Stats.Unreadable, from, fmt.Errorf("invalid report: %d sessions, %d paid, %g kB/s at server %d", s.Sessions, s.Paid, s.KB, id))
+			c.countBad(&c.Stats.Unreadable, from,
+				fmt.Errorf("invalid report: %d sessions, %d paid, %g kB/s at server %d", s.Sessions, s.Paid, s.KB, id))
 			return
 		}
 	}
@@ -79,7 +82,8 @@
 // storeReport keeps a report unless a later one was received.
 func (c *Core) storeReport(from string, r report) {
 	previous := c.leader.reports[from]
-	if previous != nil && (r.StartedAt < previous.StartedAt || r.StartedAt == previous.StartedAt && r.Seq <= previous.Seq) {
+	if previous != nil && (r.StartedAt < previous.StartedAt ||
+		r.StartedAt == previous.StartedAt && r.Seq <= previous.Seq) {
 		return // reordered: a later report was received before
 	}
 	r.receivedAt, r.maxLoad = c.now, map[uint32]ServerLoad{}
@@ -124,24 +128,24 @@
 }
 
 // fronts returns the names of the live fronts, this one included, and of those that left recently.
-func (c *Core) fronts() (here, gone []string) {
-	here = []string{c.cfg.Name}
+func (c *Core) fronts() (alive, left []string) {
+	alive = []string{c.cfg.Name}
 	for name, m := range c.members {
 		if m.Alive && name != c.cfg.Name {
-			here = append(here, name)
+			alive = append(alive, name)
 		}
 	}
-	gone = slices.Collect(maps.Keys(c.leftAt))
-	slices.Sort(here)
-	slices.Sort(gone)
-	return here, gone
+	left = slices.Collect(maps.Keys(c.leftAt))
+	slices.Sort(alive)
+	slices.Sort(left)
+	return alive, left
 }
 
 // fleetState returns the input of decide/upkeep. Fronts whose report is stale count with their recent maxima. The load
 // of a live front that never reported is unknown: then no work on servers may be granted.
 func (c *Core) fleetState() *upkeep.Fleet {
 	fleet := &upkeep.Fleet{RackKB: c.cfg.RackKB, Groups: c.groups}
-	here, gone := c.fronts()
+	alive, left := c.fronts()
 	total := map[uint32]ServerLoad{}
 	sum := func(from map[uint32]ServerLoad) {
 		for id, s := range from {
@@ -149,11 +153,11 @@
 			total[id] = ServerLoad{t.Sessions + s.Sessions, t.KB + s.KB, t.Paid + s.Paid}
 		}
 	}
-	var silent []string
-	for _, name := range here {
+	var withoutReport []string
+	for _, name := range alive {
 		switch p := c.leader.reports[name]; {
 		case p == nil:
-			silent = append(silent, name)
+			withoutReport = append(withoutReport, name)
 		case c.now-p.receivedAt >= c.cfg.StaleAfter:
 			sum(p.maxLoad)
 		default:
@@ -161,30 +165,33 @@
 		}
 		fleet.Fronts = append(fleet.Fronts, upkeep.Front{Name: name})
 	}
-	for _, name := range gone { // its sessions may still play
+	for _, name := range left { // its sessions may still play
 		if p := c.leader.reports[name]; p != nil {
 			sum(p.maxLoad)
 		}
 		fleet.Fronts = append(fleet.Fronts, upkeep.Front{Name: name, Failed: true})
 	}
-	if len(silent) > 0 {
-		fleet.UncertainReason = fmt.Sprintf("nothing is known yet of what stands at %d fronts, %s first", len(silent), silent[0])
+	if len(withoutReport) > 0 {
+		fleet.UncertainReason = fmt.Sprintf("nothing is known yet of what stands at %d fronts, %s first",
+			len(withoutReport), withoutReport[0])
 	}
 	listed := map[uint32]bool{}
 	for _, s := range c.servers {
 		_, failed := c.leader.failedAt[s.ID]
 		listed[s.ID] = true
 		t := total[s.ID]
-		fleet.Servers = append(fleet.Servers, upkeep.Server{ID: s.ID, Rack: s.Rack, Zone: s.Zone, LinkKB: s.LinkKB, NeededKB: t.KB, Paid: t.Paid, Failed: failed})
+		fleet.Servers = append(fleet.Servers, upkeep.Server{ID: s.ID, Rack: s.Rack, Zone: s.Zone, LinkKB: s.LinkKB,
+			NeededKB: t.KB, Paid: t.Paid, Failed: failed})
 	}
-	for _, work := range c.state.Works { // servers that are out may have left the list: they count with the rack and zone they had
+	for _, work := range c.state.Works { // servers that are out may have left the list: they count at their last place
 		if !work.Phase.CountsAsOut() {
 			continue
 		}
 		for _, p := range work.Request.Servers {
 			if !listed[p.Server] {
 				listed[p.Server] = true
-				fleet.Servers = append(fleet.Servers, upkeep.Server{ID: p.Server, Rack: p.Rack, Zone: p.Zone, NeededKB: total[p.Server].KB, Paid: total[p.Server].Paid})
+				fleet.Servers = append(fleet.Servers, upkeep.Server{ID: p.Server, Rack: p.Rack, Zone: p.Zone,
+					NeededKB: total[p.Server].KB, Paid: total[p.Server].Paid})
 			}
 		}
 	}
@@ -196,7 +203,8 @@
 // holdReason returns why no work may be granted at all, empty if it may.
 func (c *Core) holdReason() string {
 	if c.state.NewerFormat > ledger.Format {
-		return fmt.Sprintf("entries were agreed on in format %d, this front knows %d", c.state.NewerFormat, ledger.Format)
+		return fmt.Sprintf("entries were agreed on in format %d, this front knows %d",
+			c.state.NewerFormat, ledger.Format)
 	}
 	oldest := Time(0)
 	for _, w := range c.state.Works {
@@ -234,7 +242,7 @@
 	case ledger.Back:
 		progress.Step = upkeep.Back
 	}
-	here, gone := c.fronts()
+	alive, left := c.fronts()
 	count := func(p *report) {
 		for _, s := range w.Request.Servers {
 			progress.RemainingSessions += p.Servers[s.Server].Sessions
@@ -247,7 +255,7 @@
 			}
 		}
 	}
-	for _, name := range here {
+	for _, name := range alive {
 		p := c.leader.reports[name]
 		if p == nil || p.Applied < w.Fence {
 			progress.Unacknowledged = append(progress.Unacknowledged, name)
@@ -259,7 +267,7 @@
 			count(p)
 		}
 	}
-	for _, name := range gone {
+	for _, name := range left {
 		if p := c.leader.reports[name]; p != nil {
 			count(p)
 		}
--- a/internal/fleet/core/voters.go
+++ b/internal/fleet/core/voters.go
@@ -23,12 +23,13 @@
 	formed       bool // this voter holds the record
 	// confirmed holds the voters that replied that they know no later incarnation of this disk; this voter takes part
 	// in elections once they and it are a majority.
-	confirmed  map[string]bool
-	askedAt    Time
-	plannedAt  Time
-	broken     bool // the raft library failed: this front no longer follows the record, but continues to serve
-	replacedAt map[uint64]Time
-	acks       map[string]ack // by follower, of this voter's share
+	confirmed map[string]bool
+	queriedAt Time
+	plannedAt Time
+	// broken: the raft library failed; this front no longer follows the record, but continues to serve.
+	broken            bool
+	replaceProposedAt map[uint64]Time // when the replacement by each new ID was last proposed
+	acks              map[string]ack  // by follower, of this voter's share
 }
 
 // incarnationQuery asks other voters for a later incarnation of a disk; the same type is the reply.
@@ -40,7 +41,8 @@
 
 // startVoter starts a voter on the data found on disk.
 func (c *Core) startVoter(start StoredState) error {
-	v := &voter{incarnations: start.Incarnations, confirmed: map[string]bool{}, replacedAt: map[uint64]Time{}, acks: map[string]ack{}}
+	v := &voter{incarnations: start.Incarnations, confirmed: map[string]bool{}, replaceProposedAt: map[uint64]Time{},
+		acks: map[string]ack{}}
 	if v.incarnations == nil {
 		v.incarnations = quorum.Incarnations{}
 	}
@@ -67,7 +69,7 @@
 		return err
 	}
 	v.node.SetSilent(true)
-	v.confirmed, v.askedAt = map[string]bool{}, 0
+	v.confirmed, v.queriedAt = map[string]bool{}, 0
 	c.announceMeta()
 	c.processReady() // applies the entries that are committed on its own disk
 	return nil
@@ -144,8 +146,9 @@
 	if v.broken {
 		return
 	}
-	if (v.node.Silent() || !v.formed) && c.now-v.askedAt >= retryInterval { // forming the first record needs confirmation by all voters
-		v.askedAt = c.now
+	// Forming the first record needs confirmation by all voters.
+	if (v.node.Silent() || !v.formed) && c.now-v.queriedAt >= retryInterval {
+		v.queriedAt = c.now
 		for _, name := range c.otherVoters() {
 			if !v.confirmed[name] {
 				c.sendJSON(name, msgIncarnation, incarnationQuery{Identity: v.identity})
@@ -220,15 +223,17 @@
 	c.announceMeta()
 }
 
-// replaceVoters replaces the ID of each voter that lost its disk by its new one.
+// replaceVoters proposes to replace the ID of each voter that lost its disk by its new one.
 func (c *Core) replaceVoters(status quorum.Status) {
 	for _, name := range c.cfg.Voters {
 		member := c.members[name]
-		if name == c.cfg.Name || !member.Alive || member.Meta.Identity == nil || member.Meta.Formed && slices.Contains(status.Voters, member.Meta.Identity.ID) {
+		if name == c.cfg.Name || !member.Alive || member.Meta.Identity == nil ||
+			member.Meta.Formed && slices.Contains(status.Voters, member.Meta.Identity.ID) {
 			continue
 		}
 		id := member.Meta.Identity.ID
-		if slices.Contains(status.Voters, id) || c.voterName(id) != name || c.now-c.voter.replacedAt[id] < retryInterval {
+		if slices.Contains(status.Voters, id) || c.voterName(id) != name ||
+			c.now-c.voter.replaceProposedAt[id] < retryInterval {
 			continue
 		}
 		oldID := uint64(0)
@@ -237,7 +242,7 @@
 				oldID = old
 			}
 		}
-		c.voter.replacedAt[id] = c.now
+		c.voter.replaceProposedAt[id] = c.now
 		c.log(fmt.Sprintf("voter %s has a new disk: %x in place of %x", name, id, oldID))
 		if err := c.voter.node.Replace(oldID, id); err != nil {
 			c.log("voter was not replaced: " + err.Error())
@@ -266,7 +271,8 @@
 	var reply incarnationQuery
 	v := c.voter
 	if err := json.Unmarshal(b, &reply); err != nil || v == nil || !slices.Contains(c.cfg.Voters, from) {
-		c.countBad(&c.Stats.Unreadable, from, errors.Join(err, errors.New("not a valid reply to an incarnation query of this voter")))
+		c.countBad(&c.Stats.Unreadable, from,
+			errors.Join(err, errors.New("not a valid reply to an incarnation query of this voter")))
 		return
 	}
 	switch {
@@ -361,7 +367,8 @@
 		return
 	}
 	if c.voterName(message.GetFrom()) != from {
-		c.countBad(&c.Stats.Strangers, from, fmt.Errorf("raft message with the ID of another voter: %x", message.GetFrom()))
+		c.countBad(&c.Stats.Strangers, from,
+			fmt.Errorf("raft message with the ID of another voter: %x", message.GetFrom()))
 		return
 	}
 	if err := v.node.Step(message); err != nil {
--- a/internal/fleet/disk/disk.go
+++ b/internal/fleet/disk/disk.go
@@ -1,7 +1,7 @@
-// Package disk stores what a front's part in the fleet must not lose: the identity of the disk, the lives of other
-// voters' disks, the log and snapshot of the agreed record, or a follower's last state. Every Write is one synced
-// batch: it is stored completely or not at all. It may import the store library, the core's types and nothing of the
-// front.
+// Package disk stores what a front's part in the fleet must not lose: the identity of the disk, the incarnations of
+// other voters' disks, the log and snapshot of the replicated record, or a follower's last state. Every Write is one
+// synced batch: it is stored completely or not at all. It may import the store library, the core's types and nothing
+// of the front.
 package disk
 
 import (
@@ -24,12 +24,12 @@
 const format = 1
 
 var (
-	keyFormat   = []byte("format")
-	keyIdentity = []byte("identity")
-	keyLives    = []byte("lives")
-	keyHard     = []byte("hard")
-	keySnap     = []byte("snap")
-	keyState    = []byte("state")
+	keyFormat       = []byte("format")
+	keyIdentity     = []byte("identity")
+	keyIncarnations = []byte("lives")
+	keyHard         = []byte("hard")
+	keySnap         = []byte("snap")
+	keyState        = []byte("state")
 )
 
 // maxEntries limits the log entries that are read: more than compaction ever leaves.
@@ -71,7 +71,7 @@
 	if err := d.getJSON(keyIdentity, &s.Identity); err != nil {
 		return s, err
 	}
-	if err := d.getJSON(keyLives, &s.Incarnations); err != nil {
+	if err := d.getJSON(keyIncarnations, &s.Incarnations); err != nil {
 		return s, err
 	}
 	if s.State, _, err = d.get(keyState); err != nil {
@@ -102,7 +102,7 @@
 	return s, it.Close()
 }
 
-// get gives a copy of the value of a key, and whether there is one.
+// get returns a copy of the value of a key, and whether there is one.
 func (d *Disk) get(key []byte) ([]byte, bool, error) {
 	v, closer, err := d.db.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// Write carries out the core's effect of that name; the data is on disk when it returns.
+// Write carries out a core.Write effect; the data is on disk when it returns.
 func (d *Disk) Write(w core.Write) error {
 	return recoverPanic(func() error {
 		b := d.db.NewBatch()
@@ -148,7 +148,7 @@
 		}
 		if w.Incarnations != nil {
 			v, err := json.Marshal(w.Incarnations)
-			set(keyLives, v, err)
+			set(keyIncarnations, v, err)
 		}
 		if w.Hard != nil {
 			v, err := proto.Marshal(w.Hard)
--- a/internal/fleet/disk/disk_test.go
+++ b/internal/fleet/disk/disk_test.go
@@ -27,7 +27,8 @@
 }
 
 // TestReopenReadsWhatWasWritten: a reopened disk gives what the last writes left: a rewritten end of the log, a
-// compacted beginning, a snapshot in place of all entries, and only the lives of others' disks after a wipe.
+// compacted beginning, a snapshot in place of all entries, and only the incarnations of other voters after a
+// wipe.
 func TestReopenReadsWhatWasWritten(t *testing.T) {
 	fs := vfs.NewMem()
 	d, start, err := Open("d", fs)
@@ -39,7 +40,8 @@
 		first, last uint64
 		term        uint64 // of the last entry
 	}{
-		{core.Write{Identity: &quorum.Identity{ID: 7, Incarnation: 1}, Hard: hardState(1, 7), Entries: entries(1, 1, 9)}, 1, 9, 1},
+		{core.Write{Identity: &quorum.Identity{ID: 7, Incarnation: 1}, Hard: hardState(1, 7),
+			Entries: entries(1, 1, 9)}, 1, 9, 1},
 		{core.Write{Hard: hardState(2, 8), Entries: entries(2, 5, 6)}, 1, 6, 2},
 		{core.Write{Snap: snapshot(4), FirstIndex: 3}, 3, 6, 2},
 		{core.Write{Snap: snapshot(20)}, 0, 0, 0},
@@ -57,18 +59,21 @@
 		if len(e) != int(c.last-c.first)+1 && c.last > 0 || c.last == 0 && len(e) > 0 {
 			t.Fatalf("%+v: %d entries", c, len(e))
 		}
-		if c.last > 0 && (e[0].GetIndex() != c.first || e[len(e)-1].GetIndex() != c.last || e[len(e)-1].GetTerm() != c.term) {
+		if c.last > 0 && (e[0].GetIndex() != c.first || e[len(e)-1].GetIndex() != c.last ||
+			e[len(e)-1].GetTerm() != c.term) {
 			t.Fatalf("%+v: %v", c, e)
 		}
 	}
-	if start.Disk.Hard.GetVote() != 8 || start.Identity.ID != 7 || start.Incarnations[9].Incarnation != 2 || string(start.State) != "x" {
+	if start.Disk.Hard.GetVote() != 8 || start.Identity.ID != 7 || start.Incarnations[9].Incarnation != 2 ||
+		string(start.State) != "x" {
 		t.Fatalf("%+v", start)
 	}
 	if err := d.Write(core.Write{Wipe: true}); err != nil {
 		t.Fatal(err)
 	}
 	d.Close()
-	if d, start, err = Open("d", fs); err != nil || !start.Disk.Empty() || start.Identity.ID != 0 || start.Incarnations[9].Incarnation != 2 {
+	if d, start, err = Open("d", fs); err != nil || !start.Disk.Empty() || start.Identity.ID != 0 ||
+		start.Incarnations[9].Incarnation != 2 {
 		t.Fatal(start, err)
 	}
 	d.Close()
--- a/internal/fleet/fleetsim/degraded_test.go
+++ b/internal/fleet/fleetsim/degraded_test.go
@@ -9,17 +9,17 @@
 
 // Tests of work next to failed servers, newer versions and fronts without a disk.
 
-// TestUnknownEntryFormatStopsGrants: in a fleet that is half upgraded, an entry of a newer version is agreed on.
-// Fronts that don't know it carry on with the work that is out and accept requests, but grant nothing new; none of
-// them fails, and all come to the same state.
+// TestUnknownEntryFormatStopsGrants: in a fleet that is half upgraded, an entry of a newer version is committed.
+// Fronts that don't know it continue with the work that is out and accept requests, but grant nothing new; none of
+// them fails, and all reach the same state.
 func TestUnknownEntryFormatStopsGrants(t *testing.T) {
 	f := newSmallFleet(t, 9)
-	a := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
+	a := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 	f.waitForPhase(t, a, ledger.Out, 20*Second)
 	f.Command(f.Fronts[3], ledger.Entry{Format: ledger.Format + 1, Kind: "future", Key: "z"})
 	f.Run(5 * Second)
-	b := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("b", 12))).ID
-	f.waitForAnswer(t, f.Command(f.Fronts[4], ledger.Entry{Kind: ledger.KindDone, Key: "d", ID: a}))
+	b := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("b", 12))).ID
+	f.waitForReply(t, f.Command(f.Fronts[4], ledger.Entry{Kind: ledger.KindDone, Key: "d", ID: a}))
 	f.waitForPhase(t, a, ledger.Done, 20*Second)
 	f.Run(5 * Second)
 	if why, _ := f.Leader().Core.WaitReason(b); f.phase(b) != ledger.Requested || why.Limit != "held" {
@@ -37,13 +37,13 @@
 // given, until it is back.
 func TestFailedServerStopsGrants(t *testing.T) {
 	f := newSmallFleet(t, 10)
-	a := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
+	a := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 	f.waitForPhase(t, a, ledger.Out, 20*Second)
 	servers := serverList(12, 3)
 	servers[8].Ready = false
 	f.Servers(servers, nil)
 	f.Run(Second)
-	b := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("b", 5))).ID
+	b := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("b", 5))).ID
 	f.Run(3 * Second)
 	if why, _ := f.Leader().Core.WaitReason(b); f.phase(b) != ledger.Requested || why.Limit != "held" {
 		t.Errorf("%s, %+v", f.phase(b), why)
@@ -58,7 +58,7 @@
 func TestGrantIsWithdrawnWhenRackFails(t *testing.T) {
 	f := newSmallFleet(t, 12)
 	f.Fronts[1].Sessions = map[uint32]core.ServerLoad{1: {Sessions: 1, KB: 100}}
-	a := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
+	a := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 	f.waitForPhase(t, a, ledger.Draining, 20*Second)
 	servers := serverList(12, 3)
 	servers[1].Ready = false
@@ -67,8 +67,8 @@
 	f.Fronts[1].Sessions = map[uint32]core.ServerLoad{}
 	f.Run(10 * Second)
 	if why, _ := f.Leader().Core.WaitReason(a); f.phase(a) != ledger.Requested || why.Limit != "rack" ||
-		f.Fronts[4].KeptServers[1] != 0 {
-		t.Errorf("%s, %+v, kept %v", f.phase(a), why, f.Fronts[4].KeptServers)
+		f.Fronts[4].ReservedServers[1] != 0 {
+		t.Errorf("%s, %+v, reserved %v", f.phase(a), why, f.Fronts[4].ReservedServers)
 	}
 	f.Servers(serverList(12, 3), nil)
 	f.waitForPhase(t, a, ledger.Out, 20*Second)
@@ -80,13 +80,14 @@
 func TestFrontDrainsBeforeItGoesOut(t *testing.T) {
 	f := newSmallFleet(t, 13)
 	f.Fronts[3].Sessions = map[uint32]core.ServerLoad{1: {Sessions: 1, KB: 100}}
-	e := ledger.Entry{Kind: ledger.KindRequest, Key: "a", Request: &ledger.Request{Names: []string{"front:f004"}, Fronts: []string{"f004"}, WorkDuration: 20 * Second}}
+	e := ledger.Entry{Kind: ledger.KindRequest, Key: "a", Request: &ledger.Request{Names: []string{"front:f004"},
+		Fronts: []string{"f004"}, WorkDuration: 20 * Second}}
 	f.Run(6 * Second)
-	a := f.waitForAnswer(t, f.Command(f.Fronts[0], e)).ID
+	a := f.waitForReply(t, f.Command(f.Fronts[0], e)).ID
 	f.waitForPhase(t, a, ledger.Draining, 20*Second)
 	f.Run(10 * Second)
-	if f.phase(a) != ledger.Draining || f.Fronts[3].KeptFronts["f004"] != a {
-		t.Errorf("%s, kept %v", f.phase(a), f.Fronts[3].KeptFronts)
+	if f.phase(a) != ledger.Draining || f.Fronts[3].ReservedFronts["f004"] != a {
+		t.Errorf("%s, reserved %v", f.phase(a), f.Fronts[3].ReservedFronts)
 	}
 	f.Fronts[3].Sessions = map[uint32]core.ServerLoad{}
 	f.waitForPhase(t, a, ledger.Out, 10*Second)
@@ -97,17 +98,17 @@
 // a voter.
 func TestFollowerWithoutDiskFetchesState(t *testing.T) {
 	f := newSmallFleet(t, 11)
-	a := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
+	a := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 	f.waitForPhase(t, a, ledger.Out, 20*Second)
 	x := f.Fronts[4]
 	f.Kill(x)
 	x.Disk = &Disk{}
 	f.Run(5 * Second)
 	f.Start(x)
-	if x.KeptServers[1] != 0 {
-		t.Fatal("it knows of the work before it was sent the state")
+	if x.ReservedServers[1] != 0 {
+		t.Fatal("it reserves the server before it was sent the state")
 	}
-	if !f.RunUntil(3*Second, func() bool { return x.KeptServers[1] == a }) {
-		t.Errorf("after 3 s it keeps %v free", x.KeptServers)
+	if !f.RunUntil(3*Second, func() bool { return x.ReservedServers[1] == a }) {
+		t.Errorf("after 3 s its reserved servers are %v", x.ReservedServers)
 	}
 }
--- a/internal/fleet/fleetsim/disk.go
+++ b/internal/fleet/fleetsim/disk.go
@@ -8,16 +8,16 @@
 	"tealledge/internal/fleet/core"
 )
 
-// write carries out the core's effect of that name on a simulated disk.
+// write carries out a core.Write effect on a simulated disk.
 func (d *Disk) write(w core.Write) {
 	if w.Wipe {
-		*d = Disk{Lives: d.Lives}
+		*d = Disk{Incarnations: d.Incarnations}
 	}
 	if w.Identity != nil {
 		d.Identity = *w.Identity
 	}
 	if w.Incarnations != nil {
-		d.Lives = w.Incarnations
+		d.Incarnations = w.Incarnations
 	}
 	if w.Hard != nil {
 		d.Disk.Hard = w.Hard
@@ -33,10 +33,12 @@
 	}
 	if len(w.Entries) > 0 {
 		first := w.Entries[0].GetIndex()
-		d.Disk.Entries = slices.DeleteFunc(slices.Clone(d.Disk.Entries), func(e *pb.Entry) bool { return e.GetIndex() >= first })
+		d.Disk.Entries = slices.DeleteFunc(slices.Clone(d.Disk.Entries),
+			func(e *pb.Entry) bool { return e.GetIndex() >= first })
 		d.Disk.Entries = append(d.Disk.Entries, w.Entries...)
 	}
 	if w.FirstIndex > 0 {
-		d.Disk.Entries = slices.DeleteFunc(slices.Clone(d.Disk.Entries), func(e *pb.Entry) bool { return e.GetIndex() < w.FirstIndex })
+		d.Disk.Entries = slices.DeleteFunc(slices.Clone(d.Disk.Entries),
+			func(e *pb.Entry) bool { return e.GetIndex() < w.FirstIndex })
 	}
 }
--- a/internal/fleet/fleetsim/fleetsim.go
+++ b/internal/fleet/fleetsim/fleetsim.go
@@ -1,7 +1,7 @@
 // Package fleetsim runs the fleet's parts of many fronts in one process on virtual time: the same core as in
 // production, on a simulated network with delay, loss and partitions, and on simulated disks that can be lost or
 // replaced by an older copy. It is for tests and measurements. Membership is simulated too: a front that can't be
-// reached for a while is reported as gone.
+// reached for a while is reported as no longer alive.
 package fleetsim
 
 import (
@@ -36,21 +36,22 @@
 	Timeouts       upkeep.Timeouts
 	LossRate       float64 // share of messages lost on lossy paths
 	LossyShare     float64 // share of the paths from one front to another that are lossy
-	SuspectTimeout Time    // after it, a front that can't be reached is reported as gone
+	SuspectTimeout Time    // after it, a front that can't be reached counts as not alive
 }
 
 // Front is one front of the fleet.
 type Front struct {
-	Name          string
-	Core          *core.Core // nil: its process is not running
-	Disk          *Disk
-	ClockSkew     Time                       // added to its clock
-	Stopped       bool                       // its process is stopped: nothing runs, and messages are queued
-	KeptServers   map[uint32]uint64          // servers to keep free, each with its work
-	KeptFronts    map[string]uint64          // fronts to keep free, each with its work
-	Returned      map[uint32]Time            // when servers came back from work
-	Sessions      map[uint32]core.ServerLoad // sessions that this front has, by server
-	queued        [][2]any                   // sender and content of each message that came while the process was stopped
+	Name            string
+	Core            *core.Core // nil: its process is not running
+	Disk            *Disk
+	ClockSkew       Time                       // added to its clock
+	Stopped         bool                       // its process is stopped: nothing runs, and messages are queued
+	ReservedServers map[uint32]uint64          // servers that take no new sessions, each with its work
+	ReservedFronts  map[string]uint64          // fronts that take no new sessions, each with its work
+	Returned        map[uint32]Time            // when servers came back from work
+	Sessions        map[uint32]core.ServerLoad // sessions that this front has, by server
+	// queued has the sender and content of each message that came while the process was stopped.
+	queued        [][2]any
 	meta          core.Meta
 	comparedIndex uint64 // index of the state that was compared most recently
 	Sent          uint64 // bytes
@@ -60,18 +61,18 @@
 
 // Disk holds what a front has written.
 type Disk struct {
-	Identity quorum.Identity
-	Lives    quorum.Incarnations
-	Disk     quorum.Disk
-	State    []byte
+	Identity     quorum.Identity
+	Incarnations quorum.Incarnations
+	Disk         quorum.Disk
+	State        []byte
 }
 
-// Copy gives a copy, for restoring an older state later.
+// Copy returns a copy, for restoring an older state later.
 func (d *Disk) Copy() *Disk {
 	c := *d
-	c.Lives = quorum.Incarnations{}
-	for k, v := range d.Lives {
-		c.Lives[k] = v
+	c.Incarnations = quorum.Incarnations{}
+	for k, v := range d.Incarnations {
+		c.Incarnations[k] = v
 	}
 	c.Disk.Entries = slices.Clone(d.Disk.Entries)
 	return &c
@@ -97,7 +98,7 @@
 	lastHandle    uint64
 	servers       []core.Server
 	groups        [][]uint32
-	digests       map[uint64][]byte // snapshot of the state at each index, from the first front that reached it
+	snapshots     map[uint64][]byte // snapshot of the state at each index, from the first front that reached it
 	seenChanges   map[string]bool
 	lastReachable map[[2]string]Time // when one front last reached the other
 	lossyPaths    map[[2]string]bool
@@ -131,7 +132,7 @@
 	}
 	f := &Fleet{Config: cfg, Now: 1_700_000_000 * Second, ByName: map[string]*Front{},
 		Replies: map[uint64]ledger.CommandResult{}, rng: rand.New(rand.NewSource(cfg.Seed)),
-		digests: map[uint64][]byte{}, seenChanges: map[string]bool{}, lastReachable: map[[2]string]Time{},
+		snapshots: map[uint64][]byte{}, seenChanges: map[string]bool{}, lastReachable: map[[2]string]Time{},
 		GrantLearnedAt: map[uint64]map[string]Time{}, lossyPaths: map[[2]string]bool{}}
 	for i := range cfg.Fronts {
 		x := &Front{Name: fmt.Sprintf("f%03d", i+1), Disk: &Disk{}, Sessions: map[uint32]core.ServerLoad{}}
@@ -167,7 +168,7 @@
 	}
 }
 
-// RunUntil runs until the condition holds or the timeout is over; it gives whether the condition holds.
+// RunUntil runs until the condition holds or the timeout is over; it returns whether the condition holds.
 func (f *Fleet) RunUntil(timeout Time, condition func() bool) bool {
 	for end := f.Now + timeout; f.Now < end; {
 		if condition() {
@@ -189,10 +190,11 @@
 func (f *Fleet) Start(x *Front) {
 	d := x.Disk
 	disk := &quorum.Disk{Hard: d.Disk.Hard, Snap: d.Disk.Snap, Entries: slices.Clone(d.Disk.Entries)}
-	lives := d.Copy().Lives
+	incarnations := d.Copy().Incarnations
 	c, err := core.New(f.Now+x.ClockSkew, core.Config{Name: x.Name, Cluster: "sim", Voters: f.voters(),
-		Limits: f.Config.Limits, Timeouts: f.Config.Timeouts, StaleAfter: 15 * Second, Random: f.rng.Uint64, Log: &raft.DefaultLogger{Logger: discardLogger()}},
-		core.StoredState{Identity: d.Identity, Incarnations: lives, Disk: disk, State: d.State})
+		Limits: f.Config.Limits, Timeouts: f.Config.Timeouts, StaleAfter: 15 * Second, Random: f.rng.Uint64,
+		Log: &raft.DefaultLogger{Logger: discardLogger()}},
+		core.StoredState{Identity: d.Identity, Incarnations: incarnations, Disk: disk, State: d.State})
 	if err != nil {
 		f.Errors = append(f.Errors, x.Name+": "+err.Error())
 		return
@@ -225,7 +227,7 @@
 	f.applyEffects(x)
 }
 
-// Resume lets a stopped process go on; it receives the messages queued meanwhile at once.
+// Resume lets a stopped process continue; it receives the messages queued meanwhile at once.
 func (f *Fleet) Resume(x *Front) {
 	x.Stopped = false
 	queued := x.queued
@@ -235,11 +237,11 @@
 	}
 }
 
-// Reaches tells whether messages from one front get to another.
+// Reaches reports whether messages from one front get to another.
 func (f *Fleet) Reaches(from, to string) bool { return f.Blocked == nil || !f.Blocked(from, to) }
 
-// updateMembers passes the member list to each front: a front that it can't exchange messages with is gone after
-// SuspectTimeout.
+// updateMembers passes the member list to each front: a front that it can't exchange messages with is reported
+// as not alive after SuspectTimeout.
 func (f *Fleet) updateMembers() {
 	f.scheduleAt(f.Now+500*Millisecond, f.updateMembers)
 	for _, x := range f.Fronts {
@@ -267,7 +269,7 @@
 	}
 }
 
-// Command gives a command to a front and returns its handle.
+// Command sends a command to a front and returns its handle.
 func (f *Fleet) Command(x *Front, e ledger.Entry) uint64 {
 	f.lastHandle++
 	h := f.lastHandle
@@ -324,7 +326,7 @@
 			case core.AnnounceMeta:
 				x.meta = e.Meta
 			case core.Reservations:
-				x.KeptServers, x.KeptFronts, x.Returned = e.Servers, e.Fronts, e.Returned
+				x.ReservedServers, x.ReservedFronts, x.Returned = e.Servers, e.Fronts, e.Returned
 			case core.Reply:
 				f.Replies[e.Handle] = e.Result
 			case core.PhaseChanged:
@@ -372,14 +374,15 @@
 		f.Errors = append(f.Errors, err.Error())
 		return
 	}
-	if previous, known := f.digests[s.Index]; !known {
-		f.digests[s.Index] = b
+	if previous, known := f.snapshots[s.Index]; !known {
+		f.snapshots[s.Index] = b
 	} else if !bytes.Equal(previous, b) {
-		f.Errors = append(f.Errors, fmt.Sprintf("%s has another state at index %d:\n%s\n%s", x.Name, s.Index, b, previous))
+		f.Errors = append(f.Errors,
+			fmt.Sprintf("%s has another state at index %d:\n%s\n%s", x.Name, s.Index, b, previous))
 	}
 }
 
-// Leader gives the front that reports itself as leader, the one with the highest index if there are several; nil if
+// Leader returns the front that reports itself as leader, the one with the highest index if there are several; nil if
 // none does.
 func (f *Fleet) Leader() *Front {
 	var leader *Front
--- a/internal/fleet/fleetsim/fleetsim_test.go
+++ b/internal/fleet/fleetsim/fleetsim_test.go
@@ -25,7 +25,8 @@
 func newSmallFleet(t *testing.T, seed int64) *Fleet {
 	t.Helper()
 	f := New(Config{Fronts: 5, Voters: 3, Seed: seed, Timeouts: timeouts,
-		Limits: upkeep.Limits{Rack: 1, Zone: 2, Whole: 3, Racks: 1, Fronts: 1, Holders: 1, Margin: 0.2, Paid: 10, Patience: 60 * Second}})
+		Limits: upkeep.Limits{Rack: 1, Zone: 2, Whole: 3, Racks: 1, Fronts: 1, Holders: 1, Margin: 0.2, Paid: 10,
+			Patience: 60 * Second}})
 	f.Servers(serverList(12, 3), nil)
 	if !f.RunUntil(20*Second, func() bool { return f.Leader() != nil }) {
 		t.Fatal("no leader in 20 s")
@@ -43,7 +44,7 @@
 	return ledger.Entry{Kind: ledger.KindRequest, Key: key, Request: a}
 }
 
-// phase gives the phase of a work as the front with the highest index has it.
+// phase returns the phase of a work as the front with the highest index has it.
 func (f *Fleet) phase(id uint64) ledger.Phase {
 	latest := ledger.Phase("")
 	index := uint64(0)
@@ -73,10 +74,10 @@
 	}
 }
 
-func (f *Fleet) waitForAnswer(t *testing.T, h uint64) ledger.CommandResult {
+func (f *Fleet) waitForReply(t *testing.T, h uint64) ledger.CommandResult {
 	t.Helper()
 	if !f.RunUntil(15*Second, func() bool { _, ok := f.Replies[h]; return ok }) {
-		t.Fatal("a command was not answered")
+		t.Fatal("no reply to a command within 15 s")
 	}
 	return f.Replies[h]
 }
@@ -88,44 +89,44 @@
 	}
 }
 
-// TestServerStaysFreeUntilWorkIsDone: work on a server is requested at a front that does not vote. The server drains,
-// is out and comes back, and every front keeps it free meanwhile.
-func TestServerStaysFreeUntilWorkIsDone(t *testing.T) {
+// TestServerStaysReservedUntilWorkIsDone: work on a server is requested at a front that does not vote. The server
+// drains, is out and comes back, and every front sends it no new sessions meanwhile.
+func TestServerStaysReservedUntilWorkIsDone(t *testing.T) {
 	f := newSmallFleet(t, 1)
 	f.Fronts[4].Sessions = map[uint32]core.ServerLoad{7: {Sessions: 3, KB: 600}}
-	id := f.waitForAnswer(t, f.Command(f.Fronts[3], workRequest("a", 7))).ID
+	id := f.waitForReply(t, f.Command(f.Fronts[3], workRequest("a", 7))).ID
 	f.waitForPhase(t, id, ledger.Draining, 20*Second)
 	f.Run(10 * Second)
 	if f.phase(id) != ledger.Draining {
 		t.Fatal("the server went out with sessions on it")
 	}
 	for _, x := range f.Fronts {
-		if x.KeptServers[7] != id {
-			t.Errorf("%s does not keep a draining server free", x.Name)
+		if x.ReservedServers[7] != id {
+			t.Errorf("%s does not reserve a draining server", x.Name)
 		}
 	}
 	f.Fronts[4].Sessions = map[uint32]core.ServerLoad{}
 	f.waitForPhase(t, id, ledger.Out, 5*Second)
-	f.waitForAnswer(t, f.Command(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "b", ID: id}))
+	f.waitForReply(t, f.Command(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "b", ID: id}))
 	f.waitForPhase(t, id, ledger.Back, Second)
 	f.Run(2 * Second)
 	for _, x := range f.Fronts {
-		if x.KeptServers[7] != 0 || x.Returned[7] == 0 {
-			t.Errorf("%s keeps %v free, returned %v", x.Name, x.KeptServers, x.Returned)
+		if x.ReservedServers[7] != 0 || x.Returned[7] == 0 {
+			t.Errorf("%s: reserved %v, returned %v", x.Name, x.ReservedServers, x.Returned)
 		}
 	}
 	f.waitForPhase(t, id, ledger.Done, 10*Second)
 	f.checkErrors(t)
 }
 
-// TestTimeoutsEndDrainAndWork: a drain that ends with sessions left, and work that nobody reports as done, go on when
-// their timeouts expire.
+// TestTimeoutsEndDrainAndWork: a drain that ends with sessions left, and work that nobody reports as done, continue
+// when their timeouts expire.
 func TestTimeoutsEndDrainAndWork(t *testing.T) {
 	f := newSmallFleet(t, 2)
 	f.Fronts[1].Sessions = map[uint32]core.ServerLoad{1: {Sessions: 1, KB: 100}}
-	a := f.waitForAnswer(t, f.Command(f.Fronts[0], workRequest("a", 1))).ID
+	a := f.waitForReply(t, f.Command(f.Fronts[0], workRequest("a", 1))).ID
 	f.waitForPhase(t, a, ledger.Draining, 20*Second)
-	b := f.waitForAnswer(t, f.Command(f.Fronts[0], workRequest("b", 2))).ID // in the same rack
+	b := f.waitForReply(t, f.Command(f.Fronts[0], workRequest("b", 2))).ID // in the same rack
 	f.waitForPhase(t, a, ledger.Out, 90*Second)
 	if why, _ := f.Leader().Core.WaitReason(b); why.Limit != "rack" || f.phase(b) != ledger.Requested {
 		t.Errorf("second request in one rack: %s, %+v", f.phase(b), why)
@@ -139,7 +140,7 @@
 func TestRepeatedCommandMakesOneWork(t *testing.T) {
 	f := newSmallFleet(t, 3)
 	x, y := f.Command(f.Fronts[0], workRequest("a", 1)), f.Command(f.Fronts[4], workRequest("a", 1))
-	if p, q := f.waitForAnswer(t, x), f.waitForAnswer(t, y); p.ID != q.ID || p.ID == 0 {
+	if p, q := f.waitForReply(t, x), f.waitForReply(t, y); p.ID != q.ID || p.ID == 0 {
 		t.Fatalf("%+v and %+v", p, q)
 	}
 	f.Run(5 * Second)
@@ -148,12 +149,12 @@
 	}
 }
 
-// TestLeaderFailsAfterGrant: the leader is killed, or is stopped for 10 s and goes on as if it still led, between a
+// TestLeaderFailsAfterGrant: the leader is killed, or is stopped for 10 s and resumes as if it still led, between a
 // grant and its announcement. There must be one grant only, and the work must go out.
 func TestLeaderFailsAfterGrant(t *testing.T) {
 	for _, stopped := range []bool{false, true} {
 		f := newSmallFleet(t, 4)
-		id := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 7))).ID
+		id := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("a", 7))).ID
 		f.waitForPhase(t, id, ledger.Granted, 5*Second)
 		old := f.Leader()
 		if stopped {
@@ -165,7 +166,7 @@
 		}
 		b := f.Command(f.Fronts[4], workRequest("b", 8))
 		f.Run(12 * Second)
-		f.waitForAnswer(t, b)
+		f.waitForReply(t, b)
 		f.waitForPhase(t, id, ledger.Out, 40*Second)
 		f.Run(20 * Second)
 		granted := 0
@@ -196,7 +197,7 @@
 		copied := x.Disk.Copy()
 		f.Start(x)
 		f.Run(5 * Second)
-		first := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
+		first := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 		f.Run(2 * Second)
 		f.Kill(x)
 		f.Run(4 * Second)
@@ -217,35 +218,35 @@
 		}
 		f.Run(5 * Second)
 		f.waitForPhase(t, first, ledger.Out, 30*Second)
-		if got := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("b", 12))); got.Err != "" {
+		if got := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("b", 12))); got.Err != "" {
 			t.Errorf("older copy %v: %+v, %v", restored, got, x.Log)
 		}
 		f.checkErrors(t)
 	}
 }
 
-// TestMinorityAgreesOnNothing: in a partition of 2 and 3 fronts, the side without a majority agrees on nothing and
+// TestMinorityCommitsNothing: in a partition of 2 and 3 fronts, the side without a majority commits nothing and
 // forgets nothing that is out; after it, all fronts catch up.
-func TestMinorityAgreesOnNothing(t *testing.T) {
+func TestMinorityCommitsNothing(t *testing.T) {
 	f := newSmallFleet(t, 6)
-	id := f.waitForAnswer(t, f.Command(f.Fronts[0], workRequest("a", 1))).ID
+	id := f.waitForReply(t, f.Command(f.Fronts[0], workRequest("a", 1))).ID
 	f.waitForPhase(t, id, ledger.Out, 20*Second)
 	minority := map[string]bool{"f001": true, "f004": true}
 	f.Blocked = func(from, to string) bool { return minority[from] != minority[to] }
 	f.Run(5 * Second)
 	left, right := f.Command(f.Fronts[3], workRequest("left", 4)), f.Command(f.Fronts[4], workRequest("right", 7))
-	if a := f.waitForAnswer(t, left); a.Err != core.ErrUnknown {
-		t.Errorf("the minority agreed on %+v", a)
+	if a := f.waitForReply(t, left); a.Err != core.ErrUnknown {
+		t.Errorf("the minority committed %+v", a)
 	}
-	if a := f.waitForAnswer(t, right); a.Err != "" {
+	if a := f.waitForReply(t, right); a.Err != "" {
 		t.Errorf("the majority: %+v", a)
 	}
-	if f.Fronts[3].KeptServers[1] != id {
+	if f.Fronts[3].ReservedServers[1] != id {
 		t.Error("the minority forgot what is out")
 	}
 	f.Blocked = nil
 	f.Run(15 * Second)
-	if a := f.waitForAnswer(t, f.Command(f.Fronts[3], workRequest("left", 4))); a.Err != "" {
+	if a := f.waitForReply(t, f.Command(f.Fronts[3], workRequest("left", 4))); a.Err != "" {
 		t.Errorf("after the partition: %+v", a)
 	}
 	f.waitForPhase(t, id, ledger.Done, 60*Second)
@@ -271,7 +272,7 @@
 	}
 	f.Blocked = func(from, to string) bool { return from == "f002" }
 	f.Run(10 * Second)
-	id := f.waitForAnswer(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
+	id := f.waitForReply(t, f.Command(f.Fronts[4], workRequest("a", 1))).ID
 	f.waitForPhase(t, id, ledger.Out, 40*Second)
 	f.Blocked = nil
 	f.Run(5 * Second)
@@ -281,14 +282,14 @@
 	f.Run(Second)
 	for _, x := range f.Fronts {
 		f.Start(x)
-		if x.KeptServers[1] != id {
+		if x.ReservedServers[1] != id {
 			t.Errorf("%s does not know after its start what is out", x.Name)
 		}
 	}
 	if !f.RunUntil(15*Second, func() bool { return f.Leader() != nil }) {
 		t.Fatal("no leader after all fronts restarted")
 	}
-	f.waitForAnswer(t, f.Command(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "d", ID: id}))
+	f.waitForReply(t, f.Command(f.Fronts[2], ledger.Entry{Kind: ledger.KindDone, Key: "d", ID: id}))
 	f.waitForPhase(t, id, ledger.Done, 20*Second)
 	f.checkErrors(t)
 }
--- a/internal/fleet/fleetsim/scale_test.go
+++ b/internal/fleet/fleetsim/scale_test.go
@@ -24,7 +24,8 @@
 			Patience: 60 * Second}})
 	var servers []core.Server
 	for i := range 200 {
-		servers = append(servers, core.Server{ID: uint32(i + 1), Rack: i / 5, Zone: i / 20, LinkKB: 100_000, Ready: true})
+		servers = append(servers, core.Server{ID: uint32(i + 1), Rack: i / 5, Zone: i / 20, LinkKB: 100_000,
+			Ready: true})
 	}
 	f.Servers(servers, nil)
 	for _, x := range f.Fronts {
@@ -39,7 +40,7 @@
 	return f
 }
 
-// sendRate gives the bytes per second that fronts send over a time d: the mean, and the highest with the front's
+// sendRate returns the bytes per second that fronts send over a time d: the mean, and the highest with the front's
 // name.
 func sendRate(f *Fleet, d Time) (mean, highest float64, name string) {
 	before := map[*Front]uint64{}
@@ -57,7 +58,7 @@
 	return mean, highest, name
 }
 
-// grantDelays gives how long after the first front the others learned of a grant.
+// grantDelays returns how long after the first front the others learned of a grant.
 func grantDelays(f *Fleet, id uint64) (p50, p99 Time, n int) {
 	first := Time(1 << 62)
 	var list []Time
@@ -74,13 +75,14 @@
 	return list[len(list)/2], list[len(list)*99/100], len(list)
 }
 
-// runAllWorks has work done on all 200 servers and gives how long that took.
+// runAllWorks has work done on all 200 servers and returns how long that took.
 func runAllWorks(b *testing.B, f *Fleet, fault func()) Time {
 	b.Helper()
 	startedAt := f.Now
 	for i := range 200 {
-		e := ledger.Entry{Kind: ledger.KindRequest, Key: fmt.Sprint("w", i), Request: &ledger.Request{Names: []string{fmt.Sprint("server:", i+1)}, WorkDuration: 30 * Second,
-			Servers: []ledger.Place{{Server: uint32(i + 1), Rack: i / 5, Zone: i / 20}}}}
+		e := ledger.Entry{Kind: ledger.KindRequest, Key: fmt.Sprint("w", i),
+			Request: &ledger.Request{Names: []string{fmt.Sprint("server:", i+1)}, WorkDuration: 30 * Second,
+				Servers: []ledger.Place{{Server: uint32(i + 1), Rack: i / 5, Zone: i / 20}}}}
 		f.Command(f.Fronts[f.rng.Intn(3)], e)
 		f.Run(20 * Millisecond)
 	}
@@ -170,6 +172,6 @@
 				f.Kill(x)
 			}
 		})
-		b.Logf("46 %% of the fronts die at once, a voter among them: 200 machines in %d s", took/Second)
+		b.Logf("46 %% of the fronts fail at once, a voter among them: 200 machines in %d s", took/Second)
 	})
 }
--- a/internal/fleet/ledger/ledger.go
+++ b/internal/fleet/ledger/ledger.go
@@ -130,9 +130,10 @@
 
 // State is the replicated state after the entries up to Index.
 type State struct {
-	Format      int                      `json:"v"`
-	Cluster     string                   `json:"cluster"` // identifies the record: entries of another record are not applied
-	Index       uint64                   `json:"index"`   // of the last entry applied
+	Format int `json:"v"`
+	// Cluster identifies the record: entries of another record are not applied.
+	Cluster     string                   `json:"cluster"`
+	Index       uint64                   `json:"index"` // of the last entry applied
 	Now         Time                     `json:"now"`
 	LastGrant   uint64                   `json:"granted"` // index of the last grant
 	NewerFormat int                      `json:"newer"`   // the newest unsupported format of an entry; 0: none
--- a/internal/fleet/ledger/ledger_test.go
+++ b/internal/fleet/ledger/ledger_test.go
@@ -73,9 +73,13 @@
 		b := New()
 		for i := range rapid.IntRange(1, 60).Draw(t, "entries") {
 			id := uint64(rapid.IntRange(1, i+2).Draw(t, "id"))
-			e := Entry{Kind: rapid.SampledFrom([]Kind{KindRequest, KindGrant, KindAdvance, KindRefuse, KindCancel, KindDone, "no"}).Draw(t, "kind"),
-				At: Time(rapid.IntRange(0, 100).Draw(t, "at")), ID: id, Key: rapid.SampledFrom([]string{"", "", "x", "y"}).Draw(t, "key"),
-				Request: requestEntry(uint32(id)).Request, PrevPhase: rapid.SampledFrom([]Phase{Granted, Draining, Out, Back}).Draw(t, "was")}
+			e := Entry{
+				Kind: rapid.SampledFrom([]Kind{KindRequest, KindGrant, KindAdvance, KindRefuse, KindCancel, KindDone,
+					"no"}).Draw(t, "kind"),
+				At: Time(rapid.IntRange(0, 100).Draw(t, "at")), ID: id,
+				Key:       rapid.SampledFrom([]string{"", "", "x", "y"}).Draw(t, "key"),
+				Request:   requestEntry(uint32(id)).Request,
+				PrevPhase: rapid.SampledFrom([]Phase{Granted, Draining, Out, Back}).Draw(t, "was")}
 			e.NextPhase = map[Phase]Phase{Granted: Draining, Draining: Out, Out: Back, Back: Done}[e.PrevPhase]
 			if e.Basis = a.LastGrant; rapid.IntRange(0, 4).Draw(t, "old") == 0 {
 				e.Basis = 0
@@ -133,7 +137,8 @@
 }
 
 func FuzzApply(f *testing.F) {
-	for _, e := range []Entry{requestEntry(1), {Kind: KindGrant, ID: 2}, {Kind: KindAdvance, ID: 2, PrevPhase: Granted, NextPhase: Draining}} {
+	for _, e := range []Entry{requestEntry(1), {Kind: KindGrant, ID: 2},
+		{Kind: KindAdvance, ID: 2, PrevPhase: Granted, NextPhase: Draining}} {
 		b, _ := e.Encode()
 		f.Add(b)
 	}
--- a/internal/fleet/node/bench_test.go
+++ b/internal/fleet/node/bench_test.go
@@ -20,7 +20,8 @@
 	for range b.N {
 		var all []*members
 		start := func(i int, addr, seed string) *members {
-			m, err := newMembers(Config{Name: fmt.Sprintf("f%03d", i), Cluster: "bench", Listen: addr, Join: []string{"f000=" + seed}, Keys: [][]byte{key}}, zerolog.Nop(),
+			m, err := newMembers(Config{Name: fmt.Sprintf("f%03d", i), Cluster: "bench", Listen: addr,
+				Join: []string{"f000=" + seed}, Keys: [][]byte{key}}, zerolog.Nop(),
 				func(string, []byte) {}, func() {})
 			if err != nil {
 				b.Fatal(err)
@@ -34,7 +35,8 @@
 		for i := range fronts {
 			all = append(all, start(i, addrs[i], addrs[0]))
 		}
-		for startedAt := time.Now(); len(all[fronts-1].all()) < fronts-1 || len(all[0].all()) < fronts-1; time.Sleep(100 * time.Millisecond) {
+		for startedAt := time.Now(); len(all[fronts-1].all()) < fronts-1 ||
+			len(all[0].all()) < fronts-1; time.Sleep(100 * time.Millisecond) {
 			if time.Since(startedAt) > time.Minute {
 				b.Fatal("not all members were present within a minute")
 			}
--- a/internal/fleet/node/control.go
+++ b/internal/fleet/node/control.go
@@ -48,7 +48,7 @@
 // WorkStatus is a work as the control API reports it.
 type WorkStatus struct {
 	ledger.Work
-	WaitReason *upkeep.Answer `json:"waits,omitempty"` // reported by the leader; absent: it did not answer
+	WaitReason *upkeep.Answer `json:"waits,omitempty"` // reported by the leader; absent: it did not reply
 }
 
 // Listing is the response of GET /upkeep.
@@ -110,7 +110,7 @@
 
 func (c *control) close() { c.server.Close() }
 
-// ControlAddr gives the address of the control API, "" if there is none.
+// ControlAddr returns the address of the control API, "" if there is none.
 func (n *Node) ControlAddr() string {
 	if n.control == nil {
 		return ""
@@ -119,22 +119,22 @@
 }
 
 // requestEntry checks a request as far as this front can and makes a ledger entry of it.
-func (n *Node) requestEntry(ctx context.Context, a WorkRequest) (e ledger.Entry, err error) {
-	if a.WorkDuration < time.Second || a.WorkDuration > 30*24*time.Hour {
-		return e, fmt.Errorf("work of %v: the duration must be 1 s to 30 days", a.WorkDuration)
+func (n *Node) requestEntry(ctx context.Context, body WorkRequest) (e ledger.Entry, err error) {
+	if body.WorkDuration < time.Second || body.WorkDuration > 30*24*time.Hour {
+		return e, fmt.Errorf("work of %v: the duration must be 1 s to 30 days", body.WorkDuration)
 	}
-	if len(a.Note) > 1000 || len(a.Key) > 100 {
+	if len(body.Note) > 1000 || len(body.Key) > 100 {
 		return e, errors.New("the note is longer than 1000 or the key longer than 100 characters")
 	}
 	var request ledger.Request
-	if inspectErr := n.Inspect(ctx, func(c *core.Core) { request, err = c.Resolve(a.Names) }); inspectErr != nil {
+	if inspectErr := n.Inspect(ctx, func(c *core.Core) { request, err = c.Resolve(body.Names) }); inspectErr != nil {
 		return e, inspectErr
 	}
-	request.WorkDuration, request.Deadline, request.Note = int64(a.WorkDuration), a.Deadline, a.Note
-	return ledger.Entry{Kind: ledger.KindRequest, Key: a.Key, Request: &request}, err
+	request.WorkDuration, request.Deadline, request.Note = int64(body.WorkDuration), body.Deadline, body.Note
+	return ledger.Entry{Kind: ledger.KindRequest, Key: body.Key, Request: &request}, err
 }
 
-// execute runs an entry as a command and writes its answer, or err as the response if there is one already.
+// execute runs an entry as a command and writes its result, or err as the response if it is set.
 func (n *Node) execute(w http.ResponseWriter, r *http.Request, e ledger.Entry, err error) {
 	if err != nil {
 		writeReply(w, nil, err)
@@ -146,7 +146,7 @@
 	writeReply(w, a, err)
 }
 
-// listing gives all works, or only the one with the given ID if that is not 0. Only the leader knows why works wait,
+// listing returns all works, or only the one with the given ID if that is not 0. Only the leader knows why works wait,
 // so listing asks it and waits up to waitReasonTimeout for the reply.
 func (n *Node) listing(ctx context.Context, id uint64) (l Listing, err error) {
 	requestedAt := n.now()
@@ -181,7 +181,7 @@
 	}
 }
 
-// decodeBody reads the JSON body of a request into dst; if that fails, it writes the error response and gives false.
+// decodeBody reads the JSON body of a request into dst; if that fails, it writes the error response and returns false.
 func decodeBody(w http.ResponseWriter, r *http.Request, dst any) bool {
 	d := json.NewDecoder(io.LimitReader(r.Body, maxRequestBytes))
 	d.DisallowUnknownFields()
--- a/internal/fleet/node/members.go
+++ b/internal/fleet/node/members.go
@@ -88,8 +88,8 @@
 			return nil, fmt.Errorf("fleet: keys: %w", err)
 		}
 	}
-	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port,
-		Logger: c.Logger})
+	transport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host},
+		BindPort: port, Logger: c.Logger})
 	if err != nil {
 		return nil, fmt.Errorf("fleet: listen on %s: %w", cfg.Listen, err)
 	}
@@ -235,7 +235,7 @@
 	}
 }
 
-// find gives a present member's node, nil if there is none of that name.
+// find returns a present member's node, nil if there is none of that name.
 func (m *members) find(name string) *memberlist.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -245,7 +245,7 @@
 	return nil
 }
 
-// all gives the members that are present.
+// all returns the members that are present.
 func (m *members) all() (list []core.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fleet/node/node.go
+++ b/internal/fleet/node/node.go
@@ -73,7 +73,8 @@
 func New(cfg Config, log zerolog.Logger, keepFree func(core.Reservations)) (*Node, error) {
 	n := &Node{cfg: cfg, log: log.With().Str("part", "fleet").Logger(), inbox: make(chan func(), maxInbox),
 		membersChanged: make(chan struct{}, 1),
-		stop:           make(chan struct{}), done: make(chan struct{}), keepFree: keepFree, replies: map[uint64]chan ledger.CommandResult{}}
+		stop:           make(chan struct{}), done: make(chan struct{}), keepFree: keepFree,
+		replies: map[uint64]chan ledger.CommandResult{}}
 	var start core.StoredState
 	var err error
 	if cfg.Dir != "" {
@@ -87,8 +88,9 @@
 		}
 		return nil, err
 	}
-	n.core, err = core.New(n.now(), core.Config{Name: cfg.Name, Zone: cfg.Zone, Cluster: cfg.Cluster, Voters: cfg.Voters, Limits: cfg.Limits,
-		Timeouts: cfg.Timeouts, StaleAfter: int64(cfg.StaleAfter), RackKB: cfg.RackKB, Random: rand.Uint64, Log: raftLog{n.log}}, start)
+	n.core, err = core.New(n.now(), core.Config{Name: cfg.Name, Zone: cfg.Zone, Cluster: cfg.Cluster,
+		Voters: cfg.Voters, Limits: cfg.Limits, Timeouts: cfg.Timeouts, StaleAfter: int64(cfg.StaleAfter),
+		RackKB: cfg.RackKB, Random: rand.Uint64, Log: raftLog{n.log}}, start)
 	if err != nil {
 		return fail(err)
 	}
@@ -124,7 +126,7 @@
 	}
 }
 
-// enqueue queues a function for the owner goroutine; it gives false if the queue is full or the owner has stopped.
+// enqueue queues a function for the owner goroutine; it returns false if the queue is full or the owner has stopped.
 func (n *Node) enqueue(f func()) bool {
 	select {
 	case <-n.done:
@@ -146,7 +148,7 @@
 	n.enqueue(func() { n.core.SetOwnLoad(n.now(), mine) })
 }
 
-// Command proposes an entry to the fleet and waits for the answer.
+// Command proposes an entry to the fleet and waits for the result.
 func (n *Node) Command(ctx context.Context, e ledger.Entry) (ledger.CommandResult, error) {
 	reply := make(chan ledger.CommandResult, 1)
 	if !n.enqueue(func() {
@@ -224,7 +226,7 @@
 			return
 		}
 		if err := n.disk.Write(e); err != nil {
-			// A vote or an acknowledgement that is sent but not on disk would be forgotten by the next start.
+			// A vote or an acknowledgement that was sent but is not on disk would be lost at the next start.
 			n.diskErr = err
 			n.log.Error().Err(err).Msg("fleet's disk: this front sends nothing more to the fleet")
 		}
@@ -245,7 +247,8 @@
 		}
 	case core.PhaseChanged:
 		w := e.Change.Work
-		n.log.Info().Uint64("work", w.ID).Strs("machines", w.Request.Names).Str("was", string(e.Change.PrevPhase)).Str("phase", string(w.Phase)).
+		n.log.Info().Uint64("work", w.ID).Strs("machines", w.Request.Names).
+			Str("was", string(e.Change.PrevPhase)).Str("phase", string(w.Phase)).
 			Uint64("grant", w.Fence).Str("by", e.Change.From).Str("why", w.Reason).Msg("upkeep")
 	case core.LogMessage:
 		n.log.Info().Msg(e.Text)
--- a/internal/fleet/node/node_test.go
+++ b/internal/fleet/node/node_test.go
@@ -23,7 +23,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// freeAddress gives an address whose port is reserved for TCP and free for UDP.
+// freeAddress returns an address whose port is reserved for TCP and free for UDP.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	for range 50 {
@@ -44,23 +44,24 @@
 // front is a node with its log and the last value passed to keepFree.
 type front struct {
 	*Node
-	mu    sync.Mutex
-	keeps core.Reservations
-	log   bytes.Buffer
+	mu           sync.Mutex
+	reservations core.Reservations
+	log          bytes.Buffer
 }
 
 func (f *front) Write(b []byte) (int, error) { f.mu.Lock(); defer f.mu.Unlock(); return f.log.Write(b) }
 
-func (f *front) keptFor(server uint32) uint64 {
+func (f *front) reservedFor(server uint32) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.keeps.Servers[server]
+	return f.reservations.Servers[server]
 }
 
 func start(t *testing.T, cfg Config) *front {
 	t.Helper()
 	f := &front{}
-	n, err := New(cfg, zerolog.New(f).Level(zerolog.InfoLevel), func(k core.Reservations) { f.mu.Lock(); f.keeps = k; f.mu.Unlock() })
+	n, err := New(cfg, zerolog.New(f).Level(zerolog.InfoLevel),
+		func(k core.Reservations) { f.mu.Lock(); f.reservations = k; f.mu.Unlock() })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,9 +113,12 @@
 		seeds = append(seeds, fmt.Sprintf("f%d=%s", i+1, addrs[i]))
 	}
 	cfg := func(i int) Config {
-		return Config{Name: fmt.Sprintf("f%d", i+1), Cluster: "test", Listen: addrs[i], Join: seeds, Keys: [][]byte{key}, Voters: []string{"f1", "f2", "f3"},
-			Dir: t.TempDir(), Control: "127.0.0.1:0", Limits: upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1, Patience: 1e9},
-			Timeouts: upkeep.Timeouts{AckTimeout: 3e9, DrainTimeout: 10e9, ReturnTimeout: 60e9, WarmUpTime: 1e9}, StaleAfter: 15 * time.Second}
+		return Config{Name: fmt.Sprintf("f%d", i+1), Cluster: "test", Listen: addrs[i], Join: seeds,
+			Keys: [][]byte{key}, Voters: []string{"f1", "f2", "f3"},
+			Dir: t.TempDir(), Control: "127.0.0.1:0", Limits: upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1,
+				Patience: 1e9},
+			Timeouts:   upkeep.Timeouts{AckTimeout: 3e9, DrainTimeout: 10e9, ReturnTimeout: 60e9, WarmUpTime: 1e9},
+			StaleAfter: 15 * time.Second}
 	}
 	var fronts []*front
 	for i := range 4 {
@@ -135,7 +139,8 @@
 		return true
 	})
 	var a ledger.CommandResult
-	if err := call(t, "POST", fronts[3].ControlAddr(), "/upkeep/ask", WorkRequest{Names: []string{"server:1"}, WorkDuration: 10 * time.Second, Key: "a"}, &a); err != nil || a.ID == 0 {
+	if err := call(t, "POST", fronts[3].ControlAddr(), "/upkeep/ask",
+		WorkRequest{Names: []string{"server:1"}, WorkDuration: 10 * time.Second, Key: "a"}, &a); err != nil || a.ID == 0 {
 		t.Fatal(a, err)
 	}
 	phase := func(f *front, id uint64) (p ledger.Phase) {
@@ -148,21 +153,24 @@
 	}
 	waitFor(t, "the work goes out", func() bool { return phase(fronts[3], a.ID) == ledger.Out })
 	for i, f := range fronts {
-		waitFor(t, "every front keeps the server free", func() bool { return f.keptFor(1) == a.ID })
+		waitFor(t, "every front keeps the server free", func() bool { return f.reservedFor(1) == a.ID })
 		_ = i
 	}
 	var b ledger.CommandResult
-	if err := call(t, "POST", fronts[0].ControlAddr(), "/upkeep/ask", WorkRequest{Names: []string{"2"}, WorkDuration: 10 * time.Second, Key: "b"}, &b); err != nil || b.ID == 0 {
+	if err := call(t, "POST", fronts[0].ControlAddr(), "/upkeep/ask",
+		WorkRequest{Names: []string{"2"}, WorkDuration: 10 * time.Second, Key: "b"}, &b); err != nil || b.ID == 0 {
 		t.Fatal(b, err)
 	}
 	for _, f := range fronts {
 		waitFor(t, "every front reports why the work waits", func() bool {
 			var l Listing
 			err := call(t, "GET", f.ControlAddr(), fmt.Sprintf("/upkeep/%d", b.ID), nil, &l)
-			return err == nil && len(l.Works) == 1 && l.Works[0].WaitReason != nil && l.Works[0].WaitReason.Limit == "rack" && l.Works[0].WaitReason.Behind[0] == a.ID
+			return err == nil && len(l.Works) == 1 && l.Works[0].WaitReason != nil &&
+				l.Works[0].WaitReason.Limit == "rack" && l.Works[0].WaitReason.Behind[0] == a.ID
 		})
 	}
-	for path, body := range map[string]any{"/upkeep/ask": map[string]any{"names": []string{"1"}, "why": 1}, "/upkeep/done": WorkCommand{ID: 999, Key: "x"},
+	for path, body := range map[string]any{"/upkeep/ask": map[string]any{"names": []string{"1"}, "why": 1},
+		"/upkeep/done":   WorkCommand{ID: 999, Key: "x"},
 		"/upkeep/cancel": WorkCommand{ID: a.ID, Key: "y"}} {
 		var got ledger.CommandResult
 		if err := call(t, "POST", fronts[1].ControlAddr(), path, body, &got); err == nil && got.Err == "" {
@@ -189,7 +197,8 @@
 	if s := status(fronts[0]); len(s.Fronts) != 4 {
 		t.Errorf("members: %+v", s.Fronts)
 	}
-	if err := call(t, "POST", fronts[2].ControlAddr(), "/upkeep/done", WorkCommand{ID: a.ID, Key: "d"}, &a); err != nil || a.Err != "" {
+	if err := call(t, "POST", fronts[2].ControlAddr(), "/upkeep/done",
+		WorkCommand{ID: a.ID, Key: "d"}, &a); err != nil || a.Err != "" {
 		t.Fatal(a, err)
 	}
 	waitFor(t, "the work is done", func() bool { return phase(fronts[3], a.ID) == ledger.Done })
--- a/internal/fleet/quorum/lives.go
+++ b/internal/fleet/quorum/identity.go
@@ -37,8 +37,9 @@
 // MaxIncarnations limits the IDs stored: few voters are ever replaced.
 const MaxIncarnations = 1024
 
-// Record stores a received incarnation. changed means that l has changed and is to be written to disk; stale that the
-// incarnation is of a disk restored from an older copy: a later one is known, or another one with the same count.
+// Record stores a received incarnation. changed reports that l has changed and is to be written to disk; stale reports
+// that the incarnation is of a disk restored from an older copy: a later one is known, or another one with the same
+// count.
 func (l Incarnations) Record(identity Identity) (changed, stale bool) {
 	if identity.ID == 0 {
 		return false, false
--- a/internal/fleet/quorum/quorum.go
+++ b/internal/fleet/quorum/quorum.go
@@ -37,7 +37,8 @@
 
 // Empty reports whether the disk holds no data.
 func (d *Disk) Empty() bool {
-	return d == nil || raft.IsEmptyHardState(d.Hard) && len(d.Entries) == 0 && (d.Snap == nil || raft.IsEmptySnap(d.Snap))
+	return d == nil || raft.IsEmptyHardState(d.Hard) && len(d.Entries) == 0 &&
+		(d.Snap == nil || raft.IsEmptySnap(d.Snap))
 }
 
 // Node is one voter. It is not safe for use by several goroutines.
@@ -69,7 +70,8 @@
 func InitialDisk(voters []uint64, state []byte) *Disk {
 	one := uint64(1)
 	return &Disk{Hard: &pb.HardState{Term: &one, Vote: new(uint64), Commit: &one},
-		Snap: &pb.Snapshot{Data: state, Metadata: &pb.SnapshotMetadata{ConfState: &pb.ConfState{Voters: voters}, Index: &one, Term: &one}}}
+		Snap: &pb.Snapshot{Data: state, Metadata: &pb.SnapshotMetadata{ConfState: &pb.ConfState{Voters: voters},
+			Index: &one, Term: &one}}}
 }
 
 // New creates a voter from the data on its disk. A voter with an empty disk waits until it receives the record.
@@ -99,14 +101,16 @@
 		if disk.Hard != nil {
 			last, _ := n.store.LastIndex()
 			if disk.Hard.GetCommit() > last {
-				return nil, fmt.Errorf("quorum: the log ends at entry %d, but entry %d was committed", last, disk.Hard.GetCommit())
+				return nil, fmt.Errorf("quorum: the log ends at entry %d, but entry %d was committed",
+					last, disk.Hard.GetCommit())
 			}
 			n.store.SetHardState(disk.Hard)
 		}
 	}
-	n.raw, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: ElectionTicks, HeartbeatTick: HeartbeatTicks, Storage: n.store,
-		Applied: applied, MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: maxMessageBytes, MaxUncommittedEntriesSize: maxUncommittedBytes,
-		MaxInflightMsgs: maxInflight, CheckQuorum: true, PreVote: true, Logger: log})
+	n.raw, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: ElectionTicks, HeartbeatTick: HeartbeatTicks,
+		Storage: n.store, Applied: applied, MaxSizePerMsg: maxMessageBytes, MaxCommittedSizePerReady: maxMessageBytes,
+		MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: maxInflight,
+		CheckQuorum: true, PreVote: true, Logger: log})
 	return n, err
 }
 
@@ -193,7 +197,8 @@
 		case pb.EntryConfChange, pb.EntryConfChangeV2:
 			if cc, err := decodeConfChange(e); err == nil {
 				n.confState = n.raw.ApplyConfChange(cc)
-				n.sinceSnapshot = EntriesPerSnapshot // snapshot at once: a voter is only sent a snapshot that lists it as a voter
+				// Snapshot at once: a voter is only sent a snapshot that lists it as a voter.
+				n.sinceSnapshot = EntriesPerSnapshot
 			}
 			// It counts as an entry but holds no data for the ledger.
 			effects.Committed = append(effects.Committed, &pb.Entry{Index: e.Index, Term: e.Term})
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -47,7 +47,7 @@
 	WorkEnded      = "ended"   // work ended; Ref: its number; Text: how and why
 	ServerTakenOut = "out"     // a server was released for work Ref: it belongs to whoever works on it
 	ServerReturned = "back"    // the server was started again
-	FrontIsolated  = "deaf"    // a front was cut off from the others: it can't know what they agree on
+	FrontIsolated  = "deaf"    // a front was cut off from the others: it can't know what they commit
 	FrontRejoined  = "heard"   // the front is connected to the others again
 	FleetSettled   = "settled" // the fleet is idle: all work is expected to have ended
 	// Events of the scripted day.
--- a/internal/rig/bench_test.go
+++ b/internal/rig/bench_test.go
@@ -22,7 +22,8 @@
 			b.Fatal(err)
 		}
 		o := func() day.Options {
-			return day.Options{Command: []string{os.Args[0], "-test.run=^$"}, Dir: b.TempDir(), Out: os.Stderr, Env: []string{"AS_FRONT=1"}, NoRecord: true}
+			return day.Options{Command: []string{os.Args[0], "-test.run=^$"}, Dir: b.TempDir(), Out: os.Stderr,
+				Env: []string{"AS_FRONT=1"}, NoRecord: true}
 		}
 		off, err := day.Open(ctx, s, o())
 		if err != nil {
@@ -38,8 +39,10 @@
 		var p50, p99 [2][]float64
 		for range 6 {
 			for i, front := range []func(int) (string, string){off.Front, on.Front} {
-				r, err := load.Run(ctx, load.Plan{Front: front, Clients: 40, Rate: 300, Duration: 6 * time.Second, Shape: load.Poisson, Titles: on.TitleNames(),
-					HoldTime: [2]time.Duration{100 * time.Millisecond, 500 * time.Millisecond}, Classes: []string{"safe"}, Seed: 1}, nil)
+				r, err := load.Run(ctx, load.Plan{Front: front, Clients: 40, Rate: 300, Duration: 6 * time.Second,
+					Shape: load.Poisson, Titles: on.TitleNames(),
+					HoldTime: [2]time.Duration{100 * time.Millisecond, 500 * time.Millisecond},
+					Classes:  []string{"safe"}, Seed: 1}, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/rig/commands.go
+++ b/internal/rig/commands.go
@@ -44,8 +44,10 @@
 	for _, s := range servers {
 		names = append(names, fmt.Sprint("server:", s))
 	}
-	r.Record().Add(record.Event{Source: "operator", Kind: record.WorkRequested, Ref: key, Text: strings.Join(names, " ")})
-	return r.command(ctx, front, "ask", Call{Key: key}, node.WorkRequest{Names: names, WorkDuration: 3 * time.Second, Key: key})
+	r.Record().Add(record.Event{Source: "operator", Kind: record.WorkRequested, Ref: key,
+		Text: strings.Join(names, " ")})
+	return r.command(ctx, front, "ask", Call{Key: key},
+		node.WorkRequest{Names: names, WorkDuration: 3 * time.Second, Key: key})
 }
 
 // CommandWork cancels a work or reports it done.
@@ -53,38 +55,38 @@
 	return r.command(ctx, front, kind, Call{Key: key, ID: id}, node.WorkCommand{ID: id, Key: key})
 }
 
-// command sends a command and records it with its answer, for the check of the history.
+// command sends a command and records it with its result, for the check of the history.
 func (r *Rig) command(ctx context.Context, front int, kind string, call Call, body any) (ledger.CommandResult, error) {
 	call.Kind, call.StartedAt = kind, time.Now().UnixNano()
-	err := r.call(ctx, front, "POST", "/upkeep/"+kind, body, &call.Answer)
+	err := r.call(ctx, front, "POST", "/upkeep/"+kind, body, &call.Result)
 	call.EndedAt = time.Now().UnixNano()
-	call.Unknown = err != nil || call.Answer.Err == core.ErrUnknown
+	call.Unknown = err != nil || call.Result.Err == core.ErrUnknown
 	r.mu.Lock()
 	r.calls = append(r.calls, call)
 	r.mu.Unlock()
-	return call.Answer, err
+	return call.Result, err
 }
 
-// Calls gives all commands that were sent, with their answers.
+// Calls returns all commands that were sent, with their results.
 func (r *Rig) Calls() []Call {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Call(nil), r.calls...)
 }
 
-// Status gives the fleet's status as a front reports it.
+// Status returns the fleet's status as a front reports it.
 func (r *Rig) Status(ctx context.Context, front int) (s core.Status, err error) {
 	err = r.call(ctx, front, "GET", "/fleet", nil, &s)
 	return s, err
 }
 
-// Works gives all works as a front lists them.
+// Works returns all works as a front lists them.
 func (r *Rig) Works(ctx context.Context, front int) (l node.Listing, err error) {
 	err = r.call(ctx, front, "GET", "/upkeep", nil, &l)
 	return l, err
 }
 
-// Leader gives the voter that reports itself as leader with fresh state, -1 if there is none.
+// Leader returns the voter that reports itself as leader with fresh state, -1 if there is none.
 func (r *Rig) Leader(ctx context.Context) int {
 	for i := range r.voters {
 		if r.isDown(i) {
@@ -100,7 +102,7 @@
 	return -1
 }
 
-// isDown tells whether a front is killed or paused.
+// isDown reports whether a front is killed or paused.
 func (r *Rig) isDown(i int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rig/dayscript.go
+++ b/internal/rig/dayscript.go
@@ -21,14 +21,15 @@
   (stall-cost 8) (change-cost 0.5) (max-attempts 4) (retry-after-most 500ms) (connect-wait 250ms) (drain-grace 250ms)
   (price-move 0.02) (cold (span 2s) (from 0.4) (times 3) (over 1s)) (budget (spare 50) (ratio 1) (span 10s)))`
 
-// StartViewers starts a load of viewers until ctx ends or the timeout is over. The function it gives waits for the
-// last of them.
+// StartViewers starts a load of viewers until ctx ends or the timeout is over. The returned function waits for
+// the last of them.
 func (r *Rig) StartViewers(ctx context.Context, timeout time.Duration) (wait func() error) {
 	done := make(chan error, 1)
 	go func() {
 		_, err := load.Run(ctx, load.Plan{Front: r.Front, Clients: 30, Rate: 25, Duration: timeout,
 			Shape: load.Poisson, Titles: r.TitleNames(),
-			HoldTime: [2]time.Duration{500 * time.Millisecond, 4 * time.Second}, Classes: []string{"safe", "paid"}, Seed: 1, ReconnectDelay: 200 * time.Millisecond}, r.Record())
+			HoldTime: [2]time.Duration{500 * time.Millisecond, 4 * time.Second}, Classes: []string{"safe", "paid"},
+			Seed: 1, ReconnectDelay: 200 * time.Millisecond}, r.Record())
 		if ctx.Err() != nil {
 			err = nil
 		}
@@ -37,7 +38,7 @@
 	return func() error { return <-done }
 }
 
-// Rules gives the upkeep limits that the rig's records are judged by.
+// Rules returns the upkeep limits that the rig's records are judged by.
 func (r *Rig) Rules() audit.UpkeepLimits {
 	u := Limits
 	u.Cells, u.Racks, u.Zones = r.Topology()
--- a/internal/rig/faults.go
+++ b/internal/rig/faults.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// setIsolated records that a front can't learn what is agreed on, or can again: the auditor must not judge what it
-// sends meanwhile by what it could not know.
+// setIsolated records that a front can't learn what is committed, or can again: the auditor must not judge what it
+// sends meanwhile by commits that it could not know of.
 func (r *Rig) setIsolated(front int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +78,8 @@
 	r.down[front] = false
 	isolated := r.isolated[front]
 	r.mu.Unlock()
-	for deadline := time.Now().Add(10 * time.Second); isolated && err == nil && time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); isolated && err == nil &&
+		time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if s, statusErr := r.Status(context.Background(), front); statusErr == nil && s.Fresh && s.Index > 1 {
 			r.setIsolated(front, false)
 			break
--- a/internal/rig/history.go
+++ b/internal/rig/history.go
@@ -9,16 +9,16 @@
 )
 
 // state is the state of the sequential model that the history of commands is checked against. The model takes
-// commands one at a time: the numbers of works grow in the order in which requests were agreed on, the same key is
-// the same work, and a work is ended by one command only. A command without an answer may have been carried out or
-// not, at any time after it was sent; that it was shows in a later answer to its key.
+// commands one at a time: the numbers of works grow in the order in which requests were committed, the same key is
+// the same work, and a work is ended by one command only. A command without a reply may have been carried out or
+// not, at any time after it was sent; a later result for its key shows that it was.
 type state struct {
 	lastID uint64
 	keys   map[string]uint64
 	ended  map[uint64]string // works, by the key of the command that ended each
 }
 
-// with gives a changed copy.
+// with returns a changed copy.
 func (s state) with(change func(*state)) state {
 	c := state{lastID: s.lastID, keys: map[string]uint64{}, ended: map[uint64]string{}}
 	for k, v := range s.keys {
@@ -38,22 +38,22 @@
 		s, c := at.(state), in.(Call)
 		if c.Kind == "ask" {
 			if id, known := s.keys[c.Key]; known {
-				return id == c.Answer.ID, s
+				return id == c.Result.ID, s
 			}
-			return c.Answer.ID > s.lastID, s.with(func(n *state) { n.lastID, n.keys[c.Key] = c.Answer.ID, c.Answer.ID })
+			return c.Result.ID > s.lastID, s.with(func(n *state) { n.lastID, n.keys[c.Key] = c.Result.ID, c.Result.ID })
 		}
-		by, over := s.ended[c.ID]
-		return !over || by == c.Key, s.with(func(n *state) { n.ended[c.ID] = c.Key })
+		by, ended := s.ended[c.ID]
+		return !ended || by == c.Key, s.with(func(n *state) { n.ended[c.ID] = c.Key })
 	},
 	Equal: func(a, b any) bool { return reflect.DeepEqual(a, b) },
 }
 
-// Linearizable tells whether some order of the commands, taken one at a time, explains their answers. It is false,
+// Linearizable reports whether some order of the commands, taken one at a time, explains their results. It is false,
 // too, if the check is not done before the timeout.
 func Linearizable(calls []Call, timeout time.Duration) bool {
 	answered := map[string]Call{}
 	for _, c := range calls {
-		if !c.Unknown && c.Answer.Err == "" {
+		if !c.Unknown && c.Result.Err == "" {
 			answered[c.Kind+c.Key] = c
 		}
 	}
@@ -64,9 +64,9 @@
 			if !known {
 				continue
 			}
-			c.Answer, c.EndedAt = other.Answer, math.MaxInt64
+			c.Result, c.EndedAt = other.Result, math.MaxInt64
 		}
-		if c.Answer.Err == "" {
+		if c.Result.Err == "" {
 			history = append(history, porcupine.Operation{Input: c, Call: c.StartedAt, Return: c.EndedAt})
 		}
 	}
--- a/internal/rig/net.go
+++ b/internal/rig/net.go
@@ -1,5 +1,5 @@
 // Package rig injects faults between real fronts of a fleet: every ordered pair of them communicates through a relay
-// of its own, TCP and UDP, that can drop, delay, cut one way, stall, reset and pass on again. It is for tests and
+// of its own, TCP and UDP, that can drop, delay, cut one way, stall, reset and restore traffic. It is for tests and
 // scripted days; it runs outside the fronts and may import the stand-ins, the day and the auditor.
 package rig
 
@@ -80,7 +80,7 @@
 	return fmt.Errorf("rig: no port for the relay from %d to %d", r.from, r.to)
 }
 
-// Address gives the address at which one front reaches another.
+// Address returns the address at which one front reaches another.
 func (n *Net) Address(from, to int) string {
 	for _, r := range n.relays {
 		if r.from == from && r.to == to {
@@ -171,7 +171,7 @@
 	}
 }
 
-// track keeps a connection to be closed by Reset or Close; it gives false if the relays are closed.
+// track keeps a connection to be closed by Reset or Close; it returns false if the relays are closed.
 func (n *Net) track(c net.Conn, from, to int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -195,7 +195,7 @@
 func (r *relay) forward(client net.Conn) {
 	defer r.n.group.Done()
 	defer r.n.closeTracked(client)
-	if f := r.n.fault(r.from, r.to); f.Cut { // stands for a connect without an answer: on loopback, a silent connection
+	if f := r.n.fault(r.from, r.to); f.Cut { // emulates an unanswered connect: on loopback, a silent connection
 		io.Copy(io.Discard, client)
 		return
 	}
@@ -240,7 +240,7 @@
 	<-done
 }
 
-// isClosed tells whether Close was called.
+// isClosed reports whether Close was called.
 func (n *Net) isClosed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/rig/operator.go
+++ b/internal/rig/operator.go
@@ -57,7 +57,8 @@
 			r.mu.Unlock()
 		}
 		if ended {
-			r.Record().Add(record.Event{Source: "operator", Kind: record.WorkEnded, Ref: fmt.Sprint(x.ID), Text: string(x.Phase) + ": " + x.Reason})
+			r.Record().Add(record.Event{Source: "operator", Kind: record.WorkEnded, Ref: fmt.Sprint(x.ID),
+				Text: string(x.Phase) + ": " + x.Reason})
 		}
 	}
 }
@@ -103,7 +104,7 @@
 	for _, s := range j.servers {
 		r.Record().Add(record.Event{Source: "operator", Kind: record.ServerReturned, Server: s, Ref: fmt.Sprint(id)})
 	}
-	for try := 0; ctx.Err() == nil; try++ { // report to one front after another until one has it agreed on
+	for try := 0; ctx.Err() == nil; try++ { // report to one front after another until one has it committed
 		front := try % r.fronts
 		if r.isDown(front) {
 			continue
@@ -116,8 +117,8 @@
 	}
 }
 
-// PauseFront stops a front's process, until ResumeFront; what it sends when it goes on may rest on what it knew
-// before.
+// PauseFront stops a front's process until ResumeFront. It counts as isolated meanwhile: what it sends on resuming may
+// be based on outdated state.
 func (r *Rig) PauseFront(front int) {
 	r.setIsolated(front, true)
 	r.mu.Lock()
@@ -126,7 +127,7 @@
 	r.World.PauseFront(front)
 }
 
-// ResumeFront lets a paused front go on.
+// ResumeFront lets a paused front continue.
 func (r *Rig) ResumeFront(front int) {
 	r.World.ResumeFront(front)
 	r.mu.Lock()
--- a/internal/rig/random.go
+++ b/internal/rig/random.go
@@ -16,22 +16,23 @@
 	"tealledge/internal/sexp"
 )
 
-// Step is one fault, or one command of operators. Random steps are drawn from a seed and written as a script that can
+// Step is one fault, or one command of an operator. Random steps are drawn from a seed and written as a script that can
 // be played again:
 //
 //	(faults (fault 1.5s kill 2 0 3s) ...)
 //
 // each with its time, its kind, up to two fronts or servers that it concerns, and how long it lasts.
 type Step struct {
-	At   time.Duration
-	Kind string
-	A, B int
-	For  time.Duration
+	At       time.Duration
+	Kind     string
+	A, B     int
+	Duration time.Duration
 }
 
-// Kinds are the kinds of steps. wipe and putback remove or replace a voter's disk. If a majority of disks is lost at
-// once, the record is lost, which no fleet survives; so these two wait until the fleet is healthy.
-var Kinds = []string{"kill", "freeze", "mute", "split", "stall", "loss", "reset", "fail", "ask", "cancel", "wipe", "putback"}
+// Kinds are the kinds of steps. wipe removes a voter's disk, putback replaces it by an older copy. If a majority of disks
+// is lost at once, the record is lost, which no fleet survives; so these two wait until the fleet is healthy.
+var Kinds = []string{"kill", "freeze", "mute", "split", "stall", "loss", "reset", "fail", "ask", "cancel", "wipe",
+	"putback"}
 
 // kindWeights are the weights of the kinds in a random script. ask has the highest: requests are what faults have to
 // disturb.
@@ -49,7 +50,7 @@
 	at := time.Second
 	for n := 0; n < faults; {
 		s := Step{At: at, Kind: choices[rng.Intn(len(choices))], A: rng.Intn(fronts), B: rng.Intn(fronts),
-			For: time.Duration(800+rng.Intn(3200)) * time.Millisecond}
+			Duration: time.Duration(800+rng.Intn(3200)) * time.Millisecond}
 		if s.Kind == "ask" || s.Kind == "fail" {
 			s.B = 1 + rng.Intn(servers)
 		}
@@ -69,7 +70,7 @@
 func WriteScript(w io.Writer, list []Step) error {
 	fmt.Fprintln(w, "(faults")
 	for _, s := range list {
-		fmt.Fprintf(w, " (fault %v %s %d %d %v)\n", s.At, s.Kind, s.A, s.B, s.For)
+		fmt.Fprintf(w, " (fault %v %s %d %d %v)\n", s.At, s.Kind, s.A, s.B, s.Duration)
 	}
 	_, err := fmt.Fprintln(w, ")")
 	return err
@@ -100,7 +101,7 @@
 			}
 			s := Step{At: r.Duration(argument(1), 0, 24*time.Hour), Kind: r.Choice(argument(2), Kinds...),
 				A: r.Int(argument(3), 0, fronts-1),
-				B: r.Int(argument(4), 0, max(fronts-1, servers)), For: r.Duration(argument(5), 0, time.Hour)}
+				B: r.Int(argument(4), 0, max(fronts-1, servers)), Duration: r.Duration(argument(5), 0, time.Hour)}
 			if s.Kind != "ask" && s.Kind != "fail" && s.B >= fronts {
 				r.Fail(f, "%s: there is no front %d", s.Kind, s.B)
 			}
@@ -114,7 +115,7 @@
 	return list, nil
 }
 
-// Play plays a script and gives the number of faults injected; after the last it waits for a healthy fleet.
+// Play plays a script and returns the number of faults injected; after the last it waits for a healthy fleet.
 func (r *Rig) Play(ctx context.Context, list []Step) (faults int, err error) {
 	p := &scriptRun{Rig: r, reserved: map[int]bool{}, diskCopies: map[int]string{}}
 	startedAt := time.Now()
@@ -147,7 +148,7 @@
 	firstErr   error
 }
 
-// reserve reserves a front or server for a fault; it gives false if another fault is using it.
+// reserve reserves a front or server for a fault; it returns false if another fault is using it.
 func (p *scriptRun) reserve(front int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -174,11 +175,12 @@
 		p.group.Add(1)
 		go func() {
 			defer p.group.Done()
-			time.Sleep(s.For)
+			time.Sleep(s.Duration)
 			f()
 		}()
 	}
-	p.Record().Add(record.Event{Source: "rig", Kind: record.FaultStarted, Text: fmt.Sprintf("%s %d %d", s.Kind, s.A, s.B)})
+	p.Record().Add(record.Event{Source: "rig", Kind: record.FaultStarted,
+		Text: fmt.Sprintf("%s %d %d", s.Kind, s.A, s.B)})
 	switch s.Kind {
 	case "kill":
 		if !p.reserve(s.A) {
@@ -227,14 +229,15 @@
 		p.group.Add(1)
 		go func() {
 			defer p.group.Done()
-			// The request is repeated until it is answered; an abandoned one would come to nothing.
+			// The request is repeated until it is answered; an abandoned one may never reach the fleet.
 			for try := 0; try < 40 && ctx.Err() == nil; try++ {
 				front := (s.A + try) % p.fronts
 				if p.isDown(front) {
 					time.Sleep(50 * time.Millisecond)
 					continue
 				}
-				if a, err := p.RequestWork(ctx, front, fmt.Sprintf("step-%d", i), uint32(s.B)); err == nil && a.Err == "" {
+				if a, err := p.RequestWork(ctx, front, fmt.Sprintf("step-%d", i), uint32(s.B)); err == nil &&
+					a.Err == "" {
 					return
 				}
 			}
@@ -299,7 +302,7 @@
 	return err == nil
 }
 
-// WaitUntilHealthy waits until the fleet is healthy; it gives false if it is not before the timeout.
+// WaitUntilHealthy waits until the fleet is healthy; it returns false if it is not before the timeout.
 func (r *Rig) WaitUntilHealthy(ctx context.Context, timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		if r.healthy(ctx) {
@@ -309,7 +312,7 @@
 	return false
 }
 
-// healthy tells whether one front leads, and all fronts are present and have fresh state.
+// healthy reports whether one front leads, and all fronts are present and have fresh state.
 func (r *Rig) healthy(ctx context.Context) bool {
 	if r.Leader(ctx) < 0 {
 		return false
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -41,20 +41,20 @@
 	ended   bool
 }
 
-// Call is a command and its answer, for the check of the history.
+// Call is a command and its result, for the check of the history.
 type Call struct {
 	Kind               string
 	Key                string
 	ID                 uint64
 	StartedAt, EndedAt int64
-	Answer             ledger.CommandResult
-	Unknown            bool // no answer, or one that does not say whether the command was carried out
+	Result             ledger.CommandResult
+	Unknown            bool // no reply, or one that does not say whether the command was carried out
 }
 
 // Limits are the limits in the rig's settings, for the auditor.
 var Limits = audit.UpkeepLimits{MaxPerRack: 1, MaxPerZone: 2, MaxTotal: 3, Grace: 250 * time.Millisecond}
 
-// settings gives the (fleet ...) form of one front's settings.
+// settings returns the (fleet ...) form of one front's settings.
 func settings(front, fronts, voters int, listen []string, n *Net) string {
 	name := func(i int) string { return fmt.Sprintf("front-%d", i) }
 	b := &strings.Builder{}
@@ -114,7 +114,8 @@
 
 // WaitForWorks waits until all known works have ended, at most 2 minutes.
 func (r *Rig) WaitForWorks(ctx context.Context) {
-	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(2 * time.Minute); time.Now().Before(end) &&
+		ctx.Err() == nil; time.Sleep(50 * time.Millisecond) {
 		open := 0
 		r.mu.Lock()
 		for _, j := range r.jobs {
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -53,7 +53,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	t.Cleanup(cancel)
-	r, err := Open(ctx, s, day.Options{Command: []string{os.Args[0], "-test.run=^$"}, Dir: t.TempDir(), Out: os.Stderr, Env: append(env, "AS_FRONT=1")}, 3)
+	r, err := Open(ctx, s, day.Options{Command: []string{os.Args[0], "-test.run=^$"}, Dir: t.TempDir(),
+		Out: os.Stderr, Env: append(env, "AS_FRONT=1")}, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +77,7 @@
 	t.Fatalf("not within %v: %s", timeout, what)
 }
 
-// waitUntilHealthy waits until the fleet is healthy and gives the leader.
+// waitUntilHealthy waits until the fleet is healthy and returns the leader.
 func waitUntilHealthy(t *testing.T, r *Rig, ctx context.Context) int {
 	t.Helper()
 	waitFor(t, r, "a healthy fleet of five", 45*time.Second, func() bool { return r.healthy(ctx) })
@@ -147,7 +148,7 @@
 	x.t.Logf("%s: %.1f s", name, time.Since(x.startedAt).Seconds())
 }
 
-// otherVoter gives a voter that does not lead.
+// otherVoter returns a voter that does not lead.
 func (x *trial) otherVoter() int { return (x.leader + 1) % 3 }
 
 // judge ends the trial and checks the record of what crossed the stand-ins' sockets.
@@ -264,7 +265,7 @@
 		r.Split(x.leader, 4)
 		if y, err := r.RequestWork(ctx, 4, "minority", 11); err == nil && y.Err == "" &&
 			phase(r, ctx, 4, y.ID) != ledger.Requested {
-			t.Errorf("the minority agreed: %+v", y)
+			t.Errorf("the minority committed a request: %+v", y)
 		}
 		b := requestWork(t, r, ctx, 3, "majority", 6)
 		r.Heal()
@@ -319,7 +320,8 @@
 	if err != nil || !slices.Equal(list, again) || !slices.Equal(list, RandomScript(7, 50, 5, 12)) {
 		t.Fatal(err, len(list), len(again))
 	}
-	for text, want := range map[string]string{"(faults (fault 1s kill 9 0 1s))": "s:1:", "(faults (fault 1s burn 1 0 1s))": "burn", "(fault)": "faults",
+	for text, want := range map[string]string{"(faults (fault 1s kill 9 0 1s))": "s:1:",
+		"(faults (fault 1s burn 1 0 1s))": "burn", "(fault)": "faults",
 		"(faults (fault 1s mute 1 7 1s))": "no front 7"} {
 		if _, err := ReadScript("s", text, 5, 12); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", text, err)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -105,8 +105,8 @@
 }
 
 // TestCrashAtEveryWriteAndSync stops the file system at each operation, with 0 to 100 % of the unsynced data left, and
-// reopens the store. Acknowledged records must be there, records whose deletion was acknowledged must not, there must be
-// no record that was never written, and none may be damaged.
+// reopens the store. Acknowledged records must be there, records whose deletion was acknowledged must not, there must
+// be no record that was never written, and none may be damaged.
 func TestCrashAtEveryWriteAndSync(t *testing.T) {
 	points := 0
 	for n := 1; ; n++ {
@@ -161,9 +161,10 @@
 	t.Log(points, "crash points")
 }
 
-// writeUntilFailure opens a store on a file system that will fail and writes until it does: sixteen sessions one by one,
-// each raised by a rung twice, every third one deleted once its last rung is acknowledged.
-func writeUntilFailure(fs vfs.FS) (written map[uint64]map[int]bool, acknowledged map[uint64]int, deleted map[uint64]bool) {
+// writeUntilFailure opens a store on a file system that will fail and writes until it does: sixteen sessions one by
+// one, each raised by a rung twice, every third one deleted once its last rung is acknowledged.
+func writeUntilFailure(fs vfs.FS) (
+	written map[uint64]map[int]bool, acknowledged map[uint64]int, deleted map[uint64]bool) {
 	written, acknowledged, deleted = map[uint64]map[int]bool{}, map[uint64]int{}, map[uint64]bool{}
 	s, _, err := Open("d", fs)
 	if err != nil {
