--- a/cmd/tealledge/capacity.go
+++ b/cmd/tealledge/capacity.go
@@ -23,8 +23,8 @@
 // maxP99Ms is the highest p99 latency, in milliseconds, at which a front carries a rate.
 const maxP99Ms = 100
 
-// Run finds the highest rate at which the p99 latency is at most maxP99Ms and at least 99% of the requests play. It then
-// offers multiples of that rate.
+// Run finds the highest rate at which the p99 latency is at most maxP99Ms and at least 99% of the requests play. It
+// then offers multiples of that rate.
 func (c *capacityCmd) Run(ctx context.Context) error {
 	if c.Only > 0 {
 		result, err := c.runStep(ctx, c.Only, true)
@@ -39,11 +39,11 @@
 	}
 	fmt.Printf("carried with p99 under %d ms: %.0f requests a second (front on %d core(s), loopback)\n\n",
 		maxP99Ms, capacity, c.Cores)
-	var lines []load.Series
+	var curves []load.Series
 	for _, overloadControl := range []bool{true, false} {
 		name := map[bool]string{true: "with overload decisions", false: "without"}[overloadControl]
 		fmt.Println(name)
-		line := load.Series{Name: name}
+		curve := load.Series{Name: name}
 		for _, factor := range []float64{0.5, 1, 1.5, 2, 3, 4} {
 			result, err := c.runStep(ctx, capacity*factor, overloadControl)
 			if err != nil {
@@ -53,14 +53,15 @@
 				factor, result.Goodput/capacity, result.Kinds["plays"], result.Kinds["refused"],
 				result.Kinds["failed"], result.Kinds["broken"], result.Late, result.Latency.P50,
 				result.Latency.P99, result.Latency.Max)
-			line.X, line.Y = append(line.X, factor), append(line.Y, result.Goodput/capacity)
+			curve.X, curve.Y = append(curve.X, factor), append(curve.Y, result.Goodput/capacity)
 		}
-		lines = append(lines, line)
+		curves = append(curves, curve)
 	}
 	if c.Plot == "" {
 		return nil
 	}
-	return load.Plot(c.Plot, "goodput over offered load (loopback, simulated players)", "offered, times what is carried", "goodput, times what is carried", lines)
+	return load.Plot(c.Plot, "goodput over offered load (loopback, simulated players)",
+		"offered, times what is carried", "goodput, times what is carried", curves)
 }
 
 // findCapacity raises the rate by steps of 20% and returns the last one that the front carried.
--- a/cmd/tealledge/configs_test.go
+++ b/cmd/tealledge/configs_test.go
@@ -53,12 +53,12 @@
 // freeAddr reserves a free listen address for a test and returns it.
 func freeAddr(t testing.TB) string {
 	t.Helper()
-	kept, err := ports.Reserve(1)
+	reserved, err := ports.Reserve(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { kept.Close() })
-	return kept.Addrs[0]
+	t.Cleanup(func() { reserved.Close() })
+	return reserved.Addrs[0]
 }
 
 // object is a JSON object.
@@ -73,9 +73,10 @@
 		"level-worth": []float64{0.5, 1}, "positions": 1, "weight-kb": 3000}}
 }
 
-// startFront starts the program on settings, a server list and a journal address. If wrap is given, it is a command that
-// runs the program.
-func startFront(t testing.TB, settings object, known []wire.Event, journal string, sockets int, wrap ...string) *process {
+// startFront starts the program on settings, a server list and a journal address. If wrap is given, it is a command
+// that runs the program.
+func startFront(t testing.TB, settings object, known []wire.Event, journal string, sockets int,
+	wrap ...string) *process {
 	t.Helper()
 	bin, err := buildProgram()
 	if err != nil {
@@ -155,8 +156,8 @@
 	return time.Since(startedAt)
 }
 
-// waitForSession requests sessions of a class until one plays. If the connection is closed, it connects again, as a refused
-// client does.
+// waitForSession requests sessions of a class until one plays. If the connection is closed, it connects again, as a
+// refused client does.
 func (p *process) waitForSession(world *platformsim.World, class string, sid uint64) {
 	p.t.Helper()
 	closed, refused := 0, 0
@@ -296,9 +297,9 @@
 	}
 }
 
-// Idle clients fill the descriptors while discovery is down. The list, the servers and regular clients must keep theirs, and
-// after the idle clients have disconnected the front must serve as before. The descriptor limit is the system's (ulimit), as
-// on the platform.
+// Idle clients fill the descriptors while discovery is down. The list, the servers and regular clients must keep
+// theirs, and after the idle clients have disconnected the front must serve as before. The descriptor limit is the
+// system's (ulimit), as on the platform.
 func TestServesWhileIdleClientsFillDescriptors(t *testing.T) {
 	world := platformsim.NewWorld()
 	first, err := platformsim.NewServer(world, 0)
--- a/cmd/tealledge/demo.go
+++ b/cmd/tealledge/demo.go
@@ -43,7 +43,8 @@
 		UplinkKB: script.UplinkKB, Racks: settings.Racks,
 		Cells: settings.Cells, SetupTime: script.SetupTime, ReportInterval: script.ReportInterval,
 		NoteDelay:    time.Duration(settings.NoteDelay),
-		NoteInterval: time.Duration(settings.NoteInterval), InlineReports: true, SessionTimeout: script.StreamTTL}, c.Servers, nil)
+		NoteInterval: time.Duration(settings.NoteInterval), InlineReports: true,
+		SessionTimeout: script.StreamTTL}, c.Servers, nil)
 	if err != nil {
 		return err
 	}
@@ -122,8 +123,8 @@
 	return c, c.cmd.Start()
 }
 
-// readUntil reads lines up to one with the given prefix and returns the rest of that line. It passes the earlier lines to
-// handle.
+// readUntil reads lines up to one with the given prefix and returns the rest of that line. It passes the earlier lines
+// to handle.
 func (c *child) readUntil(prefix string, handle func(string)) (string, error) {
 	for c.out.Scan() {
 		if rest, ok := strings.CutPrefix(c.out.Text(), prefix); ok {
@@ -178,8 +179,8 @@
 	}
 	script.Fronts = 1
 	path := filepath.Join(dir, "settings.sexp")
-	if err := os.WriteFile(path, []byte(script.Settings(day.FrontParams{Name: "demo", Listen: c.Listen, ListAddr: listAddr,
-		StateDir: filepath.Join(dir, "state")}, "")), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(script.Settings(day.FrontParams{Name: "demo", Listen: c.Listen,
+		ListAddr: listAddr, StateDir: filepath.Join(dir, "state")}, "")), 0o644); err != nil {
 		return err
 	}
 	front, err := startChild("serve", "--pretty", "-c", path)
--- a/cmd/tealledge/explore.go
+++ b/cmd/tealledge/explore.go
@@ -73,9 +73,9 @@
 	if c.Random {
 		report = explore.RandomWalk(ctx, newWorld, c.Depth, max(workers, 1), c.Time, c.Seed)
 	} else {
-		report = explore.Run(newWorld, explore.Limits{Context: ctx, MaxDepth: c.Depth, MaxDuration: c.Time, MaxStates: c.States,
-			BreadthFirst: c.Breadth, ReplayOnly: c.Replay,
-			Workers: workers, CheckpointFile: c.Keep, World: fmt.Sprintf("%+v", cfg),
+		report = explore.Run(newWorld, explore.Limits{Context: ctx, MaxDepth: c.Depth, MaxDuration: c.Time,
+			MaxStates: c.States, BreadthFirst: c.Breadth, ReplayOnly: c.Replay, Workers: workers,
+			CheckpointFile: c.Keep, World: fmt.Sprintf("%+v", cfg),
 			Progress: func(report explore.Report) { fmt.Fprintln(os.Stderr, report) }})
 	}
 	fmt.Println(report)
@@ -94,9 +94,10 @@
 }
 
 func (c *exploreCmd) config() attempts.Config {
-	return attempts.Config{Sessions: c.Sessions, Servers: c.Servers, Ways: c.Ways, Faults: c.Faults, Losses: c.Losses, Refusals: c.Refusals,
-		Denials: c.Denials, Errors: c.Errors, Leaves: c.Leaves, Breaks: c.Breaks, Drains: c.Drains, Lists: c.Lists, Restarts: c.Restarts,
-		Notes: c.Notes, Waits: c.Waits, Probes: c.Probes, Cold: c.Cold, Budget: c.Budget}
+	return attempts.Config{Sessions: c.Sessions, Servers: c.Servers, Ways: c.Ways, Faults: c.Faults, Losses: c.Losses,
+		Refusals: c.Refusals, Denials: c.Denials, Errors: c.Errors, Leaves: c.Leaves, Breaks: c.Breaks,
+		Drains: c.Drains, Lists: c.Lists, Restarts: c.Restarts, Notes: c.Notes, Waits: c.Waits, Probes: c.Probes,
+		Cold: c.Cold, Budget: c.Budget}
 }
 
 // worldFactory returns a function that creates worlds: empty ones, or worlds in the state that a record shows.
--- a/cmd/tealledge/fleet.go
+++ b/cmd/tealledge/fleet.go
@@ -94,8 +94,8 @@
 	if c.By != "" {
 		t, err := time.Parse(time.RFC3339, c.By)
 		if err != nil {
-			d, bad := time.ParseDuration(c.By)
-			if bad != nil || d <= 0 {
+			d, durationErr := time.ParseDuration(c.By)
+			if durationErr != nil || d <= 0 {
 				return fmt.Errorf("--by %q is neither a time (%s) nor a span (4h)", c.By, time.RFC3339)
 			}
 			t = time.Now().Add(d)
@@ -233,14 +233,14 @@
 	if c.JSON {
 		return printJSON(status)
 	}
-	lead, fresh := status.Leader, "fresh"
-	if lead == "" {
-		lead = "nobody"
+	leader, fresh := status.Leader, "fresh"
+	if leader == "" {
+		leader = "nobody"
 	}
 	if !status.Fresh {
 		fresh = "STALE: machines are kept as last told, nothing is granted as far as this front knows"
 	}
-	fmt.Printf("%s of %s: %s leads, entry %d, heard %d ms ago, %s\n", status.Name, status.Cluster, lead, status.Index,
+	fmt.Printf("%s of %s: %s leads, entry %d, heard %d ms ago, %s\n", status.Name, status.Cluster, leader, status.Index,
 		status.LastContactMs, fresh)
 	switch {
 	case status.Broken:
--- a/cmd/tealledge/flood_test.go
+++ b/cmd/tealledge/flood_test.go
@@ -12,8 +12,8 @@
 	"tealledge/internal/standin/platformsim"
 )
 
-// BenchmarkRequestsDuringConnectionFlood measures how many of 1,000 requests, each on a new connection, are closed without a
-// reply while bursts of 300 clients connect and send nothing. Each iteration is one flood.
+// BenchmarkRequestsDuringConnectionFlood measures how many of 1,000 requests, each on a new connection, are closed
+// without a reply while bursts of 300 clients connect and send nothing. Each iteration is one flood.
 func BenchmarkRequestsDuringConnectionFlood(b *testing.B) {
 	for b.Loop() {
 		world := platformsim.NewWorld()
--- a/cmd/tealledge/load.go
+++ b/cmd/tealledge/load.go
@@ -70,13 +70,14 @@
 		return err
 	}
 	defer world.Close()
-	plan.Front, plan.Titles, plan.Classes, plan.ClassShares = world.Front, script.TitleNames(), script.Service.Classes, script.ClassMix
-	waitTroubles := world.StartFaults(ctx)
+	plan.Front, plan.Titles, plan.Classes, plan.ClassShares =
+		world.Front, script.TitleNames(), script.Service.Classes, script.ClassMix
+	waitFaults := world.StartFaults(ctx)
 	result, err := load.Run(ctx, plan, world.Record())
 	if err != nil {
 		return err
 	}
-	waitTroubles()
+	waitFaults()
 	if err := c.print(result); err != nil {
 		return err
 	}
@@ -144,8 +145,8 @@
 	CPU     string        `name:"cpuprofile" help:"Write a CPU profile of the front to this file." type:"path"`
 }
 
-// Run measures a front and a bare WebSocket echo in turn: sessions per second in closed loops, CPU time per session, the
-// latency that the front adds to an answer, and memory per held session.
+// Run measures a front and a bare WebSocket echo in turn: sessions per second in closed loops, CPU time per session,
+// the latency that the front adds to an answer, and memory per held session.
 func (c *measureCmd) Run(ctx context.Context) error {
 	script, err := unlimitedScript()
 	if err != nil {
@@ -316,8 +317,8 @@
 	return len(list)
 }
 
-// unlimitedScript returns a day without faults, with one front and with servers that accept all set-ups at once, so that
-// only the front limits the results.
+// unlimitedScript returns a day without faults, with one front and with servers that accept all set-ups at once, so
+// that only the front limits the results.
 func unlimitedScript() (*day.Script, error) {
 	script, err := day.QuietDay()
 	if err != nil {
--- a/cmd/tealledge/main.go
+++ b/cmd/tealledge/main.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: front %s, %d classes, %d tenants, %d rungs, %d titles\n", c.File, cfg.Front.Name, len(cfg.Classes), len(cfg.Tenants),
-		len(cfg.Service.RungKB), len(cfg.Titles))
+	fmt.Printf("%s: front %s, %d classes, %d tenants, %d rungs, %d titles\n", c.File, cfg.Front.Name,
+		len(cfg.Classes), len(cfg.Tenants), len(cfg.Service.RungKB), len(cfg.Titles))
 	return nil
 }
--- a/cmd/tealledge/platform.go
+++ b/cmd/tealledge/platform.go
@@ -24,8 +24,8 @@
 const heapShare = 0.6
 
 func (c *platformCmd) Run() error {
-	// Handle signals before anything else: a signal that arrives earlier, such as SIGHUP to a front that is still starting,
-	// would end the process.
+	// Handle signals before anything else: a signal that arrives earlier, such as SIGHUP to a front that is still
+	// starting, would end the process.
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGTERM, os.Interrupt)
 	cfg, err := node.Load(c.Config)
--- a/cmd/tealledge/platform_test.go
+++ b/cmd/tealledge/platform_test.go
@@ -35,8 +35,8 @@
 	return l.b.String()
 }
 
-// Runs the program and signals it in the way of the platform. SIGHUP must reload a valid configuration and keep the current
-// one otherwise; SIGTERM must drain the front before it exits.
+// Runs the program and signals it in the way of the platform. SIGHUP must reload a valid configuration and keep the
+// current one otherwise; SIGTERM must drain the front before it exits.
 func TestReloadAndShutdownSignals(t *testing.T) {
 	bin, err := buildProgram()
 	if err != nil {
--- a/cmd/tealledge/restarts_test.go
+++ b/cmd/tealledge/restarts_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Nine in ten restarted processes must be ready within 10 s. A start depends on its configuration and its listen address
-// only: it must not wait for discovery, which may be silent, refuse connections or not exist, nor for the servers, of
-// which 1,100 are listed and none answers.
+// Nine in ten restarted processes must be ready within 10 s. A start depends on its configuration and its listen
+// address only: it must not wait for discovery, which may be silent, refuse connections or not exist, nor for the
+// servers, of which 1,100 are listed and none answers.
 func TestStartDoesNotWaitForDiscoveryOrServers(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
@@ -37,8 +37,8 @@
 	}
 }
 
-// A process whose listen address is still used by its predecessor must wait for it. If the address stays in use, the process
-// must exit with one line of error.
+// A process whose listen address is still used by its predecessor must wait for it. If the address stays in use, the
+// process must exit with one line of error.
 func TestStartWaitsForAddressInUse(t *testing.T) {
 	previous := startFront(t, siteSettings(), nil, "", 256)
 	previous.waitReady()
@@ -54,7 +54,8 @@
 	third := startFromFile(t, previous.path, previous.addr)
 	select {
 	case err := <-third.ended:
-		if text := third.log.String(); err == nil || strings.Count(text, "\n") != 1 || !strings.Contains(text, "in use") {
+		if text := third.log.String(); err == nil || strings.Count(text, "\n") != 1 ||
+			!strings.Contains(text, "in use") {
 			t.Errorf("%v: %q", err, text)
 		}
 	case <-time.After(10 * time.Second):
--- a/cmd/tealledge/signals_test.go
+++ b/cmd/tealledge/signals_test.go
@@ -11,8 +11,8 @@
 	"tealledge/internal/standin/platformsim"
 )
 
-// These tests replace the configuration file by a named pipe. The pipe blocks the process that reads it, and shows the test
-// that it is being read.
+// These tests replace the configuration file by a named pipe. The pipe blocks the process that reads it, and shows the
+// test that it is being read.
 
 // replaceWithPipe replaces a file by a named pipe and returns the contents of the file.
 func replaceWithPipe(t *testing.T, path string) (text []byte) {
@@ -62,7 +62,8 @@
 	return p, text
 }
 
-// A signal that arrives before the configuration is read must not end the process: it starts, and then handles the signal.
+// A signal that arrives before the configuration is read must not end the process: it starts, and then handles the
+// signal.
 func TestHandlesSignalsBeforeReady(t *testing.T) {
 	t.Run("SIGHUP", func(t *testing.T) {
 		p, text := startAndSignal(t, syscall.SIGHUP)
@@ -86,8 +87,8 @@
 	})
 }
 
-// Requests must be answered while a new configuration is read, however long that takes. Then the new configuration must be
-// applied.
+// Requests must be answered while a new configuration is read, however long that takes. Then the new configuration must
+// be applied.
 func TestServesWhileConfigurationIsRead(t *testing.T) {
 	world := platformsim.NewWorld()
 	first, err := platformsim.NewServer(world, 0)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,7 @@
 	Zones   []string
 	Titles  []Title
 	Fleet   Fleet
-	// Catalogue holds the titles in place of Titles if Front.CatalogueDir is set. The code that runs the front loads it.
+	// Catalogue holds the titles in place of Titles if Front.CatalogueDir is set. The front loads it at its start.
 	Catalogue  *catalogue.Catalogue
 	titleIndex map[string]int
 }
@@ -50,11 +50,12 @@
 	MaxQueuedEvents, MaxMessageBytes, MaxOpenPerConnection, MaxConnections, MaxWriteBufferBytes       int
 	ResumeWindow, MaxHandshakeDelay                                                                   time.Duration
 	MaxOpen, MaxOpenPerTenant                                                                         int
-	HandshakesPerSecond                                                                               int    // handshakes per second
-	NoRateLimiter                                                                                     bool   // the rate limiter is off; for comparison
-	HLSListen                                                                                         string // "": HLS is off
-	HLSKeys                                                                                           []string
-	OriginTimeout, TokenTTL                                                                           time.Duration
+	HandshakesPerSecond                                                                               int
+
+	NoRateLimiter           bool   // the rate limiter is off; for comparison
+	HLSListen               string // "": HLS is off
+	HLSKeys                 []string
+	OriginTimeout, TokenTTL time.Duration
 }
 
 // Title is a title and the cells that hold it: Copies consecutive cells from Home.
@@ -100,12 +101,15 @@
 
 // defaults returns the values of settings that a file may omit.
 func defaults() Front {
-	return Front{Listen: "127.0.0.1:0", ConsulService: "media", LogLevel: "info", Fronts: 1, AnswerMargin: 60 * time.Millisecond,
-		FailsafeMargin: 30 * time.Millisecond, MoveTokenTTL: 30 * time.Second, DrainTimeout: 8 * time.Second, IdleTimeout: 90 * time.Second,
-		PingInterval: 30 * time.Second, WriteTimeout: 2 * time.Second, KeepAliveInterval: 15 * time.Second, StallTimeout: 6 * time.Second,
-		ProbeTimeout: 250 * time.Millisecond, MaxQueuedEvents: 8192, MaxMessageBytes: 64 << 10, MaxOpenPerConnection: 64,
-		MaxConnections: 20_000, MaxWriteBufferBytes: 256 << 10, ResumeWindow: 5 * time.Second, MaxHandshakeDelay: 2 * time.Second, MaxOpen: 20_000,
-		OriginTimeout: 600 * time.Millisecond, TokenTTL: 6 * time.Hour, MaxOpenPerTenant: 10_000, HandshakesPerSecond: 1000}
+	return Front{Listen: "127.0.0.1:0", ConsulService: "media", LogLevel: "info", Fronts: 1,
+		AnswerMargin: 60 * time.Millisecond, FailsafeMargin: 30 * time.Millisecond, MoveTokenTTL: 30 * time.Second,
+		DrainTimeout: 8 * time.Second, IdleTimeout: 90 * time.Second, PingInterval: 30 * time.Second,
+		WriteTimeout: 2 * time.Second, KeepAliveInterval: 15 * time.Second, StallTimeout: 6 * time.Second,
+		ProbeTimeout: 250 * time.Millisecond, MaxQueuedEvents: 8192, MaxMessageBytes: 64 << 10,
+		MaxOpenPerConnection: 64, MaxConnections: 20_000, MaxWriteBufferBytes: 256 << 10,
+		ResumeWindow: 5 * time.Second, MaxHandshakeDelay: 2 * time.Second, MaxOpen: 20_000,
+		OriginTimeout: 600 * time.Millisecond, TokenTTL: 6 * time.Hour, MaxOpenPerTenant: 10_000,
+		HandshakesPerSecond: 1000}
 }
 
 // Load reads a settings file. The error joins all mistakes found, each with its position.
@@ -125,7 +129,8 @@
 	}
 	c := &Config{Front: defaults(), titleIndex: map[string]int{}}
 	r := &Reader{}
-	root := &sexp.Node{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, IsList: true, List: append([]*sexp.Node{{Text: "file"}}, nodes...)}
+	root := &sexp.Node{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, IsList: true,
+		List: append([]*sexp.Node{{Text: "file"}}, nodes...)}
 	r.Fields(root, []string{"front", "service"}, map[string]func(*sexp.Node){
 		"front":   func(n *sexp.Node) { c.readFront(r, n) },
 		"service": func(n *sexp.Node) { c.readService(r, n) },
@@ -170,9 +175,11 @@
 		},
 		"hls": func(n *sexp.Node) {
 			r.Fields(n, []string{"listen", "keys"}, map[string]func(*sexp.Node){
-				"listen":      func(n *sexp.Node) { front.HLSListen = r.Address(n) },
-				"origin-wait": func(n *sexp.Node) { front.OriginTimeout = r.Duration(n, 10*time.Millisecond, 10*time.Second) },
-				"token-for":   func(n *sexp.Node) { front.TokenTTL = r.Duration(n, time.Second, 7*24*time.Hour) },
+				"listen": func(n *sexp.Node) { front.HLSListen = r.Address(n) },
+				"origin-wait": func(n *sexp.Node) {
+					front.OriginTimeout = r.Duration(n, 10*time.Millisecond, 10*time.Second)
+				},
+				"token-for": func(n *sexp.Node) { front.TokenTTL = r.Duration(n, time.Second, 7*24*time.Hour) },
 				"keys": func(n *sexp.Node) { // the first key signs, all keys verify
 					for _, k := range n.Args() {
 						if b, err := hex.DecodeString(k.Text); err != nil || len(b) < 16 {
@@ -223,7 +230,8 @@
 		},
 	})
 	if front.FailsafeMargin >= front.AnswerMargin {
-		r.Fail(n, "timing: last-line (%v) must be less than answer-margin (%v)", front.FailsafeMargin, front.AnswerMargin)
+		r.Fail(n, "timing: last-line (%v) must be less than answer-margin (%v)", front.FailsafeMargin,
+			front.AnswerMargin)
 	}
 }
 
@@ -271,7 +279,8 @@
 	}
 	for _, t := range c.Titles {
 		if t.Home >= settings.Cells || t.Copies > settings.Cells {
-			r.Fail(root, "title %q: home %d and copies %d do not fit %d cells", t.Name, t.Home, t.Copies, settings.Cells)
+			r.Fail(root, "title %q: home %d and copies %d do not fit %d cells", t.Name, t.Home, t.Copies,
+				settings.Cells)
 		}
 	}
 	if _, _, err := net.SplitHostPort(c.Front.Listen); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -74,7 +74,8 @@
 		"(rung 320 0.40)":            {"(rung 320)", "want (rung"},
 		"(title \"guide-ceramics\" ": {"(title ", "want (title"},
 	} {
-		if _, err := Parse("f", strings.Replace(string(text), from, want[0], 1)); err == nil || !strings.Contains(err.Error(), want[1]) {
+		if _, err := Parse("f", strings.Replace(string(text), from, want[0], 1)); err == nil ||
+			!strings.Contains(err.Error(), want[1]) {
 			t.Errorf("%s: %v, want %s", want[0], err, want[1])
 		}
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -22,13 +22,13 @@
 	Limits                              upkeep.Limits
 	Timeouts                            upkeep.Timeouts
 	StaleAfter                          time.Duration
-	ClockSkew                           time.Duration         // offset of the fleet's clock; set by tests, not by a settings file
-	nodes                               map[string]*sexp.Node // forms by name, for positions of errors found after reading
+	ClockSkew                           time.Duration         // offset of the fleet's clock; set by tests only
+	nodes                               map[string]*sexp.Node // forms by name, for the positions of later errors
 	voterZones                          []string              // zones of Voters, in the same order
 }
 
-// maxVoters limits the voters. More of them make a majority slower, and survive no more failures than operators can keep
-// independent of each other.
+// maxVoters limits the voters. More of them make a majority slower, and survive no more failures than operators can
+// keep independent of each other.
 const maxVoters = 5
 
 // readFleet reads the form (fleet ...).
@@ -38,8 +38,8 @@
 	fleet.AddressOverrides = map[string]string{}
 	fleet.Limits = upkeep.Limits{Rack: 1, Zone: 2, Whole: 2, Fronts: 1, Holders: 1, Margin: 0.2, Paid: 20,
 		Patience: upkeep.Time(10 * time.Minute)}
-	fleet.Timeouts = upkeep.Timeouts{AckTimeout: upkeep.Time(10 * time.Second), DrainTimeout: upkeep.Time(10 * time.Minute),
-		ReturnTimeout: upkeep.Time(30 * time.Minute)}
+	fleet.Timeouts = upkeep.Timeouts{AckTimeout: upkeep.Time(10 * time.Second),
+		DrainTimeout: upkeep.Time(10 * time.Minute), ReturnTimeout: upkeep.Time(30 * time.Minute)}
 	fleet.StaleAfter = 15 * time.Second
 	recordNode := func(name string, read func(*sexp.Node)) func(*sexp.Node) {
 		return func(n *sexp.Node) { fleet.nodes[name] = n; read(n) }
@@ -52,7 +52,8 @@
 			fleet.Control = r.Address(n)
 			if host, _, err := net.SplitHostPort(fleet.Control); err == nil {
 				if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
-					r.Fail(n, "control: %q: commands are accepted from this host only, at 127.0.0.1 or [::1]", fleet.Control)
+					r.Fail(n, "control: %q: commands are accepted from this host only, at 127.0.0.1 or [::1]",
+						fleet.Control)
 				}
 			}
 		}),
@@ -156,7 +157,8 @@
 	for i, z := range f.voterZones {
 		if other, taken := zones[z]; z != "" && taken && len(c.Zones) >= len(f.Voters) {
 			r.Fail(node,
-				"voters %q and %q are both in zone %q: the loss of that zone would take two votes", other, f.Voters[i], z)
+				"voters %q and %q are both in zone %q: the loss of that zone would take two votes",
+				other, f.Voters[i], z)
 		}
 		zones[z] = f.Voters[i]
 	}
@@ -180,7 +182,8 @@
 		r.Fail(node, "upkeep: rack %d, racks %d, zone %d, whole %d allow no machine to be out of service",
 			limits.Rack, limits.Racks, limits.Zone, limits.Whole)
 	case limits.Rack > limits.Zone || limits.Zone > limits.Whole:
-		r.Fail(node, "upkeep: rack %d, zone %d, whole %d: none may exceed the next", limits.Rack, limits.Zone, limits.Whole)
+		r.Fail(node, "upkeep: rack %d, zone %d, whole %d: none may exceed the next",
+			limits.Rack, limits.Zone, limits.Whole)
 	}
 	if warmup := c.Service.WarmupTime; f.Timeouts.WarmUpTime == 0 {
 		f.Timeouts.WarmUpTime = max(warmup, upkeep.Time(time.Second))
--- a/internal/config/reader.go
+++ b/internal/config/reader.go
@@ -147,7 +147,8 @@
 	}
 	value, err := time.ParseDuration(text)
 	if err != nil || value < minValue || value > maxValue {
-		r.Fail(n.List[1], "%s: %q is not a duration from %v to %v (such as 250ms or 1.5s)", n.Head(), text, minValue, maxValue)
+		r.Fail(n.List[1], "%s: %q is not a duration from %v to %v (such as 250ms or 1.5s)", n.Head(), text,
+			minValue, maxValue)
 		return minValue
 	}
 	return value
--- a/internal/config/service.go
+++ b/internal/config/service.go
@@ -110,8 +110,10 @@
 			r.Fail(form, "want (rung KB-A-SECOND WORTH)")
 			continue
 		}
-		kb, worth := r.parseFloat(form.List[1], form.List[1].Text, 1, 1e9), r.parseFloat(form.List[2], form.List[2].Text, 0, 1)
-		if count := len(settings.RungKB); count > 0 && (kb <= settings.RungKB[count-1] || worth < settings.RungWorth[count-1]) {
+		kb, worth := r.parseFloat(form.List[1], form.List[1].Text, 1, 1e9),
+			r.parseFloat(form.List[2], form.List[2].Text, 0, 1)
+		if count := len(settings.RungKB); count > 0 &&
+			(kb <= settings.RungKB[count-1] || worth < settings.RungWorth[count-1]) {
 			r.Fail(form, "rungs must be in rising order")
 		}
 		settings.RungKB, settings.RungWorth = append(settings.RungKB, kb), append(settings.RungWorth, worth)
@@ -126,15 +128,19 @@
 	r.readNamed(n, "class", &c.Classes, func(fields *sexp.Node) {
 		class := policy.Class{Worth: 1, Scale: 1, Top: -1}
 		r.Fields(fields, []string{"aim", "deadline"}, map[string]func(*sexp.Node){
-			"aim":      func(n *sexp.Node) { class.SetupTarget = policy.Time(r.Duration(n, time.Millisecond, time.Minute)) },
-			"deadline": func(n *sexp.Node) { class.Deadline = policy.Time(r.Duration(n, time.Millisecond, 10*time.Minute)) },
-			"effect":   func(n *sexp.Node) { class.Paid = r.Choice(n, "safe", "paid") == "paid" },
-			"worth":    func(n *sexp.Node) { class.Worth = r.Float(n, 0, 1e6) },
-			"scale":    func(n *sexp.Node) { class.Scale = r.Float(n, 0.001, 1000) },
-			"floor":    func(n *sexp.Node) { class.Floor = r.Int(n, 0, 63) },
-			"top":      func(n *sexp.Node) { class.Top = r.Int(n, 0, 63) },
-			"seats":    func(n *sexp.Node) { class.Seats = r.Int(n, 0, 1e9) },
-			"live":     func(n *sexp.Node) { class.Live = r.Flag(n) },
+			"aim": func(n *sexp.Node) {
+				class.SetupTarget = policy.Time(r.Duration(n, time.Millisecond, time.Minute))
+			},
+			"deadline": func(n *sexp.Node) {
+				class.Deadline = policy.Time(r.Duration(n, time.Millisecond, 10*time.Minute))
+			},
+			"effect": func(n *sexp.Node) { class.Paid = r.Choice(n, "safe", "paid") == "paid" },
+			"worth":  func(n *sexp.Node) { class.Worth = r.Float(n, 0, 1e6) },
+			"scale":  func(n *sexp.Node) { class.Scale = r.Float(n, 0.001, 1000) },
+			"floor":  func(n *sexp.Node) { class.Floor = r.Int(n, 0, 63) },
+			"top":    func(n *sexp.Node) { class.Top = r.Int(n, 0, 63) },
+			"seats":  func(n *sexp.Node) { class.Seats = r.Int(n, 0, 1e9) },
+			"live":   func(n *sexp.Node) { class.Live = r.Flag(n) },
 		})
 		c.Service.Classes = append(c.Service.Classes, class)
 	})
--- a/internal/hls/hls_test.go
+++ b/internal/hls/hls_test.go
@@ -19,7 +19,8 @@
 func livePlaylist(rung int, seq uint64, n int) *MediaPlaylist {
 	m := &MediaPlaylist{Version: 3, TargetDuration: 2 * time.Second, Sequence: seq}
 	for i := range n {
-		m.Segments = append(m.Segments, Segment{Duration: 2 * time.Second, URI: fmt.Sprintf("%d/%d.ts", rung, seq+uint64(i))})
+		m.Segments = append(m.Segments, Segment{Duration: 2 * time.Second,
+			URI: fmt.Sprintf("%d/%d.ts", rung, seq+uint64(i))})
 	}
 	return m
 }
--- a/internal/hls/render.go
+++ b/internal/hls/render.go
@@ -50,7 +50,9 @@
 // Render appends the session's media playlist to dst. playlistOf returns the shared playlist of a rung, nil if it is
 // unavailable; query is added to every segment's URI. next is the media sequence number after the last segment written.
 // ok is false if no playlist can be rendered without going backwards or leaving a gap.
-func (v *View) Render(dst []byte, playlistOf func(rung int) *MediaPlaylist, query string) (out []byte, next uint64, ok bool) {
+func (v *View) Render(dst []byte, playlistOf func(rung int) *MediaPlaylist, query string) (
+	out []byte, next uint64, ok bool,
+) {
 	current, hasPart := v.Current()
 	if !hasPart {
 		return dst, 0, false
--- a/internal/jsonrpc/jsonrpc.go
+++ b/internal/jsonrpc/jsonrpc.go
@@ -62,7 +62,8 @@
 		return nil, false, &Error{Code: InvalidRequest, Message: "empty batch"}
 	}
 	if len(parts) > MaxBatch {
-		return nil, false, &Error{Code: InvalidRequest, Message: fmt.Sprintf("a batch holds %d requests at most", MaxBatch)}
+		return nil, false, &Error{Code: InvalidRequest,
+			Message: fmt.Sprintf("a batch holds %d requests at most", MaxBatch)}
 	}
 	for _, p := range parts {
 		r, _ := parseRequest(p) // the whole batch was decoded, so each part is valid JSON
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -33,10 +33,10 @@
 		"brackets in a string": {`{"jsonrpc":"2.0","method":"` + strings.Repeat("[", 40) + `","id":1}`, strings.Repeat("[", 40), "1", 0},
 		"oversized id":         {`{"jsonrpc":"2.0","method":"a","id":"` + strings.Repeat("x", 300) + `"}`, "", "null", InvalidRequest},
 	} {
-		list, _, bad := Parse([]byte(c.in))
-		if bad != nil {
-			if bad.Code != c.code {
-				t.Errorf("%s: %v", name, bad)
+		list, _, failure := Parse([]byte(c.in))
+		if failure != nil {
+			if failure.Code != c.code {
+				t.Errorf("%s: %v", name, failure)
 			}
 			continue
 		}
@@ -45,19 +45,21 @@
 		if r.ID == nil {
 			id = "-"
 		}
-		if r.Method != c.method || id != c.id || (r.Err != nil) != (c.code != 0) || r.Err != nil && r.Err.Code != c.code {
+		if r.Method != c.method || id != c.id || (r.Err != nil) != (c.code != 0) ||
+			r.Err != nil && r.Err.Code != c.code {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
 }
 
 func TestParsesAndJoinsBatches(t *testing.T) {
-	list, batch, bad := Parse([]byte(`[{"jsonrpc":"2.0","method":"a","id":1},1]`))
-	if bad != nil || !batch || len(list) != 2 || list[1].Err == nil {
-		t.Fatal(list, batch, bad)
+	list, batch, failure := Parse([]byte(`[{"jsonrpc":"2.0","method":"a","id":1},1]`))
+	if failure != nil || !batch || len(list) != 2 || list[1].Err == nil {
+		t.Fatal(list, batch, failure)
 	}
-	if _, _, bad := Parse([]byte("[" + strings.Repeat("1,", MaxBatch) + "1]")); bad == nil || bad.Code != InvalidRequest {
-		t.Fatal(bad)
+	if _, _, failure := Parse([]byte("[" + strings.Repeat("1,", MaxBatch) + "1]")); failure == nil ||
+		failure.Code != InvalidRequest {
+		t.Fatal(failure)
 	}
 	if got := string(Join([][]byte{Result(list[0].ID, 5), Failure(nil, list[1].Err)})); !json.Valid([]byte(got)) ||
 		!strings.HasPrefix(got, `[{"jsonrpc":"2.0","result":5,"id":1},{"jsonrpc":"2.0","error":{"code":-32600`) {
@@ -102,12 +104,14 @@
 		if !ok {
 			return
 		}
-		list, batch, bad := Parse(in)
-		if bad != nil || batch || len(list) != 1 || list[0].Err != nil || list[0].Method != string(method) || string(list[0].ID) != string(id) {
-			t.Fatalf("peeked %q %q, parsed %+v %v", method, id, list, bad)
+		list, batch, failure := Parse(in)
+		if failure != nil || batch || len(list) != 1 || list[0].Err != nil ||
+			list[0].Method != string(method) || string(list[0].ID) != string(id) {
+			t.Fatalf("peeked %q %q, parsed %+v %v", method, id, list, failure)
 		}
 		var p struct{ Class string }
-		if class != nil && json.Unmarshal(list[0].Params, &p) == nil && p.Class != string(class) && !strings.EqualFold(p.Class, string(class)) {
+		if class != nil && json.Unmarshal(list[0].Params, &p) == nil && p.Class != string(class) &&
+			!strings.EqualFold(p.Class, string(class)) {
 			t.Fatalf("class %q, parsed %q", class, p.Class)
 		}
 	})
--- a/internal/manifest/hub.go
+++ b/internal/manifest/hub.go
@@ -32,13 +32,16 @@
 	"tealledge/policy"
 )
 
-// Owner is the front that decides. Number returns the number in a session's name, MovedToken the token of a move.
+// Owner is the front's owner, which makes all decisions about sessions.
 type Owner interface {
 	Now() front.Time
 	Open(c *Call, request front.Request)
-	End(session uint64)
-	Number(name string) (uint64, bool)
-	MovedToken(v any) uint64
+	// EndSession ends a session that its player has closed or no longer uses.
+	EndSession(session uint64)
+	// SessionID returns the id in a session's name, and false if the name is not one of this front.
+	SessionID(name string) (uint64, bool)
+	// ParseMoveToken returns the token in the notification of a move, 0 if there is none.
+	ParseMoveToken(v any) uint64
 }
 
 // Hub serves manifests and holds the sessions of the HLS players.
@@ -104,7 +107,7 @@
 	return nil
 }
 
-// Shutdown closes the listener and waits until the requests in flight are done or ctx is; then it closes their
+// Shutdown closes the listener and waits until the requests in flight have ended. If ctx ends first, it closes their
 // connections.
 func (h *Hub) Shutdown(ctx context.Context) {
 	close(h.stop)
@@ -167,15 +170,15 @@
 	s.state = ended
 	s.mu.Unlock()
 	if wasPlaying {
-		h.owner.End(id)
+		h.owner.EndSession(id)
 	}
 }
 
 // coreRequest returns the request to the core for the given claims, and false if the title or class is unknown.
-func (h *Hub) coreRequest(c hlstoken.Claims) (a front.Request, ok bool) {
+func (h *Hub) coreRequest(c hlstoken.Claims) (request front.Request, ok bool) {
 	t, ok := h.cfg.Locate(c.Title, c.Class)
 	if !ok || c.Class < 0 || c.Class >= len(h.cfg.Classes) {
-		return a, false
+		return request, false
 	}
 	return front.Request{ReadAt: h.owner.Now(), Title: t.Number, Home: t.Home, Copies: t.Copies, Holders: t.Holders,
 		Name: t.Name, Class: c.Class, Tenant: c.Tenant,
@@ -333,7 +336,7 @@
 }
 
 // awaitReply waits for the reply to a session's request and returns true if the session plays; otherwise the response
-// has been written, unless the player is gone.
+// has been written, unless the player has disconnected.
 func (h *Hub) awaitReply(w http.ResponseWriter, r *http.Request, s *session) bool {
 	s.mu.Lock()
 	ch, state := s.answered, s.state
@@ -341,7 +344,7 @@
 	if state == opening {
 		select {
 		case <-ch:
-		case <-r.Context().Done(): // the player is gone; the session is kept as if the response had been lost
+		case <-r.Context().Done(): // disconnected; the session is kept, as if the response had been lost
 			return false
 		}
 	}
@@ -379,7 +382,8 @@
 }
 
 // sessionByToken returns the session of a token, or nil after it has written an error response. A session that this
-// front does not know, after a restart or at another front, is placed again, once for all requests that carry its token.
+// front does not know, after a restart or at another front, is requested again, once for all requests that carry its
+// token.
 func (h *Hub) sessionByToken(w http.ResponseWriter, token string) *session {
 	c, err := h.keys.Verify(token, time.Now().Unix())
 	switch {
@@ -414,7 +418,7 @@
 			http.Error(w, "the session is over: open the title anew", http.StatusGone)
 			return nil
 		}
-		if s.state == unplaced { // moved, or its server was lost: placed again
+		if s.state == unplaced { // moved, or its server was lost
 			start = s.request(true)
 		}
 		s.mu.Unlock()
--- a/internal/manifest/origin.go
+++ b/internal/manifest/origin.go
@@ -53,8 +53,10 @@
 
 // newOrigin returns an empty cache; timeout bounds each fetch.
 func newOrigin(now func() front.Time, timeout time.Duration) *origin {
-	return &origin{now: now, timeout: timeout, entries: map[listKey]*entry{}, client: &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: 8, MaxConnsPerHost: 32, IdleConnTimeout: 30 * time.Second, ResponseHeaderTimeout: timeout},
+	return &origin{now: now, timeout: timeout, entries: map[listKey]*entry{}, client: &http.Client{
+		Transport: &http.Transport{
+			MaxIdleConnsPerHost: 8, MaxConnsPerHost: 32, IdleConnTimeout: 30 * time.Second,
+			ResponseHeaderTimeout: timeout},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
 }
 
@@ -173,7 +175,8 @@
 	// Not the viewer's context: other requests wait for this fetch too.
 	ctx, cancel := context.WithTimeout(context.Background(), o.timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+server+"/"+url.PathEscape(k.title)+"/"+name, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet,
+		"http://"+server+"/"+url.PathEscape(k.title)+"/"+name, nil)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/manifest/session.go
+++ b/internal/manifest/session.go
@@ -32,8 +32,8 @@
 	openedAt            front.Time
 	lastRequestAt       front.Time
 	playlist            hlssession.Playlist
-	servedAt            front.Time // last playlist sent; the reload rate counts from it, so waiting ends a rejection
-	fastReloads         int        // consecutive reloads that came too fast
+	servedAt            front.Time // last playlist sent; the reload rate is measured from it
+	fastReloads         int        // consecutive reloads that came too fast; a reload that has waited clears it
 	views               []*view    // by requested rung
 	pastDiscontinuities uint64     // discontinuities that an earlier front may have announced
 }
@@ -49,7 +49,7 @@
 const (
 	opening state = iota // a request is in flight
 	playing
-	unplaced // moved or lost: the next reload places it again
+	unplaced // the session was moved or lost: the next reload requests a new one
 	ended
 )
 
@@ -68,14 +68,14 @@
 
 // Call is a session's request as the owner sees it. Its methods must never block the owner.
 type Call struct {
-	session      *session
-	done         atomic.Bool
-	heldSessions map[uint64]struct{}
-	handle       uint64
+	session  *session
+	done     atomic.Bool
+	sessions map[uint64]struct{}
+	handle   uint64
 }
 
-// Result takes the result of a request that plays. It returns false if v is not such a result or the request was
-// answered before.
+// Result receives the result of a request whose session plays. It returns false if v is not such a result or the
+// request was answered before.
 func (c *Call) Result(v any) bool {
 	r, ok := v.(players.PlaysResult)
 	if !ok || c.done.Swap(true) {
@@ -86,18 +86,19 @@
 	defer s.mu.Unlock()
 	// A session that is no longer wanted is ended from a goroutine, as the owner must not wait for its own queue.
 	if s.call != c || s.state == ended {
-		if id, ok := s.hub.owner.Number(r.Session); ok {
-			go s.hub.owner.End(id)
+		if id, ok := s.hub.owner.SessionID(r.Session); ok {
+			go s.hub.owner.EndSession(id)
 		}
 		return true
 	}
 	s.state, s.name, s.serverAddr, s.rung, s.openedAt = playing, r.Session, r.HTTP, r.Rung, s.hub.owner.Now()
-	s.id, _ = s.hub.owner.Number(r.Session)
+	s.id, _ = s.hub.owner.SessionID(r.Session)
 	close(s.answered)
 	return true
 }
 
-// Fail takes the error of a request that does not play. It returns false if the request was answered before.
+// Fail receives the error of a request whose session does not play. It returns false if the request was answered
+// before.
 func (c *Call) Fail(code int, _ string, data any) bool {
 	if c.done.Swap(true) {
 		return false
@@ -133,7 +134,7 @@
 			s.rung = r
 		}
 	case "session.moved":
-		s.moveToken = s.hub.owner.MovedToken(p["token"])
+		s.moveToken = s.hub.owner.ParseMoveToken(p["token"])
 		s.state = unplaced
 	case "session.ended":
 		s.state = unplaced
@@ -143,8 +144,8 @@
 	}
 }
 
-// Left reports whether the player is gone: the session has ended or has made a newer request.
-func (c *Call) Left() bool {
+// Disconnected reports whether the call is no longer wanted: the session has ended or has made a newer request.
+func (c *Call) Disconnected() bool {
 	c.session.mu.Lock()
 	defer c.session.mu.Unlock()
 	return c.session.call != c || c.session.state == ended
@@ -153,17 +154,17 @@
 // Drop ends a call without an answer.
 func (c *Call) Drop() { c.done.Store(true) }
 
-// Held returns the owner's set of sessions that end with the player.
-func (c *Call) Held() map[uint64]struct{} { return c.heldSessions }
+// Sessions returns the owner's set of sessions that end with the player.
+func (c *Call) Sessions() map[uint64]struct{} { return c.sessions }
 
-// Ref returns the owner's handle of the player.
-func (c *Call) Ref() *uint64 { return &c.handle }
+// Handle returns a pointer to the handle that the owner has given the call.
+func (c *Call) Handle() *uint64 { return &c.handle }
 
 // request prepares a new request for the session and returns the function that sends it to the owner. The caller
 // holds the session's mutex, and calls start after it has released it.
 func (s *session) request(repeated bool) (start func()) {
 	s.state, s.answered, s.refusal = opening, make(chan struct{}), refusal{}
-	c := &Call{session: s, heldSessions: map[uint64]struct{}{}}
+	c := &Call{session: s, sessions: map[uint64]struct{}{}}
 	s.call = c
 	coreRequest, ok := s.hub.coreRequest(s.claims)
 	coreRequest.Again, coreRequest.Token = repeated, s.moveToken
--- a/internal/players/players.go
+++ b/internal/players/players.go
@@ -156,7 +156,8 @@
 	h.mu.Unlock()
 	if full {
 		h.Stats.Rejected.Add(1)
-		c.writer.Send([]byte("HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"))
+		c.writer.Send([]byte(
+			"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"))
 		c.writer.CloseAfterFlush()
 		return context.WithValue(ctx, connKey{}, c)
 	}
@@ -345,8 +346,8 @@
 	return true
 }
 
-// Left reports whether the connection has closed.
-func (c *Conn) Left() bool { return c.closed.Load() }
+// Closed reports whether the connection has closed.
+func (c *Conn) Closed() bool { return c.closed.Load() }
 
 // reserve counts the request as open, unless that would exceed a limit; it returns the exceeded limit.
 func (c *Call) reserve(tenant int) overload.Full {
@@ -386,14 +387,14 @@
 	return len(h.conns)
 }
 
-// Notify sends a notification on the call's connection. Notify, Left, Held and Ref implement serve.Caller.
+// Notify sends a notification on the call's connection.
 func (c *Call) Notify(method string, params any) { c.Conn.Notify(method, params) }
 
-// Left reports whether the player's connection has closed.
-func (c *Call) Left() bool { return c.Conn.Left() }
+// Disconnected reports whether the player's connection has closed.
+func (c *Call) Disconnected() bool { return c.Conn.Closed() }
 
-// Held returns the sessions that end with the connection.
-func (c *Call) Held() map[uint64]struct{} { return c.Conn.Sessions }
+// Sessions returns the sessions that end with the connection.
+func (c *Call) Sessions() map[uint64]struct{} { return c.Conn.Sessions }
 
-// Ref returns a pointer to the owner's handle of the call.
-func (c *Call) Ref() *uint64 { return &c.handle }
+// Handle returns a pointer to the handle that the owner has given the call.
+func (c *Call) Handle() *uint64 { return &c.handle }
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -275,8 +275,8 @@
 	return true
 }
 
-// ParseParams parses a body of type text/parameters (RFC 7826 appendix F), which has lines "name: value". It skips lines
-// of another form and reads at most 32 lines.
+// ParseParams parses a body of type text/parameters (RFC 7826 appendix F), which has lines "name: value". It skips
+// lines of another form and reads at most 32 lines.
 func ParseParams(body []byte) map[string]string {
 	params := map[string]string{}
 	for n, rest := 0, string(body); rest != "" && n < 32; n++ {
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -131,7 +131,8 @@
 				}
 				again := &Decoder{}
 				again.Feed(m.Append(nil))
-				if b, err := again.Next(); err != nil || b == nil || b.CSeq != m.CSeq || b.Method != m.Method || b.Status != m.Status {
+				if b, err := again.Next(); err != nil || b == nil || b.CSeq != m.CSeq ||
+					b.Method != m.Method || b.Status != m.Status {
 					t.Fatalf("%+v was encoded and decoded as %+v, %v", m, b, err)
 				}
 			}
--- a/internal/serve/addresses_test.go
+++ b/internal/serve/addresses_test.go
@@ -56,10 +56,10 @@
 }
 
 // relistWithAddresses updates the list entry of each server with addresses besides its IPv4 one.
-func (x *site) relistWithAddresses(more ...string) {
+func (x *site) relistWithAddresses(addrs ...string) {
 	for _, m := range x.farm.Servers() {
 		e := listEntry(m, "ready")
-		e.ExtraAddrs = more
+		e.ExtraAddrs = addrs
 		x.list.Set(e)
 	}
 	x.waitFor("relisted", func() bool { return x.snapshot().readyServers == 3 })
@@ -72,19 +72,19 @@
 	for name, bad := range map[string]func(t *testing.T, x *site){
 		"drops silently":         func(t *testing.T, x *site) { x.relistWithAddresses(unresponsiveAddr(t)) },
 		"refuses":                func(t *testing.T, x *site) { x.relistWithAddresses(refusingAddr(t)) },
-		"accepts, never answers": func(t *testing.T, x *site) { x.setPathMode("tcp6", mediasim.AddressSilent) },
-		"accepts, then resets":   func(t *testing.T, x *site) { x.setPathMode("tcp6", mediasim.AddressResets) },
+		"accepts, never answers": func(t *testing.T, x *site) { x.setAddressMode("tcp6", mediasim.AddressSilent) },
+		"accepts, then resets":   func(t *testing.T, x *site) { x.setAddressMode("tcp6", mediasim.AddressResets) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			x := newSiteWith(t, "", "ipv6")
 			bad(t, x)
 			for i := range 6 { // class paid has 3 seats
-				began := time.Now()
+				startedAt := time.Now()
 				a := x.player().open([]string{"safe", "paid"}[i%2], "a")
 				if a.Result == nil {
 					t.Fatalf("%+v", a.Error)
 				}
-				if took := time.Since(began); took > 400*time.Millisecond {
+				if took := time.Since(startedAt); took > 400*time.Millisecond {
 					t.Errorf("session %d started after %v", i, took)
 				}
 			}
@@ -96,7 +96,7 @@
 }
 
 // setPathMode sets the behaviour of all servers' addresses of one network.
-func (x *site) setPathMode(network, mode string) {
+func (x *site) setAddressMode(network, mode string) {
 	for _, m := range x.farm.Servers() {
 		m.SetAddressMode(network, mode)
 	}
@@ -118,17 +118,18 @@
 
 func TestRecoversAfterAllAddressesUnreachable(t *testing.T) {
 	x := newSiteWith(t, "", "ipv6")
-	x.setPathMode("tcp6", mediasim.AddressResets)
-	x.setPathMode("tcp", mediasim.AddressSilent)
-	began := time.Now()
-	if a := x.player().open("paid", "a"); a.Error == nil || a.Error.Code != -32001 { // refused, as it certainly never ran
+	x.setAddressMode("tcp6", mediasim.AddressResets)
+	x.setAddressMode("tcp", mediasim.AddressSilent)
+	startedAt := time.Now()
+	// Refused, as it certainly never ran.
+	if a := x.player().open("paid", "a"); a.Error == nil || a.Error.Code != -32001 {
 		t.Fatalf("%+v", a)
 	}
-	if took := time.Since(began); took > 1500*time.Millisecond {
+	if took := time.Since(startedAt); took > 1500*time.Millisecond {
 		t.Error("refused after", took)
 	}
-	x.setPathMode("tcp6", mediasim.AddressGood)
-	x.setPathMode("tcp", mediasim.AddressGood)
+	x.setAddressMode("tcp6", mediasim.AddressGood)
+	x.setAddressMode("tcp", mediasim.AddressGood)
 	x.waitFor("plays again", func() bool { return x.player().open("safe", "a").Result != nil })
 	x.audit()
 }
@@ -142,7 +143,7 @@
 	x.list.Set(e)
 	time.Sleep(150 * time.Millisecond)
 	p := x.player()
-	p.ask("paid", "b")
+	p.sendOpen("paid", "b")
 	time.Sleep(60 * time.Millisecond)
 	x.list.Set(listEntry(m, "ready"))
 	if a := p.read(); a.Result == nil {
--- a/internal/serve/effects.go
+++ b/internal/serve/effects.go
@@ -58,12 +58,12 @@
 	case front.Resumed:
 		if call := s.takeCall(e.Player); call != nil {
 			if previous := s.callsBySession[e.Session]; previous != nil {
-				delete(previous.Held(), e.Session)
+				delete(previous.Sessions(), e.Session)
 			}
 			s.callsBySession[e.Session] = call
-			call.Held()[e.Session] = struct{}{}
+			call.Sessions()[e.Session] = struct{}{}
 			call.Result(s.playsResult(name(e.Session), e.Server, e.Rung, 0))
-			if call.Left() {
+			if call.Disconnected() {
 				s.deferredEvents = append(s.deferredEvents, front.Detach{Session: e.Session})
 			}
 		}
@@ -134,8 +134,8 @@
 	s.store.forget(id)
 	if call := s.callsBySession[id]; call != nil {
 		call.Drop() // has an effect only if it is unanswered, because its player has disconnected
-		delete(s.callsByHandle, *call.Ref())
-		delete(call.Held(), id)
+		delete(s.callsByHandle, *call.Handle())
+		delete(call.Sessions(), id)
 		delete(s.callsBySession, id)
 	}
 }
--- a/internal/serve/fleet.go
+++ b/internal/serve/fleet.go
@@ -72,11 +72,12 @@
 	}
 }
 
-// outOfService reports whether this front's own host is out for work; the front then accepts no new sessions.
+// outOfService reports whether this front's own host is out of service; the front then accepts no new sessions.
 func (s *Server) outOfService() bool { return s.fleet.unavailable.Fronts[s.cfg.Front.Name] != 0 }
 
-// withFleetState returns a list entry with the state that the fleet has agreed on: draining if the server is out for
-// work, and started on its return if it is just back, as it is then as cold as a server that has started.
+// withFleetState returns a list entry with the state that the fleet has agreed on: draining if the server is out of
+// service. The return of a server that has just come back counts as its start, as it is then as cold as a server that
+// has started.
 func (s *Server) withFleetState(e policy.Entry, now front.Time) policy.Entry {
 	if s.fleet.unavailable.Servers[e.Server] != 0 {
 		e.Health = max(e.Health, policy.Draining)
@@ -87,7 +88,8 @@
 	return e
 }
 
-// vacateServers has the module move the sessions that would run past the time at which their servers go out.
+// vacateServers has the module move the sessions that would run past the time at which their servers are taken out of
+// service.
 func (s *Server) vacateServers(now front.Time) {
 	for id := range s.fleet.unavailable.Servers {
 		s.step(now, front.Vacate{Vacate: policy.Vacate{Server: id, Until: s.fleet.unavailable.Deadlines[id]}})
@@ -106,13 +108,13 @@
 		if class < 0 || class >= len(settings.Classes) || rung < 0 || rung >= len(settings.RungKB) {
 			return
 		}
-		standing := sessions[server]
-		standing.Sessions++
-		standing.KB += settings.RungKB[rung] * settings.Classes[class].Scale
+		load := sessions[server]
+		load.Sessions++
+		load.KB += settings.RungKB[rung] * settings.Classes[class].Scale
 		if settings.Classes[class].Paid {
-			standing.Paid++
+			load.Paid++
 		}
-		sessions[server] = standing
+		sessions[server] = load
 	})
 	s.fleet.node.SetSessions(sessions)
 	if c := s.cfg.Catalogue; c != nil && c.Current() != s.fleet.reportedVersion {
@@ -127,14 +129,14 @@
 	}
 	var list []core.Server
 	for _, e := range s.fleet.list {
-		// Removed means a critical check: the server has failed and counts as out. A server that is no longer listed
-		// isn't counted as a machine at all.
+		// Removed means a critical check: the server has failed and counts as out of service. A server that is no
+		// longer listed isn't counted as a machine at all.
 		list = append(list, core.Server{ID: e.Server, Rack: s.rack(e.Entry), Zone: e.Zone,
 			LinkKB: e.Size * s.cfg.Service.WeightKB, Ready: e.Health == policy.Ready})
 	}
 	slices.SortFunc(list, func(a, b core.Server) int { return int(int64(a.ID) - int64(b.ID)) })
 	fleetNode := s.fleet.node
-	if c := s.cfg.Catalogue; c != nil { // millions of titles: in a goroutine of its own, so that the owner isn't blocked
+	if c := s.cfg.Catalogue; c != nil { // millions of titles: in its own goroutine, so that the owner isn't blocked
 		version := c.Current()
 		s.fleet.reportedVersion = version
 		s.group.Add(1)
--- a/internal/serve/hls.go
+++ b/internal/serve/hls.go
@@ -23,15 +23,15 @@
 	o.s.open(c, request)
 }
 
-func (o hlsOwner) End(session uint64) { o.s.queue.Put(admission.Outcome, endRequested{session}) }
+func (o hlsOwner) EndSession(session uint64) { o.s.queue.Put(admission.Outcome, endRequested{session}) }
 
-func (o hlsOwner) Number(name string) (uint64, bool) {
+func (o hlsOwner) SessionID(name string) (uint64, bool) {
 	text, ok := strings.CutPrefix(name, o.s.cfg.Front.Name+"-")
 	n, err := strconv.ParseUint(text, 10, 64)
 	return n, ok && err == nil
 }
 
-func (o hlsOwner) MovedToken(v any) uint64 {
+func (o hlsOwner) ParseMoveToken(v any) uint64 {
 	text, _ := v.(string)
 	n, _ := strconv.ParseUint(text, 16, 64)
 	return n
--- a/internal/serve/hls_test.go
+++ b/internal/serve/hls_test.go
@@ -38,7 +38,8 @@
 	transport := &http.Transport{}
 	x.t.Cleanup(transport.CloseIdleConnections)
 	return &hlsPlayer{site: x, viewer: viewer, class: class, title: title,
-		client: &http.Client{Transport: transport}, sequences: map[string]uint64{}, discontinuities: map[string]uint64{}}
+		client: &http.Client{Transport: transport}, sequences: map[string]uint64{},
+		discontinuities: map[string]uint64{}}
 }
 
 // get requests a path at the front, or a full URL.
@@ -71,8 +72,8 @@
 	if code != 200 {
 		return code, nil, h
 	}
-	list, kind2, err := m3u8.DecodeFrom(strings.NewReader(text), true)
-	if err != nil || kind2 != m3u8.MASTER {
+	list, listType, err := m3u8.DecodeFrom(strings.NewReader(text), true)
+	if err != nil || listType != m3u8.MASTER {
 		p.site.t.Fatalf("%v\n%s", err, text)
 	}
 	for _, v := range list.(*m3u8.MasterPlaylist).Variants {
@@ -81,8 +82,8 @@
 	return code, variants, h
 }
 
-// reload reads a media playlist, parses it with an independent library, compares it with the one read before and returns
-// the segments' addresses.
+// reload reads a media playlist, parses it with an independent library, compares it with the one read before and
+// returns the segments' addresses.
 func (p *hlsPlayer) reload(variant string) (code int, segments []string) {
 	p.site.t.Helper()
 	code, text, _ := p.get(variant)
@@ -303,15 +304,15 @@
 
 func TestHLSSessionEndsWhenPlayerStopsReloading(t *testing.T) {
 	x := newSite(t, hlsSettings)
-	steady, gone, left := x.hlsPlayer("steady", "safe", "live-a"),
-		x.hlsPlayer("gone", "safe", "live-a"), x.hlsPlayer("left", "safe", "live-a")
+	steady, silent, closing := x.hlsPlayer("steady", "safe", "live-a"),
+		x.hlsPlayer("silent", "safe", "live-a"), x.hlsPlayer("closing", "safe", "live-a")
 	_, v, _ := steady.open()
-	_, w, _ := gone.open()
-	gone.reload(w[0])
-	_, u, _ := left.open()
+	_, w, _ := silent.open()
+	silent.reload(w[0])
+	_, u, _ := closing.open()
 	token := strings.Split(u[0], "/")[3]
 	req, _ := http.NewRequest("DELETE", "http://"+x.s.HLS()+"/hls/s/"+token, nil)
-	if resp, err := left.client.Do(req); err != nil || resp.StatusCode != 204 {
+	if resp, err := closing.client.Do(req); err != nil || resp.StatusCode != 204 {
 		t.Fatal(err, resp)
 	} else {
 		resp.Body.Close()
@@ -381,17 +382,17 @@
 			defer wg.Done()
 			p := x.hlsPlayer("v"+strconv.Itoa(i), "safe", []string{"live-a", "a"}[i%2])
 			time.Sleep(time.Duration(i) * 2 * time.Millisecond)
-			began := time.Now()
+			startedAt := time.Now()
 			code, variants, _ := p.open()
 			for n := 0; n < 8 && code == 503; n++ { // refused quickly on a loaded machine; retries as the response says
-				if took := time.Since(began); took > time.Second {
+				if took := time.Since(startedAt); took > time.Second {
 					break
 				}
 				time.Sleep(200 * time.Millisecond)
-				began = time.Now()
+				startedAt = time.Now()
 				code, variants, _ = p.open()
 			}
-			if took := time.Since(began); code != 200 || took > time.Second {
+			if took := time.Since(startedAt); code != 200 || took > time.Second {
 				bad <- fmt.Sprint("open: ", code, " after ", took)
 				return
 			}
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -8,7 +8,8 @@
 	"tealledge/policy"
 )
 
-// This file handles responses of the server list: it accepts or rejects them and updates the core and the RTSP protocol.
+// This file handles responses of the server list: it accepts or rejects them and updates the core and the RTSP
+// protocol.
 
 // handleListResponse handles a response, or an error, of the list's source.
 func (s *Server) handleListResponse(now front.Time, response listResponse) {
@@ -67,9 +68,9 @@
 	for _, e := range list {
 		s.httpAddrs[e.Server] = e.HTTP
 		servers = append(servers, rtspclient.Server{ID: e.Server, Addr: e.Addr, Paths: e.Paths, StartedAt: e.Started})
-		overlaid := s.withFleetState(e.Entry, now)
-		entries = append(entries, overlaid)
-		if overlaid.Health == policy.Ready {
+		entry := s.withFleetState(e.Entry, now)
+		entries = append(entries, entry)
+		if entry.Health == policy.Ready {
 			ready++
 		}
 	}
--- a/internal/serve/owner.go
+++ b/internal/serve/owner.go
@@ -95,7 +95,7 @@
 		s.callsByHandle[s.lastHandle] = e.call
 		s.step(now, front.Resume{Session: e.session, Token: e.token, Player: s.lastHandle})
 	case closeRequested:
-		if _, mine := e.call.Held()[e.session]; !mine {
+		if _, owned := e.call.Sessions()[e.session]; !owned {
 			e.call.Fail(players.CodeUnknownSession, "no such session here", nil)
 			return
 		}
@@ -139,7 +139,7 @@
 
 // handleOpen passes a request to the core, which assigns the session id when it accepts the request.
 func (s *Server) handleOpen(now front.Time, e openRequested) {
-	if e.call.Left() { // the player has disconnected and nothing was started
+	if e.call.Disconnected() { // the player has disconnected and nothing was started
 		e.call.Drop()
 		return
 	}
@@ -148,7 +148,7 @@
 		return
 	}
 	s.lastHandle++
-	e.request.Player, e.request.Draining, *e.call.Ref() = s.lastHandle, s.leaving || s.outOfService(), s.lastHandle
+	e.request.Player, e.request.Draining, *e.call.Handle() = s.lastHandle, s.leaving || s.outOfService(), s.lastHandle
 	s.callsByHandle[s.lastHandle] = e.call
 	before := s.core.Stats().Taken
 	effects := s.core.Step(now, e.request)
@@ -156,8 +156,8 @@
 		id := s.core.LastID()
 		s.callsBySession[id] = e.call
 		s.store.addRequest(id, e.request)
-		e.call.Held()[id] = struct{}{}
-		if e.call.Left() { // disconnected just now, so no event for this session follows
+		e.call.Sessions()[id] = struct{}{}
+		if e.call.Disconnected() { // disconnected just now, so no event for this session follows
 			s.applyEffects(effects)
 			s.step(now, front.Leave{Session: id})
 			s.forget(id)
--- a/internal/serve/players_test.go
+++ b/internal/serve/players_test.go
@@ -18,10 +18,11 @@
 )
 
 // askWithDeadline requests a session with a deadline set by the player.
-func (p *player) askWithDeadline(class, title string, deadline time.Duration) string {
-	p.asked++
-	call := fmt.Sprintf("%p-%d", p, p.asked)
-	p.site.rec.Add(record.Event{Kind: record.RequestSent, Front: "f", Ref: call, Class: classes[class], Timeout: int64(deadline)})
+func (p *player) sendOpenWithDeadline(class, title string, deadline time.Duration) string {
+	p.requestCount++
+	call := fmt.Sprintf("%p-%d", p, p.requestCount)
+	p.site.rec.Add(record.Event{Kind: record.RequestSent, Front: "f", Ref: call, Class: classes[class],
+		Timeout: int64(deadline)})
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":%q,"class":%q,"viewer":%q,"deadlineMs":%d},"id":%q}`,
 		title, class, call, deadline.Milliseconds(), call)
 	if err := wsutil.WriteClientText(p.nc, []byte(text)); err != nil {
@@ -38,7 +39,7 @@
 	var players []*player
 	for i := range 30 {
 		p := x.player()
-		p.askWithDeadline([]string{"safe", "paid", "floored"}[i%3], "a", time.Second)
+		p.sendOpenWithDeadline([]string{"safe", "paid", "floored"}[i%3], "a", time.Second)
 		players = append(players, p)
 	}
 	for _, p := range players {
@@ -70,7 +71,7 @@
 		go func() {
 			defer wg.Done()
 			<-start
-			p.ask("safe", "a")
+			p.sendOpen("safe", "a")
 		}()
 	}
 	close(start)
@@ -145,7 +146,7 @@
 	x := newSite(t, "(timing (resume-for 5s))")
 	for i := range 6 { // class paid has 3 seats; each lost connection leaves one detached session
 		p := x.player()
-		p.asked = 0
+		p.requestCount = 0
 		text := fmt.Sprintf(
 			`{"jsonrpc":"2.0","method":"session.open","params":{"title":"a","class":"paid","viewer":"same"},"id":"%d"}`, i)
 		wsutil.WriteClientText(p.nc, []byte(text))
@@ -161,7 +162,7 @@
 
 func TestHandshakesAreRateLimitedAfterMassReconnect(t *testing.T) {
 	x := newSite(t, "(limits (handshakes 400)) (timing (handshake-line 3s))")
-	began := time.Now()
+	startedAt := time.Now()
 	var wg sync.WaitGroup
 	errs := make(chan error, 500)
 	for range 500 {
@@ -190,7 +191,7 @@
 		t.Error(err)
 	}
 	// 100 are accepted immediately, the others at 400 per second.
-	if took := time.Since(began); took < 800*time.Millisecond {
+	if took := time.Since(startedAt); took < 800*time.Millisecond {
 		t.Error("all handshakes were accepted within", took)
 	}
 	if n := x.s.hub.Stats.Delayed.Load(); n < 300 {
@@ -205,7 +206,7 @@
 	}
 	p := x.player()
 	for range 20 {
-		p.askWithDeadline("safe", "a", 600*time.Millisecond)
+		p.sendOpenWithDeadline("safe", "a", 600*time.Millisecond)
 	}
 	codes := map[int]int{}
 	for range 20 {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -34,7 +34,7 @@
 const (
 	maxBatch           = 256                          // events that the owner handles before it checks its timers
 	tickInterval       = 50 * time.Millisecond        // interval of the RTSP protocol's checks of its connections
-	closeTimeout       = time.Second                  // how long a leaving front waits for its last teardowns and its store
+	closeTimeout       = time.Second                  // limit for the last teardowns, and for closing the store
 	idleTimeout        = front.Time(60 * time.Second) // after which a server connection without sessions is closed
 	maxConnQueuedBytes = 1 << 20                      // limit of queued bytes per server connection
 )
@@ -80,7 +80,7 @@
 	group         sync.WaitGroup
 }
 
-// sharedIndex passes the list's index from the owner to the list's follower.
+// sharedIndex passes the list's index from the owner to the goroutine that polls the list.
 type sharedIndex struct {
 	mu    sync.Mutex
 	value uint64
@@ -229,11 +229,11 @@
 	Result(v any) bool
 	Fail(code int, message string, data any) bool
 	Notify(method string, params any)
-	// Left reports whether the player has disconnected; Drop ends the request without an answer.
-	Left() bool
+	// Disconnected reports whether the player has disconnected; Drop ends the request without an answer.
+	Disconnected() bool
 	Drop()
-	// Held returns the sessions that end with the player and Ref a pointer to the request's handle. Both are used by
-	// the owner only.
-	Held() map[uint64]struct{}
-	Ref() *uint64
+	// Sessions returns the sessions that end with the player, and Handle a pointer to the handle under which the core
+	// knows the request. Both are used by the owner only.
+	Sessions() map[uint64]struct{}
+	Handle() *uint64
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -66,12 +66,12 @@
 	done     chan error
 }
 
-func newSite(t testing.TB, more string) *site { t.Helper(); return newSiteWith(t, more) }
+func newSite(t testing.TB, extraForms string) *site { t.Helper(); return newSiteWith(t, extraForms) }
 
 // newSiteWith returns a site whose media servers have addresses of further families.
-func newSiteWith(t testing.TB, more string, families ...string) *site {
+func newSiteWith(t testing.TB, extraForms string, families ...string) *site {
 	t.Helper()
-	return (&site{t: t, rec: record.NewMemory(), dir: t.TempDir()}).open(more, families...)
+	return (&site{t: t, rec: record.NewMemory(), dir: t.TempDir()}).open(extraForms, families...)
 }
 
 // newSiteState returns a site with a given state directory.
@@ -80,18 +80,18 @@
 	return (&site{t: t, rec: record.NewMemory(), dir: t.TempDir(), stateDir: state}).open("")
 }
 
-func (x *site) open(more string, families ...string) *site {
+func (x *site) open(extraForms string, families ...string) *site {
 	t := x.t
 	t.Helper()
-	cfg, err := config.Parse("t", x.settings("127.0.0.1:1", more))
+	cfg, err := config.Parse("t", x.settings("127.0.0.1:1", extraForms))
 	if err != nil {
 		t.Fatal(err)
 	}
 	x.rec.Add(auditRules(cfg).Event())
 	if x.farm, err = mediasim.New(mediasim.Params{Ladder: cfg.Service.RungKB, Slots: 2000, LinkKB: 1e6,
 		UplinkKB: 3e6, Racks: 1, Cells: 3,
-		SetupTime: time.Millisecond, ReportInterval: 50 * time.Millisecond, NoteDelay: 200 * time.Millisecond, InlineReports: true,
-		SessionTimeout: 400 * time.Millisecond, Seed: 1,
+		SetupTime: time.Millisecond, ReportInterval: 50 * time.Millisecond, NoteDelay: 200 * time.Millisecond,
+		InlineReports: true, SessionTimeout: 400 * time.Millisecond, Seed: 1,
 		ExtraFamilies: families, SocketDir: x.dir, ServeHLS: true, TokenKeys: hlsKeys}, 3, x.rec); err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 	for _, m := range x.farm.Servers() {
 		x.list.Set(listEntry(m, "ready"))
 	}
-	x.start(more)
+	x.start(extraForms)
 	return x
 }
 
@@ -122,17 +122,18 @@
 	return r
 }
 
-func (x *site) settings(list, more string) string {
+func (x *site) settings(list, extraForms string) string {
 	state := x.stateDir
 	if state == "" {
 		state = filepath.Join(x.dir, "state")
 	}
-	return fmt.Sprintf("(front (name \"f\") (list (consul %q)) (state %q) %s)", list, state, more) + serviceSettings
+	return fmt.Sprintf("(front (name \"f\") (list (consul %q)) (state %q) %s)", list, state,
+		extraForms) + serviceSettings
 }
 
-func (x *site) start(more string) {
+func (x *site) start(extraForms string) {
 	x.t.Helper()
-	cfg, err := config.Parse("t", x.settings(x.list.Addr(), more))
+	cfg, err := config.Parse("t", x.settings(x.list.Addr(), extraForms))
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -204,9 +205,9 @@
 
 // player is a client whose requests are recorded.
 type player struct {
-	site  *site
-	nc    net.Conn
-	asked int
+	site         *site
+	nc           net.Conn
+	requestCount int
 }
 
 type answer struct {
@@ -240,9 +241,9 @@
 
 var classes = map[string]int{"safe": 0, "paid": 1, "floored": 2}
 
-func (p *player) ask(class, title string) string {
-	p.asked++
-	call := fmt.Sprintf("%p-%d", p, p.asked)
+func (p *player) sendOpen(class, title string) string {
+	p.requestCount++
+	call := fmt.Sprintf("%p-%d", p, p.requestCount)
 	p.site.rec.Add(record.Event{Kind: record.RequestSent, Front: "f", Ref: call, Class: classes[class]})
 	text := fmt.Sprintf(`{"jsonrpc":"2.0","method":"session.open","params":{"title":%q,"class":%q,"viewer":%q},"id":%q}`,
 		title, class, call, call)
@@ -279,7 +280,7 @@
 
 func (p *player) open(class, title string) answer {
 	p.site.t.Helper()
-	p.ask(class, title)
+	p.sendOpen(class, title)
 	return p.read()
 }
 
@@ -361,10 +362,10 @@
 			m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = true })
 		}
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	a := x.player().open("safe", "a")
-	if a.Result == nil || a.Result.Server == first.Result.Server || time.Since(began) > time.Second {
-		t.Fatalf("%+v after %v", a, time.Since(began))
+	if a.Result == nil || a.Result.Server == first.Result.Server || time.Since(startedAt) > time.Second {
+		t.Fatalf("%+v after %v", a, time.Since(startedAt))
 	}
 	for _, m := range x.farm.Servers() {
 		m.UpdateFaults(func(f *mediasim.Faults) { f.Stalled = false })
@@ -401,8 +402,8 @@
 	}
 }
 
-// TestPaidSetUpIsRefusedIfNoServerEverResponded checks that a server which accepts connections but sends nothing gets no
-// set-up, so that the paid request is refused as certainly not run.
+// TestPaidSetUpIsRefusedIfNoServerEverResponded checks that a server which accepts connections but sends nothing gets
+// no set-up, so that the paid request is refused as certainly not run.
 func TestPaidSetUpIsRefusedIfNoServerEverResponded(t *testing.T) {
 	x := newSite(t, "")
 	for _, m := range x.farm.Servers() {
@@ -420,7 +421,7 @@
 	x := newSite(t, "")
 	for i := range 30 {
 		p := x.player()
-		call := p.ask([]string{"safe", "paid"}[i%2], "a")
+		call := p.sendOpen([]string{"safe", "paid"}[i%2], "a")
 		time.Sleep(time.Duration(i) * 200 * time.Microsecond)
 		x.rec.Add(record.Event{Kind: record.PlayerLeft, Front: "f", Ref: call})
 		p.nc.Close()
@@ -482,7 +483,8 @@
 	x := newSite(t, "")
 	p := x.player()
 	p.open("safe", "b")
-	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { f.TruncatedReplies = 1 }) // the next, truncated response closes the connection
+	// The next response is truncated and closes the connection.
+	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { f.TruncatedReplies = 1 })
 	x.player().open("safe", "b")
 	x.farm.Server(1).UpdateFaults(func(f *mediasim.Faults) { *f = mediasim.Faults{} })
 	time.Sleep(600 * time.Millisecond) // longer than a server keeps a stream without a connection
@@ -537,10 +539,10 @@
 		m.UpdateFaults(func(f *mediasim.Faults) { f.LostReplies = 1 })
 	}
 	waits := x.player()
-	waits.ask("safe", "a")
+	waits.sendOpen("safe", "a")
 	x.waitFor("the request to be accepted", func() bool { return x.snapshot().OpenRequests == 1 })
 	x.rec.Add(record.Event{Kind: record.FrontDraining, Front: "f"})
-	began := time.Now()
+	startedAt := time.Now()
 	x.stop()
 	if a := waits.read(); a.Error == nil {
 		t.Fatalf("%+v", a)
@@ -549,7 +551,7 @@
 		t.Fatalf("%+v", a)
 	}
 	x.leave()
-	if d := time.Since(began); d > 5*time.Second {
+	if d := time.Since(startedAt); d > 5*time.Second {
 		t.Fatal(d)
 	}
 	for _, m := range x.farm.Servers() {
--- a/internal/serve/sessionstore.go
+++ b/internal/serve/sessionstore.go
@@ -19,8 +19,8 @@
 // calls it; responses of the store reach the owner as events. Without a store, or with one that fails or hangs, the
 // front serves as if it had none, and logs that once.
 //
-// Paid set-ups are recorded before they are sent. Safe ones are recorded when they play, and nothing waits for that: one
-// that is lost with the front is at worst requested again, which is what happens to it anyway.
+// Paid set-ups are recorded before they are sent. Safe ones are recorded when they play, and nothing waits for that:
+// one that is lost with the front is at worst requested again, which is what happens to it anyway.
 type sessionStore struct {
 	s           *Server
 	db          *store.Store
--- a/internal/serve/titles.go
+++ b/internal/serve/titles.go
@@ -12,7 +12,8 @@
 	"tealledge/policy"
 )
 
-// This file loads and checks the catalogue, and runs a front's background work on one scheduler that yields to requests.
+// This file loads and checks the catalogue, and runs a front's background work on one scheduler that yields to
+// requests.
 
 // loadCatalogue loads the catalogue at the start: from its source, or the saved copy if the source can't be read or is
 // older.
--- a/internal/serve/titles_test.go
+++ b/internal/serve/titles_test.go
@@ -44,9 +44,9 @@
 	return v
 }
 
-// TestCatalogueChangesUnderLoad adds, removes and moves titles while players open sessions. No set-up may reach a server
-// that did not hold its title at that rung in a recent version; a server that is in the catalogue but not in the server
-// list gets no requests; and truncated deltas change nothing.
+// TestCatalogueChangesUnderLoad adds, removes and moves titles while players open sessions. No set-up may reach a
+// server that did not hold its title at that rung in a recent version; a server that is in the catalogue but not in the
+// server list gets no requests; and truncated deltas change nothing.
 //
 // TEALLEDGE_CLIENTS=500 runs that many players for a minute, with a change each second.
 func TestCatalogueChangesUnderLoad(t *testing.T) {
@@ -97,7 +97,8 @@
 			for n := 0; ctx.Err() == nil; n++ {
 				viewers.Watch(context.Background(), playersim.Viewer{Name: fmt.Sprintf("v%d-%d", i, n),
 					Title: []string{"a", "b", "c", "d"}[(i+n)%4],
-					Class: []string{"safe", "floored"}[i%2], ClassIndex: []int{0, 2}[i%2], Top: 2, WatchTime: 60 * time.Millisecond})
+					Class: []string{"safe", "floored"}[i%2], ClassIndex: []int{0, 2}[i%2], Top: 2,
+					WatchTime: 60 * time.Millisecond})
 				time.Sleep(time.Duration(clients) * time.Second / 3000)
 			}
 		}()
@@ -195,8 +196,8 @@
 	}
 }
 
-// TestServesWithoutUsableSessionStore checks that paid and safe sessions are served if the state directory is a file, and
-// if the store's files are invalid, in which case the store is renamed.
+// TestServesWithoutUsableSessionStore checks that paid and safe sessions are served if the state directory is a file,
+// and if the store's files are invalid, in which case the store is renamed.
 func TestServesWithoutUsableSessionStore(t *testing.T) {
 	for name, prepare := range map[string]func(state string) error{
 		"no directory": func(state string) error { return os.WriteFile(state, nil, 0o644) },
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -11,7 +11,8 @@
 		t.Fatal(nodes, err)
 	}
 	a := nodes[0]
-	if a.Head() != "a" || a.List[1].Text != "b \"é\n" || a.List[2].Pos.String() != "f:2:14" || nodes[1].Pos.String() != "f:3:3" {
+	if a.Head() != "a" || a.List[1].Text != "b \"é\n" || a.List[2].Pos.String() != "f:2:14" ||
+		nodes[1].Pos.String() != "f:3:3" {
 		t.Fatalf("%+v %v", a.List[1], a.List[2].Pos)
 	}
 }
--- a/internal/wsock/wsock.go
+++ b/internal/wsock/wsock.go
@@ -160,7 +160,8 @@
 
 // rejectHandshake writes an HTTP error response and closes the connection.
 func (c *Conn) rejectHandshake(status, body string) {
-	c.Out = fmt.Appendf(c.Out, "HTTP/1.1 %s\r\nConnection: close\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s\n",
+	c.Out = fmt.Appendf(c.Out,
+		"HTTP/1.1 %s\r\nConnection: close\r\nContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s\n",
 		status, len(body)+1, body)
 	c.closed, c.buf = true, nil
 }
--- a/internal/wsock/wsock_test.go
+++ b/internal/wsock/wsock_test.go
@@ -71,7 +71,8 @@
 			}
 			rest = rest[n:]
 		}
-		if strings.Join(texts, "|") != "whole|in parts é" || !bytes.HasSuffix(c.Out, []byte("\x8a\x01p")) || c.buf != nil {
+		if strings.Join(texts, "|") != "whole|in parts é" ||
+			!bytes.HasSuffix(c.Out, []byte("\x8a\x01p")) || c.buf != nil {
 			t.Fatalf("step %d: %q, out %q", step, texts, c.Out)
 		}
 	}
@@ -107,7 +108,8 @@
 	} {
 		conn := opened(t)
 		conn.Feed(c.in)
-		if !conn.Closed() || len(conn.Out) < 4 || conn.Out[0] != 0x88 || binary.BigEndian.Uint16(conn.Out[2:]) != c.code {
+		if !conn.Closed() || len(conn.Out) < 4 || conn.Out[0] != 0x88 ||
+			binary.BigEndian.Uint16(conn.Out[2:]) != c.code {
 			t.Errorf("%s: closed %v, %q", name, conn.Closed(), conn.Out)
 		}
 		if list := conn.Feed(masked(true, ws.OpText, "x")); list != nil {
