--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -62,9 +62,9 @@
 	RulePlaylists      = "8 manifests true, never backwards"
 )
 
-// RuleNames lists the rules on sessions and playlists. The seventh, no stream that nobody watches, follows from the
-// first two. The eighth applies to HLS: playlists name only segments that exist, on servers that hold the viewer's
-// session.
+// RuleNames lists the rules on sessions and playlists. RuleOrphans, no stream that nobody watches, follows from
+// RuleAnswer and RuleOnce. RulePlaylists applies to HLS: playlists name only segments that exist, on servers that hold
+// the viewer's session.
 var RuleNames = []string{RuleAnswer, RuleOnce, RuleDrain, RuleCold, RuleFloorsAndSeats, RuleBudget, RuleOrphans,
 	RulePlaylists}
 
@@ -75,6 +75,7 @@
 	Text  string
 }
 
+// String returns the violation as text, with the event as JSON.
 func (v Violation) String() string {
 	b, _ := json.Marshal(v.Event)
 	return fmt.Sprintf("rule %s: %s\n  at %s", v.Rule, v.Text, b)
@@ -183,7 +184,9 @@
 	j.checkRetryBudget()
 	j.checkOrphans()
 	j.checkPlaylists()
-	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int { return int(min(max(a.Event.At-b.Event.At, -1), 1)) })
+	slices.SortStableFunc(j.report.Violations, func(a, b Violation) int {
+		return int(min(max(a.Event.At-b.Event.At, -1), 1))
+	})
 	j.computeWorth()
 	j.summarizeFaults()
 	return &j.report, nil
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -17,8 +17,8 @@
 		{Name: "paid", Paid: true, Seats: 1, Deadline: 3 * time.Second, Aim: time.Second},
 		{Name: "floored", Floor: 1, Deadline: 3 * time.Second, Aim: time.Second}},
 		AnswerGrace: 40 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Skew: 30 * time.Millisecond,
-		ColdSpan: 10 * time.Second, ColdFrom: 0.5, FallTimes: 2, FallSpan: time.Second, Budgeted: true, Spare: 3, Ratio: 0.1,
-		BudgetSpan: 10 * time.Second, RungWorth: []float64{0.5, 1}, StallCost: 5}
+		ColdSpan: 10 * time.Second, ColdFrom: 0.5, FallTimes: 2, FallSpan: time.Second, Budgeted: true,
+		Spare: 3, Ratio: 0.1, BudgetSpan: 10 * time.Second, RungWorth: []float64{0.5, 1}, StallCost: 5}
 }
 
 // eventAt returns an event of front f1 at a time in milliseconds.
@@ -35,7 +35,9 @@
 }
 
 func replyEvent(t int64, ref, text, session string, class int) record.Event {
-	return eventAt(t, record.ReplyReceived, func(e *record.Event) { e.Ref, e.Text, e.Session, e.Class = ref, text, session, class })
+	return eventAt(t, record.ReplyReceived, func(e *record.Event) {
+		e.Ref, e.Text, e.Session, e.Class = ref, text, session, class
+	})
 }
 
 func mediaEvent(t int64, kind, session string, attempt int, server uint32, set func(*record.Event)) record.Event {
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -7,7 +7,7 @@
 	"tealledge/internal/record"
 )
 
-// checkAnswers checks the first rule: a request that a running front has accepted gets exactly one answer before the
+// checkAnswers checks RuleAnswer: a request that a running front has accepted gets exactly one answer before the
 // player's deadline. No answer is required if the player left, if the front was killed meanwhile, or if the request
 // was written to a front that was already draining and closed the connection before it read the request. Time in
 // which a front was paused does not count.
@@ -60,7 +60,7 @@
 	return a.answeredAt > 0 && a.answeredAt <= by && (a.status == 453 || a.status == 503)
 }
 
-// checkOnce checks the second rule: a paid session is set up again, or refused, only if every earlier attempt provably
+// checkOnce checks RuleOnce: a paid session is set up again, or refused, only if every earlier attempt provably
 // never ran, and no session ever has two attempts in flight. The sessions of a killed front end with it; ids are never
 // reused.
 func (j *judge) checkOnce() {
@@ -97,7 +97,7 @@
 	}
 }
 
-// checkDrains checks the third rule: a server receives no set-up from a front later than DrainGrace after the server
+// checkDrains checks RuleDrain: a server receives no set-up from a front later than DrainGrace after the server
 // list reported to this front that the server drains or is removed. A front that was killed knows only what the list
 // reports after its restart.
 func (j *judge) checkDrains() {
@@ -135,7 +135,7 @@
 	}
 }
 
-// checkColdServers checks the fourth rule: within any FallSpan, a server that has just started receives no more
+// checkColdServers checks RuleCold: within any FallSpan, a server that has just started receives no more
 // set-ups than FallTimes of what it can handle at that time.
 func (j *judge) checkColdServers() {
 	type state struct {
@@ -175,8 +175,8 @@
 	}
 }
 
-// checkFloorsAndSeats checks the fifth rule: no rung is below the floor of the class, and the sessions of a title and
-// class at a front, set-ups included, do not exceed the seats.
+// checkFloorsAndSeats checks RuleFloorsAndSeats: no rung is below the floor of the class, and the sessions of a title
+// and class at a front, set-ups included, do not exceed the seats.
 func (j *judge) checkFloorsAndSeats() {
 	type seat struct {
 		front, title string
@@ -210,7 +210,7 @@
 	}
 }
 
-// checkRetryBudget checks the sixth rule: within any BudgetSpan, a front makes no more attempts after the first one of
+// checkRetryBudget checks RuleBudget: within any BudgetSpan, a front makes no more attempts after the first one of
 // each session than Spare plus Ratio times the requests that it received.
 func (j *judge) checkRetryBudget() {
 	if !j.rules.Budgeted {
@@ -239,7 +239,7 @@
 	}
 }
 
-// checkOrphans checks the seventh rule: every stream has ended when the run is over.
+// checkOrphans checks RuleOrphans: every stream has ended when the run is over.
 func (j *judge) checkOrphans() {
 	if j.finishedAt == 0 {
 		return
@@ -257,7 +257,7 @@
 // playlist named the segment while the server held the session, and the player requests it when its buffer runs out.
 const segmentWindow = int64(12 * time.Second)
 
-// checkPlaylists checks the eighth rule: every playlist that a player read is valid, its media sequence and
+// checkPlaylists checks RulePlaylists: every playlist that a player read is valid, its media sequence and
 // discontinuity sequence never decrease, its segments exist, and they are on a server that plays the viewer's session
 // or did so until just before.
 func (j *judge) checkPlaylists() {
--- a/internal/audit/upkeep.go
+++ b/internal/audit/upkeep.go
@@ -12,10 +12,11 @@
 // The rules on machines that are out for work are checked against what the servers received and what the operator did,
 // never against what fronts report.
 
-// UpkeepLimits holds the parameters of the rules on machines that are out for work.
+// UpkeepLimits holds the parameters of the rules on machines that are out for work. A server is in the rack of its
+// cell, and racks take zones in turn: cell i is in rack i modulo Racks, rack i in zone i modulo Zones.
 type UpkeepLimits struct {
 	MaxPerRack, MaxPerZone, MaxTotal int           // servers that may be out at one time: in a rack, in a zone, in all
-	Racks, Zones                     int           // their number; a server is in its cell's rack, racks take zones in turn
+	Racks, Zones                     int           // their number
 	Cells                            int           // their number
 	Grace                            time.Duration // events closer than this have no known order
 }
@@ -32,7 +33,7 @@
 // and the leader and the operator have to read the list.
 const failureNoticeWindow = 1500 * time.Millisecond
 
-// outageForWork is the time that a machine is out for a work.
+// outageForWork is the time that a server is out for upkeep work.
 type outageForWork struct {
 	takenOutAt, returnedAt int64
 	work                   string
@@ -60,7 +61,8 @@
 			ended[e.Ref] = true
 			checked[RuleRequestEnds]++
 			outcome, reason, _ := strings.Cut(e.Text, ":")
-			if outcome != "done" && outcome != "cancelled" && (outcome != "refused" || strings.TrimSpace(reason) == "") {
+			if outcome != "done" && outcome != "cancelled" &&
+				(outcome != "refused" || strings.TrimSpace(reason) == "") {
 				report(RuleRequestEnds, e, "the work ended neither done, cancelled nor refused with a reason")
 			}
 		case record.FrontIsolated:
@@ -81,17 +83,17 @@
 					outNow[s] = true
 				}
 			}
-			racks, zones := 0, 0
+			inRack, inZone := 0, 0
 			for s := range outNow {
 				if rack(s) == rack(e.Server) {
-					racks++
+					inRack++
 				}
 				if zone(s) == zone(e.Server) {
-					zones++
+					inZone++
 				}
 			}
-			if racks > limits.MaxPerRack || zones > limits.MaxPerZone || len(outNow) > limits.MaxTotal {
-				report(RuleMaxOut, e, formatOutCounts(racks, zones, len(outNow), limits))
+			if inRack > limits.MaxPerRack || inZone > limits.MaxPerZone || len(outNow) > limits.MaxTotal {
+				report(RuleMaxOut, e, formatOutCounts(inRack, inZone, len(outNow), limits))
 			}
 			if o := out[e.Server]; o != nil && o.returnedAt == 0 {
 				report(RuleMaxOut, e, "the server is already out for work "+o.work)
@@ -138,6 +140,8 @@
 }
 
 // formatOutCounts describes how many servers are out and how many may be.
-func formatOutCounts(racks, zones, total int, limits UpkeepLimits) string {
-	return fmt.Sprintf("servers out, this one included: %d in its rack, %d in its zone, %d in all; limits: %d, %d and %d", racks, zones, total, limits.MaxPerRack, limits.MaxPerZone, limits.MaxTotal)
+func formatOutCounts(inRack, inZone, total int, limits UpkeepLimits) string {
+	return fmt.Sprintf(
+		"servers out, this one included: %d in its rack, %d in its zone, %d in all; limits: %d, %d and %d",
+		inRack, inZone, total, limits.MaxPerRack, limits.MaxPerZone, limits.MaxTotal)
 }
--- a/internal/audit/upkeep_test.go
+++ b/internal/audit/upkeep_test.go
@@ -11,7 +11,8 @@
 // TestDetectsViolationOfEachUpkeepRule checks that each rule on machines that are out for work is reported for a record
 // that breaks it, and not for a similar record that keeps it.
 func TestDetectsViolationOfEachUpkeepRule(t *testing.T) {
-	u := UpkeepLimits{MaxPerRack: 1, MaxPerZone: 2, MaxTotal: 2, Cells: 12, Racks: 6, Zones: 3, Grace: 250 * time.Millisecond}
+	u := UpkeepLimits{MaxPerRack: 1, MaxPerZone: 2, MaxTotal: 2, Cells: 12, Racks: 6, Zones: 3,
+		Grace: 250 * time.Millisecond}
 	at := func(ms int64, what string, e record.Event) record.Event {
 		e.At, e.Kind = ms*1e6, what
 		return e
@@ -37,7 +38,8 @@
 		"refused without a reason": {[]record.Event{at(8, record.WorkEnded, record.Event{Ref: "3", Text: "refused:"})}, RuleRequestEnds},
 	} {
 		broken, _ := JudgeUpkeep(c.events, u)
-		if c.rule == "" && len(broken) > 0 || c.rule != "" && (len(broken) != 1 || !strings.HasPrefix(broken[0].Rule, c.rule)) {
+		if c.rule == "" && len(broken) > 0 ||
+			c.rule != "" && (len(broken) != 1 || !strings.HasPrefix(broken[0].Rule, c.rule)) {
 			t.Errorf("%s: %v", name, broken)
 		}
 	}
--- a/internal/audit/worth.go
+++ b/internal/audit/worth.go
@@ -45,7 +45,7 @@
 	newest := map[string]string{}    // most recent stream: by viewer, and by front and session
 	byServer := map[uint32]map[string]*stream{}
 	share := map[uint32]float64{}
-	settle := func(s *stream, server uint32, now int64) {
+	accrue := func(s *stream, server uint32, now int64) {
 		rate, reported := share[server]
 		if !reported {
 			rate = 1
@@ -57,7 +57,7 @@
 	}
 	stopStream := func(key string, server uint32, now int64) {
 		if s := playing[key]; s != nil {
-			settle(s, server, now)
+			accrue(s, server, now)
 			delete(playing, key)
 			delete(byServer[server], key)
 		}
@@ -89,7 +89,7 @@
 			}
 		case record.RungSet:
 			if s := playing[e.AttemptKey()]; s != nil {
-				settle(s, e.Server, e.At)
+				accrue(s, e.Server, e.At)
 				s.rung = e.Rung
 				earned -= s.v.worth * j.rules.ChangeCost
 			}
@@ -97,7 +97,7 @@
 			stopStream(e.AttemptKey(), e.Server, e.At)
 		case record.RateShare:
 			for _, s := range byServer[e.Server] {
-				settle(s, e.Server, e.At)
+				accrue(s, e.Server, e.At)
 			}
 			share[e.Server] = e.Value
 		}
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -102,7 +102,8 @@
 		{`(class "paid"`, `(klass "paid"`}:                               "want (class",
 		{"(day (seed 3)", "(day (seed 3) (mix 0.5 0.5)"}:                 "mix has 2 parts for 3 classes",
 	} {
-		if _, err := Parse("short", strings.Replace(shortDay, from[0], from[1], 1)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := Parse("short", strings.Replace(shortDay, from[0], from[1], 1)); err == nil ||
+			!strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", from[1], err)
 		}
 	}
--- a/internal/day/faults.go
+++ b/internal/day/faults.go
@@ -40,7 +40,9 @@
 	case "take-link":
 		setFault(func(f *mediasim.Faults) { f.LinkTaken = fault.Share })
 	case "vanish":
-		w.takeDown(fault, wait, func(m *mediasim.Server) { m.UpdateFaults(func(f *mediasim.Faults) { f.Silent = true }) })
+		w.takeDown(fault, wait, func(m *mediasim.Server) {
+			m.UpdateFaults(func(f *mediasim.Faults) { f.Silent = true })
+		})
 	case "crash":
 		w.takeDown(fault, wait, (*mediasim.Server).Kill)
 	case "drain":
@@ -93,28 +95,28 @@
 }
 
 // takeDown makes servers fail by action and restarts them, cold, after the duration of the fault.
-func (w *world) takeDown(t Fault, wait func(time.Duration), action func(*mediasim.Server)) {
-	servers := w.reserveServers(t.Servers)
+func (w *world) takeDown(fault Fault, wait func(time.Duration), action func(*mediasim.Server)) {
+	servers := w.reserveServers(fault.Servers)
 	for _, m := range servers {
 		action(m)
 	}
-	wait(t.Duration)
+	wait(fault.Duration)
 	w.bringBack(servers)
 }
 
 // drain announces that servers drain, kills and unlists them after the notice, and restarts them, cold, after the
 // duration of the fault.
-func (w *world) drain(t Fault, wait func(time.Duration), announce func(*mediasim.Server)) {
-	servers := w.reserveServers(t.Servers)
+func (w *world) drain(fault Fault, wait func(time.Duration), announce func(*mediasim.Server)) {
+	servers := w.reserveServers(fault.Servers)
 	for _, m := range servers {
 		announce(m)
 	}
-	wait(t.Notice)
+	wait(fault.Notice)
 	for _, m := range servers {
 		m.Kill()
 		w.serverList.Set(w.listEntry(m, "removed"))
 	}
-	wait(t.Duration)
+	wait(fault.Duration)
 	w.bringBack(servers)
 }
 
--- a/internal/day/fronts_test.go
+++ b/internal/day/fronts_test.go
@@ -23,20 +23,21 @@
 // openWorld starts a day without faults of its own.
 func openWorld(t *testing.T, fronts string) *World {
 	t.Helper()
-	return openWorldWithTTL(t, fronts, "500ms")
+	return openWorldWithSessionTimeout(t, fronts, "500ms")
 }
 
-// openWorldWithTTL starts a day in which servers keep a stream of a lost connection for streamTTL.
-func openWorldWithTTL(t *testing.T, fronts, streamTTL string) *World {
+// openWorldWithSessionTimeout starts a day in which servers keep a stream whose connection was lost for sessionTimeout.
+func openWorldWithSessionTimeout(t *testing.T, fronts, sessionTimeout string) *World {
 	t.Helper()
 	t.Setenv("AS_FRONT", "1")
 	s, err := Parse("t", `(day (seed 3) (fronts `+fronts+`) (servers 8) (titles 12) (copies 4) (media (slots 400) (link-kb 90000)
-  (uplink-kb 400000) (setup 1ms) (keep `+streamTTL+`)))`+serviceText)
+  (uplink-kb 400000) (setup 1ms) (keep `+sessionTimeout+`)))`+serviceText)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.SyncCapacities()
-	w, err := Open(context.Background(), s, Options{Command: []string{os.Args[0], "-test.run=^$"}, Dir: t.TempDir(), Out: os.Stderr})
+	w, err := Open(context.Background(), s, Options{Command: []string{os.Args[0], "-test.run=^$"}, Dir: t.TempDir(),
+		Out: os.Stderr})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,8 +56,10 @@
 func (w *world) startLoad(t *testing.T, rate float64, length time.Duration, clients int) func() *load.Result {
 	done := make(chan *load.Result, 1)
 	go func() {
-		r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: clients, Rate: rate, Duration: length, Shape: load.Poisson,
-			HoldTime: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.script.TitleNames(), Classes: []string{"safe"}, Seed: 1}, w.records)
+		r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: clients, Rate: rate,
+			Duration: length, Shape: load.Poisson,
+			HoldTime: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond},
+			Titles:   w.script.TitleNames(), Classes: []string{"safe"}, Seed: 1}, w.records)
 		if err != nil {
 			t.Error(err)
 		}
@@ -115,8 +118,10 @@
 // them misbehave.
 func TestBurstsOfThirtyAcrossTwoFronts(t *testing.T) {
 	w := openWorld(t, "2")
-	r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: 60, Rate: 200, Duration: 2 * time.Second, Shape: load.Classes, MisbehavingShare: 0.1,
-		HoldTime: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond}, Titles: w.script.TitleNames(), Classes: []string{"safe", "floored"}, Seed: 2}, w.records)
+	r, err := load.Run(context.Background(), load.Plan{Front: w.Front, Clients: 60, Rate: 200,
+		Duration: 2 * time.Second, Shape: load.Classes, MisbehavingShare: 0.1,
+		HoldTime: [2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond},
+		Titles:   w.script.TitleNames(), Classes: []string{"safe", "floored"}, Seed: 2}, w.records)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +152,8 @@
 func (c *testPlayer) call(method, params string) string {
 	c.t.Helper()
 	c.nc.SetDeadline(time.Now().Add(5 * time.Second))
-	if err := wsutil.WriteClientText(c.nc, []byte(`{"jsonrpc":"2.0","method":"`+method+`","params":`+params+`,"id":"x"}`)); err != nil {
+	if err := wsutil.WriteClientText(c.nc,
+		[]byte(`{"jsonrpc":"2.0","method":"`+method+`","params":`+params+`,"id":"x"}`)); err != nil {
 		c.t.Fatal(err)
 	}
 	for {
@@ -164,14 +170,15 @@
 // TestKilledFrontRestoresSessions checks that after SIGKILL and a restart, players resume their sessions with their
 // tokens alone. No session is set up again, and one that nobody resumes is torn down at its server.
 func TestKilledFrontRestoresSessions(t *testing.T) {
-	w := openWorldWithTTL(t, "1", "20s")
+	w := openWorldWithSessionTimeout(t, "1", "20s")
 	_, addr := w.Front(0)
 	type open struct{ session, token string }
 	var list []open
 	c := dialPlayer(t, addr)
 	for i := range 20 {
 		class := []string{"safe", "floored"}[i%2]
-		answer := c.call("session.open", fmt.Sprintf(`{"title":%q,"class":%q,"viewer":"v%d"}`, w.script.TitleNames()[i%4], class, i))
+		answer := c.call("session.open", fmt.Sprintf(`{"title":%q,"class":%q,"viewer":"v%d"}`,
+			w.script.TitleNames()[i%4], class, i))
 		var m struct {
 			Result struct{ Session, Token string }
 		}
@@ -189,11 +196,13 @@
 	c = dialPlayer(t, addr)
 	for i, o := range list[:15] {
 		if i == 3 {
-			if answer := c.call("session.resume", fmt.Sprintf(`{"session":%q,"token":"123"}`, o.session)); !strings.Contains(answer, "no such session") {
+			if answer := c.call("session.resume", fmt.Sprintf(`{"session":%q,"token":"123"}`,
+				o.session)); !strings.Contains(answer, "no such session") {
 				t.Fatal("resumed with a wrong token", answer)
 			}
 		}
-		if answer := c.call("session.resume", fmt.Sprintf(`{"session":%q,"token":%q}`, o.session, o.token)); !strings.Contains(answer, `"plays"`) {
+		if answer := c.call("session.resume", fmt.Sprintf(`{"session":%q,"token":%q}`, o.session,
+			o.token)); !strings.Contains(answer, `"plays"`) {
 			t.Fatal(i, answer)
 		}
 	}
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -26,12 +26,12 @@
 	Command       []string // starts a front; the path of its settings file is appended
 	NoRecovery    bool     // fronts restore no state when they restart, for comparison with recovery
 	Dir           string   // for settings, states, logs and records
-	Baseline      string   // "": the decision module
+	Baseline      string   // the baseline that decides; "": the decision module
 	Out           io.Writer
 	Env           []string               // additional environment variables of the fronts
 	LimitsForm    string                 // a (limits ...) form for the settings of the fronts
 	ExtraSettings func(front int) string // additional forms for a front's settings
-	NoRecord      bool                   // for measurements: no events are recorded, so the run can't be audited
+	NoRecord      bool                   // for measurements: no events are recorded, so the run cannot be audited
 }
 
 // world is a running day.
@@ -112,14 +112,16 @@
 		return err
 	}
 	w.farm, err = mediasim.New(mediasim.Params{Ladder: service.RungKB, Slots: s.Slots, LinkKB: s.LinkKB,
-		UplinkKB: s.UplinkKB, RateVariation: s.LinkSpread,
+		UplinkKB: s.UplinkKB, RateVariation: s.RateVariation,
 		Racks: service.Racks, Cells: service.Cells, SetupTime: s.SetupTime, ReportInterval: s.ReportInterval,
 		NoteDelay:    toDuration(service.NoteDelay),
-		NoteInterval: toDuration(service.NoteInterval), FullThreshold: service.FullThreshold, InlineReports: service.InlineReports,
-		WarmupTime: toDuration(service.WarmupTime), ColdCapacity: service.ColdCapacity,
-		OverloadFactor: service.OverloadFactor, OverloadWindow: toDuration(service.OverloadWindow), SessionTimeout: s.StreamTTL,
+		NoteInterval: toDuration(service.NoteInterval), FullThreshold: service.FullThreshold,
+		InlineReports: service.InlineReports, WarmupTime: toDuration(service.WarmupTime),
+		ColdCapacity: service.ColdCapacity, OverloadFactor: service.OverloadFactor,
+		OverloadWindow: toDuration(service.OverloadWindow), SessionTimeout: s.StreamTTL,
 		HoldsTitle: s.holdsTitle, Seed: s.Seed,
-		ExtraFamilies: s.Families, SocketDir: w.options.Dir, ServeHLS: s.HLS > 0, TokenKeys: keys}, s.Servers, w.records)
+		ExtraFamilies: s.Families, SocketDir: w.options.Dir, ServeHLS: s.HLS > 0, TokenKeys: keys}, s.Servers,
+		w.records)
 	if err != nil {
 		return err
 	}
@@ -214,9 +216,9 @@
 	// n + n/7 loads the fronts unevenly.
 	w.players = playersim.New(w.records, w.script.Seed, 0.88, func(n int) (string, string) { return w.Front(n + n/7) })
 	w.players.ResumeWindow = 3 * time.Second
-	viewers, cancel := context.WithCancel(ctx)
+	viewersCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	waitForFaults := w.StartFaults(viewers)
+	waitForFaults := w.StartFaults(viewersCtx)
 	var activeViewers sync.WaitGroup
 	startedAt := time.Now()
 	for _, a := range w.script.arrivals() {
@@ -227,10 +229,10 @@
 		go func() {
 			defer activeViewers.Done()
 			if a.hls {
-				w.players.WatchHLS(viewers, w.viewerFor(a), w.FrontHLS)
+				w.players.WatchHLS(viewersCtx, w.viewerFor(a), w.FrontHLS)
 				return
 			}
-			w.players.Watch(viewers, w.viewerFor(a))
+			w.players.Watch(viewersCtx, w.viewerFor(a))
 		}()
 	}
 	waitForFaults()
@@ -301,10 +303,10 @@
 	if len(w.script.Service.Tenants) > 0 {
 		v.Tenant = w.script.Service.Tenants[0]
 	}
-	behaviors := []playersim.Misbehaviour{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame, playersim.Garbage,
-		playersim.Unmasked}
-	if a.badDraw < w.script.BadShare {
-		v.Misbehaviour = behaviors[int(a.badDraw/w.script.BadShare*float64(len(behaviors)))]
+	misbehaviours := []playersim.Misbehaviour{playersim.LeaveAtOnce, playersim.LeaveLater, playersim.HalfFrame,
+		playersim.Garbage, playersim.Unmasked}
+	if a.misbehaviourDraw < w.script.MisbehavingShare {
+		v.Misbehaviour = misbehaviours[int(a.misbehaviourDraw/w.script.MisbehavingShare*float64(len(misbehaviours)))]
 	}
 	return v
 }
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -27,27 +27,27 @@
 
 // Script describes a day.
 type Script struct {
-	Seed            int64
-	Length          time.Duration
-	Fronts, Servers int
-	Titles, Copies  int
-	Rate, RateSwing float64 // viewers per second, and by which share that varies over the day
-	MinWatch        time.Duration
-	MaxWatch        time.Duration
-	BadShare        float64   // share of the viewers that misbehave
-	HLS             float64   // share of the viewers that use HLS
-	ClassMix        []float64 // share of the viewers of each class; empty: equal shares
-	Slots           float64
-	LinkKB          float64
-	UplinkKB        float64
-	LinkSpread      float64 // links and uplinks differ from their mean by up to this share
-	SetupTime       time.Duration
-	ReportInterval  time.Duration // interval at which servers refresh their load values
-	StreamTTL       time.Duration // how long servers keep a stream whose connection was lost
-	Families        []string      // additional addresses of each server: ipv6, unix
-	Faults          []Fault
-	ServiceText     string // the (service ...) form as written
-	Service         *config.Config
+	Seed             int64
+	Length           time.Duration
+	Fronts, Servers  int
+	Titles, Copies   int
+	Rate, RateSwing  float64 // viewers per second, and by which share that varies over the day
+	MinWatch         time.Duration
+	MaxWatch         time.Duration
+	MisbehavingShare float64   // share of the viewers that misbehave
+	HLS              float64   // share of the viewers that use HLS
+	ClassMix         []float64 // share of the viewers of each class; empty: equal shares
+	Slots            float64
+	LinkKB           float64
+	UplinkKB         float64
+	RateVariation    float64 // links and uplinks differ from their mean by up to this share
+	SetupTime        time.Duration
+	ReportInterval   time.Duration // interval at which servers refresh their load values
+	StreamTTL        time.Duration // how long servers keep a stream whose connection was lost
+	Families         []string      // additional addresses of each server: ipv6, unix
+	Faults           []Fault
+	ServiceText      string // the (service ...) form as written
+	Service          *config.Config
 }
 
 // Fault is a fault at a time of the day.
@@ -108,8 +108,9 @@
 
 // SyncCapacities sets the capacities in the service's settings to those of the stand-ins, after these were changed.
 func (s *Script) SyncCapacities() {
-	for _, f := range [][2]string{{"weight-kb", fmt.Sprint(int64(s.LinkKB))}, {"rack-kb", fmt.Sprint(int64(s.UplinkKB))},
-		{"fleet-kb", fmt.Sprint(int64(s.LinkKB) * int64(s.Servers))}, {"slots", fmt.Sprint(int64(s.Slots))}} {
+	for _, f := range [][2]string{{"weight-kb", fmt.Sprint(int64(s.LinkKB))},
+		{"rack-kb", fmt.Sprint(int64(s.UplinkKB))}, {"fleet-kb", fmt.Sprint(int64(s.LinkKB) * int64(s.Servers))},
+		{"slots", fmt.Sprint(int64(s.Slots))}} {
 		s.ServiceText = regexp.MustCompile(`\(`+f[0]+` [^)]*\)`).ReplaceAllString(s.ServiceText, "("+f[0]+" "+f[1]+")")
 	}
 }
@@ -189,7 +190,7 @@
 		"copies":  intField(&s.Copies, 1, 200),
 		"rate":    floatField(&s.Rate, 0.1, 1000),
 		"swing":   floatField(&s.RateSwing, 0, 1),
-		"bad":     floatField(&s.BadShare, 0, 1),
+		"bad":     floatField(&s.MisbehavingShare, 0, 1),
 		"hls":     floatField(&s.HLS, 0, 1),
 		"watch": func(n *sexp.Node) {
 			if len(n.List) != 3 {
@@ -216,7 +217,7 @@
 				"slots":     floatField(&s.Slots, 1, 1e6),
 				"link-kb":   floatField(&s.LinkKB, 1, 1e12),
 				"uplink-kb": floatField(&s.UplinkKB, 1, 1e12),
-				"uneven":    floatField(&s.LinkSpread, 0, 0.9),
+				"uneven":    floatField(&s.RateVariation, 0, 0.9),
 				"setup":     durationField(&s.SetupTime, time.Minute),
 				"report":    durationField(&s.ReportInterval, time.Minute),
 				"keep":      durationField(&s.StreamTTL, time.Minute),
@@ -331,14 +332,14 @@
 
 // arrival is the arrival of a viewer.
 type arrival struct {
-	at      time.Duration
-	title   int
-	class   int
-	topRung int
-	watch   time.Duration
-	hls     bool
-	badDraw float64 // random from 0 to 1; below Script.BadShare the viewer misbehaves
-	index   int
+	at               time.Duration
+	title            int
+	class            int
+	topRung          int
+	watch            time.Duration
+	hls              bool
+	misbehaviourDraw float64 // random from 0 to 1; below Script.MisbehavingShare the viewer misbehaves
+	index            int
 }
 
 // arrivals generates all viewers of the day in advance, from the seed: arrivals do not depend on answers.
@@ -364,7 +365,7 @@
 			return list
 		}
 		a := arrival{at: time.Duration(at * float64(time.Second)), title: int(zipf.Uint64()), index: n,
-			badDraw: rng.Float64()}
+			misbehaviourDraw: rng.Float64()}
 		a.hls = s.HLS > 0 && float64(n*7919%1000)/1000 < s.HLS
 		if rng.Float64() < hotShare {
 			a.title = s.Titles / 2
--- a/internal/explore/attempts/attempts_test.go
+++ b/internal/explore/attempts/attempts_test.go
@@ -87,7 +87,8 @@
 			if r.Violation == "" || !strings.Contains(r.Violation, c.want) || len(r.Trace) > 30 {
 				t.Errorf("fault not found, or its trace is too long: %s", r)
 			}
-			if got, ok := explore.Replay(func() explore.System { return New(c.cfg) }, r.Trace); !ok || got != r.Violation {
+			if got, ok := explore.Replay(func() explore.System { return New(c.cfg) }, r.Trace); !ok ||
+				got != r.Violation {
 				t.Errorf("the trace does not reproduce the violation: %q", got)
 			}
 		})
@@ -97,8 +98,8 @@
 // TestCopyBehavesLikeOriginal guards against state shared by copies: copied at any step, a world and its copy have
 // the same choices and fingerprints from there on, whatever is done to the other one meanwhile.
 func TestCopyBehavesLikeOriginal(t *testing.T) {
-	cfg := Config{Sessions: 3, Servers: 2, Ways: 2, Losses: 1, Refusals: 1, Denials: 1, Errors: 1, Leaves: 1, Breaks: 1, Drains: 1, Lists: 1,
-		Restarts: 1, Notes: 1, Probes: true, Waits: 6}
+	cfg := Config{Sessions: 3, Servers: 2, Ways: 2, Losses: 1, Refusals: 1, Denials: 1, Errors: 1, Leaves: 1, Breaks: 1,
+		Drains: 1, Lists: 1, Restarts: 1, Notes: 1, Probes: true, Waits: 6}
 	for seed := range int64(60) {
 		rng := rand.New(rand.NewSource(seed))
 		w := New(cfg).(*world)
@@ -131,7 +132,8 @@
 			copied.Take(choice)
 		}
 		if w.Fingerprint() != copied.Fingerprint() || w.Violation() != copied.Violation() {
-			t.Fatalf("seed %d: the copy ends in another state: violations %q, %q", seed, w.Violation(), copied.Violation())
+			t.Fatalf("seed %d: the copy ends in another state: violations %q, %q", seed, w.Violation(),
+				copied.Violation())
 		}
 	}
 }
@@ -142,7 +144,8 @@
 	cfg := Config{Sessions: 1, Servers: 2, Faults: 2, Losses: 1, Denials: 1, Leaves: 1, Waits: 1}
 	newSystem := func() explore.System { return New(cfg) }
 	want := explore.Run(newSystem, explore.Limits{MaxDepth: 100})
-	for name, l := range map[string]explore.Limits{"by replays": {ReplayOnly: true}, "by breadth": {BreadthFirst: true}, "one worker": {Workers: 1}} {
+	for name, l := range map[string]explore.Limits{"by replays": {ReplayOnly: true}, "by breadth": {BreadthFirst: true},
+		"one worker": {Workers: 1}} {
 		l.MaxDepth = 100
 		r := explore.Run(newSystem, l)
 		t.Log(name, r)
@@ -152,7 +155,8 @@
 	}
 	checkpointFile := filepath.Join(t.TempDir(), "search")
 	for n := 1; ; n++ {
-		r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, MaxStates: n * want.States / 5, CheckpointFile: checkpointFile, World: "w"})
+		r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, MaxStates: n * want.States / 5,
+			CheckpointFile: checkpointFile, World: "w"})
 		if r.CheckpointErr != nil || r.Resumed != (n > 1) {
 			t.Fatal(r.CheckpointErr, r.Resumed)
 		}
@@ -163,11 +167,13 @@
 			break
 		}
 	}
-	r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, MaxStates: 100, CheckpointFile: checkpointFile, World: "w"})
+	r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, MaxStates: 100, CheckpointFile: checkpointFile,
+		World: "w"})
 	if r.CheckpointErr != nil {
 		t.Fatal(r.CheckpointErr)
 	}
-	if r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, CheckpointFile: checkpointFile, World: "another"}); r.CheckpointErr == nil || r.States != want.States {
+	if r := explore.Run(newSystem, explore.Limits{MaxDepth: 100, CheckpointFile: checkpointFile,
+		World: "another"}); r.CheckpointErr == nil || r.States != want.States {
 		t.Error("a search of another world was resumed:", r.CheckpointErr)
 	}
 }
--- a/internal/explore/attempts/choices.go
+++ b/internal/explore/attempts/choices.go
@@ -141,7 +141,7 @@
 // Choices returns the number of enabled choices.
 func (w *world) Choices() int { return len(w.enabledChoices()) }
 
-// Label returns the text of an enabled choice, as traces and kept searches have it.
+// Label returns the text of an enabled choice. Traces consist of these texts, and replays find choices by them.
 func (w *world) Label(n int) string {
 	choice := w.enabledChoices()[n]
 	connText := func() string {
--- a/internal/explore/attempts/clock.go
+++ b/internal/explore/attempts/clock.go
@@ -81,7 +81,8 @@
 	w.remaining = Config{Faults: -1}
 	for range maxRounds {
 		w.deliverAll()
-		if w.violation != "" || w.core.OpenRequests() == 0 && w.core.SessionCount() <= w.playingCount()+w.unconfirmedSeats() &&
+		if w.violation != "" || w.core.OpenRequests() == 0 &&
+			w.core.SessionCount() <= w.playingCount()+w.unconfirmedSeats() &&
 			!w.hasAbsentPlayer() && len(w.delayedEffects) == 0 && w.protocol.PendingTeardowns() == 0 {
 			break
 		}
@@ -98,16 +99,16 @@
 func (w *world) deliverAll() {
 	for quiet := false; !quiet && w.violation == ""; {
 		quiet = true
-		for _, l := range append([]*serverConn(nil), w.conns...) {
+		for _, conn := range append([]*serverConn(nil), w.conns...) {
 			switch {
-			case w.connByID(l.id) == nil:
-			case l.dialing:
-				quiet, l.dialing = false, false
-				w.protocol.Connected(w.now, l.server, l.id)
+			case w.connByID(conn.id) == nil:
+			case conn.dialing:
+				quiet, conn.dialing = false, false
+				w.protocol.Connected(w.now, conn.server, conn.id)
 				w.runProtocol()
-			case len(l.pending) > 0:
+			case len(conn.pending) > 0:
 				quiet = false
-				w.answerRequest(l, 200, 0.2)
+				w.answerRequest(conn, 200, 0.2)
 			}
 		}
 	}
--- a/internal/explore/attempts/faults.go
+++ b/internal/explore/attempts/faults.go
@@ -113,7 +113,8 @@
 	}
 	actions = append(actions, f.Module.Handle(now, e)...)
 	if p, ok := e.(policy.Playing); ok && f.Fault == SeatFreed {
-		actions = append(actions, f.Module.Handle(now, policy.Outcome{ID: p.ID, Attempt: p.Attempt, Server: p.Server, Final: true})...)
+		actions = append(actions, f.Module.Handle(now, policy.Outcome{ID: p.ID, Attempt: p.Attempt, Server: p.Server,
+			Final: true})...)
 	}
 	for _, a := range actions {
 		if s, ok := a.(policy.Send); ok {
--- a/internal/explore/attempts/history.go
+++ b/internal/explore/attempts/history.go
@@ -63,8 +63,8 @@
 
 // isReferenced reports whether a pending message refers to an attempt by its index.
 func (w *world) isReferenced(attempt int) bool {
-	for _, l := range w.conns {
-		for _, r := range l.pending {
+	for _, conn := range w.conns {
+		for _, r := range conn.pending {
 			if r.attempt == attempt {
 				return true
 			}
@@ -73,5 +73,5 @@
 	return false
 }
 
-// nilRandom gives the type of the module's random source.
+// nilRandom returns a nil pointer of the type of the module's random source.
 func nilRandom() *rand.Rand { return nil }
--- a/internal/explore/attempts/properties.go
+++ b/internal/explore/attempts/properties.go
@@ -16,7 +16,7 @@
 //	paid once               a paid session is refused, or its SETUP is written again, only if every earlier attempt
 //	                        provably never ran
 //	drains kept             no SETUP is written to a server later than the grace period after the front learned that it
-//	                        drains or is gone
+//	                        drains or was removed from the list
 //	warm-up kept            fewer SETUPs than would overload it are written to a server that just started, within the
 //	                        overload window
 //	floors and seats        no rung is below the class's floor; no more paid sessions of the title than seats, set-ups
@@ -109,8 +109,10 @@
 	if w.settings.WarmupTime <= 0 || s.startedAt == 0 || w.now-s.startedAt >= w.settings.WarmupTime {
 		return 0
 	}
-	setupsPerSecond := w.settings.KindSlots[0] / (float64(w.settings.WarmupTime) / float64(policy.Second)) * w.settings.ColdCapacity
-	return int(setupsPerSecond * w.settings.OverloadFactor * float64(w.settings.OverloadWindow) / float64(policy.Second))
+	setupsPerSecond := w.settings.KindSlots[0] / (float64(w.settings.WarmupTime) / float64(policy.Second)) *
+		w.settings.ColdCapacity
+	return int(setupsPerSecond * w.settings.OverloadFactor * float64(w.settings.OverloadWindow) /
+		float64(policy.Second))
 }
 
 // recentSetups counts the set-ups written to a server within the last overload window.
@@ -157,7 +159,8 @@
 	}
 	class := w.settings.Classes[w.cfg.classOf(int(player))]
 	if w.now > p.requestedAt+class.Deadline {
-		w.fail("one answer: %s %d ms after the deadline", answer, (w.now-p.requestedAt-class.Deadline)/policy.Millisecond)
+		w.fail("one answer: %s %d ms after the deadline", answer,
+			(w.now-p.requestedAt-class.Deadline)/policy.Millisecond)
 	}
 	p.answer, p.playing = answer, answer == "plays"
 	if answer == "refused" && class.Paid {
@@ -174,7 +177,8 @@
 	w.history.prune(w)
 	for i := range w.players {
 		p := &w.players[i]
-		if p.requested && !p.left && p.answer == "" && w.now > p.requestedAt+w.settings.Classes[w.cfg.classOf(i)].Deadline {
+		if p.requested && !p.left && p.answer == "" &&
+			w.now > p.requestedAt+w.settings.Classes[w.cfg.classOf(i)].Deadline {
 			w.fail("one answer: player %d has no answer by its deadline", i)
 		}
 	}
@@ -187,7 +191,8 @@
 func (w *world) checkNothingLeft() {
 	for i := range w.servers {
 		for _, x := range w.servers[i].streams {
-			if !x.orphaned && !w.isWanted(x.session) && w.protocol.PendingTeardowns() == 0 { // else its tear-down is pending
+			// While a tear-down is pending, it may be the stream's.
+			if !x.orphaned && !w.isWanted(x.session) && w.protocol.PendingTeardowns() == 0 {
 				w.fail("nothing left: server %d plays a stream of a session that ended", i+1)
 			}
 		}
@@ -218,8 +223,8 @@
 
 // isQuiet reports whether no dial and no request is in flight on any connection.
 func (w *world) isQuiet() bool {
-	for _, l := range w.conns {
-		if l.dialing || len(l.pending) > 0 {
+	for _, conn := range w.conns {
+		if conn.dialing || len(conn.pending) > 0 {
 			return false
 		}
 	}
--- a/internal/explore/attempts/recover.go
+++ b/internal/explore/attempts/recover.go
@@ -18,9 +18,9 @@
 	for i := range w.players {
 		p := &w.players[i]
 		class := w.cfg.classOf(i)
-		s := recovery.Session{Ask: policy.SessionSpec{ID: p.session, Title: 1, Copies: 1, Class: class, Viewer: uint64(i) + 1,
-			Top: 1}, Server: w.protocol.Server(p.session), Attempt: w.protocol.Attempt(p.session),
-			Rung: w.settings.Classes[class].Floor, At: w.now}
+		s := recovery.Session{Ask: policy.SessionSpec{ID: p.session, Title: 1, Copies: 1, Class: class,
+			Viewer: uint64(i) + 1, Top: 1}, Server: w.protocol.Server(p.session),
+			Attempt: w.protocol.Attempt(p.session), Rung: w.settings.Classes[class].Floor, At: w.now}
 		switch {
 		case !p.requested || p.left || s.Server == 0:
 		case p.playing:
--- a/internal/explore/attempts/servers.go
+++ b/internal/explore/attempts/servers.go
@@ -54,11 +54,11 @@
 	}
 }
 
-// connByID returns a connection, nil if it is gone.
+// connByID returns a connection, nil if it was removed.
 func (w *world) connByID(id uint64) *serverConn {
-	for _, l := range w.conns {
-		if l.id == id {
-			return l
+	for _, conn := range w.conns {
+		if conn.id == id {
+			return conn
 		}
 	}
 	return nil
@@ -151,7 +151,8 @@
 	s := &w.servers[conn.server-1]
 	for i := len(conn.pipelined) - 1; i >= 0; i-- {
 		if _, ok := s.streams[conn.pipelined[i].stream]; ok {
-			message := &rtsp.Message{Method: rtsp.SetParameter, URI: "rtsp://f/", CSeq: 1, Body: []byte("share: 0.5\r\n")}
+			message := &rtsp.Message{Method: rtsp.SetParameter, URI: "rtsp://f/", CSeq: 1,
+				Body: []byte("share: 0.5\r\n")}
 			message.AddHeader("Session", strconv.FormatUint(conn.pipelined[i].stream, 10))
 			w.protocol.Received(w.now, conn.server, conn.id, message)
 			w.runProtocol()
--- a/internal/explore/attempts/starts.go
+++ b/internal/explore/attempts/starts.go
@@ -19,8 +19,8 @@
 // this one as such an answer. Every run of two fronts is thus a run of each alone, and each property is about one
 // front's sessions.
 func SmallConfig(faults int) Config {
-	return Config{Sessions: 3, Servers: 2, Ways: 2, Faults: faults, Losses: 2, Refusals: 2, Denials: 2, Errors: 2, Leaves: 2, Breaks: 2,
-		Drains: 2, Lists: 2, Restarts: 2, Notes: 2, Waits: 1, Probes: true, Recover: true}
+	return Config{Sessions: 3, Servers: 2, Ways: 2, Faults: faults, Losses: 2, Refusals: 2, Denials: 2, Errors: 2,
+		Leaves: 2, Breaks: 2, Drains: 2, Lists: 2, Restarts: 2, Notes: 2, Waits: 1, Probes: true, Recover: true}
 }
 
 // InjectFault seeds the fault with the given text.
@@ -177,7 +177,8 @@
 		return cfg, nil, fmt.Errorf("no session is active %v into the record", at)
 	}
 	sort.Slice(busiest, func(i, j int) bool {
-		return busiest[i].since > busiest[j].since || busiest[i].since == busiest[j].since && busiest[i].key < busiest[j].key
+		return busiest[i].since > busiest[j].since ||
+			busiest[i].since == busiest[j].since && busiest[i].key < busiest[j].key
 	})
 	busiest = busiest[:min(len(busiest), 3)]
 	cfg.Classes = nil
@@ -204,9 +205,12 @@
 	for i := range w.players {
 		order = append(order, i)
 	}
-	sort.SliceStable(order, func(a, b int) bool { return stage(order[a]) > stage(order[b]) }) // playing sessions come first
+	// Playing sessions come first.
+	sort.SliceStable(order, func(a, b int) bool { return stage(order[a]) > stage(order[b]) })
 	for _, i := range order {
-		if !take(func(c choice) bool { return c.kind == playerRequests && w.cfg.classOf(c.index) == w.cfg.classOf(i) }) {
+		if !take(func(c choice) bool {
+			return c.kind == playerRequests && w.cfg.classOf(c.index) == w.cfg.classOf(i)
+		}) {
 			continue
 		}
 		for n := 0; n < 8 && stage(i) > 0 && w.players[i].answer == ""; n++ {
--- a/internal/explore/attempts/starts_test.go
+++ b/internal/explore/attempts/starts_test.go
@@ -13,7 +13,8 @@
 // TestScriptOfTraceIsValid: the day script of a trace can be parsed and has the faults of the trace in their order.
 func TestScriptOfTraceIsValid(t *testing.T) {
 	c := seeded[string(AssumesUnwritten)]
-	r := explore.Run(func() explore.System { return New(c.cfg) }, explore.Limits{MaxDepth: 60, Workers: 1, BreadthFirst: true})
+	r := explore.Run(func() explore.System { return New(c.cfg) }, explore.Limits{MaxDepth: 60, Workers: 1,
+		BreadthFirst: true})
 	text := Script(c.cfg, r)
 	s, err := day.Parse("story", text)
 	if err != nil {
@@ -46,19 +47,20 @@
 		t.Fatal(err)
 	}
 	w := NewWithChoices(cfg, labels)().(*world)
-	plays, out := 0, 0
+	plays, inFlight := 0, 0
 	for i, p := range w.players {
 		if p.answer == "plays" && cfg.Classes[i] == 0 {
 			plays++
 		}
 		if p.requested && p.answer == "" && cfg.Classes[i] == 2 {
-			out++
+			inFlight++
 		}
 	}
-	if plays != 1 || out != 1 || !w.servers[0].draining && !w.servers[1].draining {
+	if plays != 1 || inFlight != 1 || !w.servers[0].draining && !w.servers[1].draining {
 		t.Errorf("%v\n%+v", labels, w.players)
 	}
-	if r := explore.Run(NewWithChoices(cfg, labels), explore.Limits{MaxDepth: 60}); r.Violation != "" || !r.Complete || r.States < 100 {
+	if r := explore.Run(NewWithChoices(cfg, labels), explore.Limits{MaxDepth: 60}); r.Violation != "" ||
+		!r.Complete || r.States < 100 {
 		t.Error(r)
 	}
 	if _, _, err := FromRecord(events, time.Millisecond, cfg); err == nil {
--- a/internal/explore/attempts/world.go
+++ b/internal/explore/attempts/world.go
@@ -86,9 +86,10 @@
 		{SetupTarget: policy.Second, Deadline: deadline, Worth: 2, Scale: 1, Top: 1, Paid: true, Seats: 1},
 		{SetupTarget: policy.Second, Deadline: deadline, Worth: 1, Scale: 1, Floor: 1, Top: 1},
 		{SetupTarget: policy.Second, Deadline: deadline, Worth: 1, Scale: 1, Top: 1}},
-		RungKB: []float64{100, 200}, RungWorth: []float64{0.5, 1}, FleetKB: 20000, RackKB: 20000, WeightKB: 10000, Racks: 1, Cells: 1,
-		KindSlots: []float64{40}, StallCost: 8, ChangeCost: 0.5, ExtraViewerCost: 1, MaxAttempts: 3, RetryAfter: true,
-		MaxRetryAfter: policy.Second, DrainGrace: policy.Second / 10, ConnectTimeout: policy.Second / 4}
+		RungKB: []float64{100, 200}, RungWorth: []float64{0.5, 1}, FleetKB: 20000, RackKB: 20000, WeightKB: 10000,
+		Racks: 1, Cells: 1, KindSlots: []float64{40}, StallCost: 8, ChangeCost: 0.5, ExtraViewerCost: 1,
+		MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: policy.Second, DrainGrace: policy.Second / 10,
+		ConnectTimeout: policy.Second / 4}
 	if cfg.Probes {
 		s.MayProbe, s.Fields = true, []policy.Field{policy.FieldLink}
 	}
@@ -98,7 +99,8 @@
 	if cfg.Cold {
 		// A server that just started takes 1 set-up per second. 2 set-ups within a second do not overload it, a third
 		// does.
-		s.KindSlots, s.WarmupTime, s.OverloadWindow, s.ColdCapacity, s.OverloadFactor = []float64{20}, 10*policy.Second, policy.Second, 0.5, 2
+		s.KindSlots, s.WarmupTime, s.OverloadWindow, s.ColdCapacity, s.OverloadFactor =
+			[]float64{20}, 10*policy.Second, policy.Second, 0.5, 2
 	}
 	if cfg.Budget {
 		// The module adds a connect timeout to this window. Half the window plus that timeout is less than idleStep;
@@ -182,12 +184,13 @@
 	}
 	w.frontStarts++
 	w.core = front.New(front.Config{Settings: w.settings, Module: module, NewToken: token,
-		AnswerMargin: 60 * policy.Millisecond, FailsafeMargin: 30 * policy.Millisecond, MoveTokenTTL: policy.Second, MaxMoveTokens: 4,
-		ResumeWindow: resumeWindow, FirstID: uint64(w.frontStarts-1) * 1000})
-	w.protocol = rtspclient.New(rtspclient.Config{Front: "f", Fields: w.settings.Fields, ProbeTimeout: policy.Second / 4,
-		StallTimeout: 60 * policy.Second, KeepAliveInterval: 3600 * policy.Second, ConnectTimeout: w.settings.ConnectTimeout, TitleName: titleName,
-		Random: zeroRandom,
-		Aims:   []policy.Time{policy.Second, policy.Second, policy.Second}})
+		AnswerMargin: 60 * policy.Millisecond, FailsafeMargin: 30 * policy.Millisecond, MoveTokenTTL: policy.Second,
+		MaxMoveTokens: 4, ResumeWindow: resumeWindow, FirstID: uint64(w.frontStarts-1) * 1000})
+	w.protocol = rtspclient.New(rtspclient.Config{Front: "f", Fields: w.settings.Fields,
+		ProbeTimeout: policy.Second / 4, StallTimeout: 60 * policy.Second,
+		KeepAliveInterval: 3600 * policy.Second, ConnectTimeout: w.settings.ConnectTimeout,
+		TitleName: titleName, Random: zeroRandom,
+		Aims: []policy.Time{policy.Second, policy.Second, policy.Second}})
 	w.view = &serverview.View{}
 	w.applyList(w.listEntries())
 }
@@ -248,7 +251,8 @@
 	for _, e := range list {
 		server := rtspclient.Server{ID: e.Server, Addr: fmt.Sprintf("s%d:1", e.Server), StartedAt: e.Started}
 		for k := range max(w.cfg.Ways, 1) {
-			server.Paths = append(server.Paths, addresses.Path{Addr: fmt.Sprintf("s%d:%d", e.Server, k+1), Family: addresses.IPv4})
+			server.Paths = append(server.Paths, addresses.Path{Addr: fmt.Sprintf("s%d:%d", e.Server, k+1),
+				Family: addresses.IPv4})
 		}
 		known = append(known, server)
 	}
@@ -274,8 +278,8 @@
 	p.requested, p.requestedAt = true, w.now
 	w.history.Requests = append(w.history.Requests, w.now)
 	lastID := w.core.LastID()
-	effects := w.core.Step(w.now, front.Request{Player: uint64(i), ReadAt: w.now, Title: 1, Copies: 1, Class: w.cfg.classOf(i),
-		Viewer: uint64(i) + 1, Top: 1, Again: p.reconnects > 0})
+	effects := w.core.Step(w.now, front.Request{Player: uint64(i), ReadAt: w.now, Title: 1, Copies: 1,
+		Class: w.cfg.classOf(i), Viewer: uint64(i) + 1, Top: 1, Again: p.reconnects > 0})
 	if p.session = w.core.LastID(); p.session == lastID {
 		w.fail("a request was not accepted")
 	}
@@ -350,7 +354,8 @@
 		case front.Resumed:
 			w.players[e.Player%100].disconnected = false
 		case front.Unknown:
-			w.players[e.Player%100].left, w.players[e.Player%100].playing, w.players[e.Player%100].disconnected = true, false, false
+			w.players[e.Player%100].left, w.players[e.Player%100].playing, w.players[e.Player%100].disconnected =
+				true, false, false
 		case front.SessionEnded:
 			w.stopPlaying(e.Session)
 		case front.Moved:
@@ -380,9 +385,9 @@
 	deep.Add(p, &w.history)
 	deep.Add(p, &w.delayedEffects)
 	deep.Add(p, &w.unconfirmed)
-	remaining := [...]int{w.remaining.Faults, w.remaining.Losses, w.remaining.Refusals, w.remaining.Denials, w.remaining.Errors,
-		w.remaining.Leaves, w.remaining.Breaks, w.remaining.Drains, w.remaining.Lists, w.remaining.Restarts,
-		w.remaining.Notes, w.remaining.Waits, int(w.listIndex)}
+	remaining := [...]int{w.remaining.Faults, w.remaining.Losses, w.remaining.Refusals, w.remaining.Denials,
+		w.remaining.Errors, w.remaining.Leaves, w.remaining.Breaks, w.remaining.Drains, w.remaining.Lists,
+		w.remaining.Restarts, w.remaining.Notes, w.remaining.Waits, int(w.listIndex)}
 	deep.Add(p, &remaining)
 	deep.Add(p, &w.timersDue)
 	return p.Sum()
--- a/internal/explore/checkpoint.go
+++ b/internal/explore/checkpoint.go
@@ -128,7 +128,8 @@
 	}
 	wantDigest := digest.Sum64()
 	var gotDigest uint64
-	if err := binary.Read(r, binary.LittleEndian, &gotDigest); readErr == nil && (err != nil || gotDigest != wantDigest) {
+	if err := binary.Read(r, binary.LittleEndian, &gotDigest); readErr == nil &&
+		(err != nil || gotDigest != wantDigest) {
 		readErr = errors.New("the digest does not match")
 	}
 	if readErr != nil {
--- a/internal/explore/deep/deep.go
+++ b/internal/explore/deep/deep.go
@@ -84,8 +84,9 @@
 		excluded: ps.immutable[t] || ps.excluded[t], name: t.String()}
 	ps.byType[t] = p
 	switch t.Kind() {
-	case reflect.Bool, reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64, reflect.Uint, reflect.Uint8, reflect.Uint16,
-		reflect.Uint32, reflect.Uint64, reflect.Uintptr, reflect.Float32, reflect.Float64:
+	case reflect.Bool, reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64, reflect.Uint,
+		reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64, reflect.Uintptr, reflect.Float32,
+		reflect.Float64:
 		p.shareable, p.pointerFree = true, true
 	case reflect.String, reflect.Func:
 		p.shareable = true // shared: both are immutable
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -79,7 +79,8 @@
 		text += fmt.Sprintf(", diameter %d", r.Diameter)
 	}
 	if r.States > 0 && r.Elapsed > 0 {
-		text += fmt.Sprintf("; %.0f states/s, %.1f bytes a state", float64(r.States)/r.Elapsed.Seconds(), float64(r.SetBytes)/float64(r.States))
+		text += fmt.Sprintf("; %.0f states/s, %.1f bytes a state", float64(r.States)/r.Elapsed.Seconds(),
+			float64(r.SetBytes)/float64(r.States))
 	}
 	if r.PendingPaths > 0 {
 		text += fmt.Sprintf("; %d paths left", r.PendingPaths)
@@ -279,7 +280,8 @@
 		}
 		copier, _ := sys.(Copier)
 		for choice := choices - 1; choice > firstChoice; choice-- {
-			if copier == nil || w.limits.ReplayOnly || w.limits.BreadthFirst || w.stopped.Load() || w.idleWorkers.Load() > 0 {
+			if copier == nil || w.limits.ReplayOnly || w.limits.BreadthFirst || w.stopped.Load() ||
+				w.idleWorkers.Load() > 0 {
 				w.pushPath(path, choice)
 				continue
 			}
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -67,7 +67,8 @@
 		t.Fatal("the trace does not lead to the violation")
 	}
 	for i := range r.Trace { // no choice can be removed
-		if violation, ok := Replay(newSystem, append(append([]string(nil), r.Trace[:i]...), r.Trace[i+1:]...)); ok && violation == r.Violation {
+		if violation, ok := Replay(newSystem, append(append([]string(nil), r.Trace[:i]...), r.Trace[i+1:]...)); ok &&
+			violation == r.Violation {
 			t.Errorf("choice %d of the trace is not needed", i)
 		}
 	}
--- a/internal/explore/walk.go
+++ b/internal/explore/walk.go
@@ -9,7 +9,8 @@
 
 // RandomWalk takes random choices, run after run, until the time is over or a property is violated. It is for systems
 // too large for a complete search. Each worker has its own random source; the same seed gives the same runs.
-func RandomWalk(ctx context.Context, newSystem func() System, depth, workers int, duration time.Duration, seed int64) (r Report) {
+func RandomWalk(ctx context.Context, newSystem func() System, depth, workers int, duration time.Duration,
+	seed int64) (r Report) {
 	startedAt := time.Now()
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -1,6 +1,6 @@
-// Package load is an open-loop load generator for the session API: requests are sent without waiting for earlier replies,
-// and the latency of each reply is measured from the time its request was due, so that a front that stalls can't hide
-// the delay. It also runs closed loops, to find the maximum rate of a front.
+// Package load is an open-loop load generator for the session API: requests are sent without waiting for earlier
+// replies, and the latency of each reply is measured from the time its request was due, so that a front that stalls
+// cannot hide the delay. It also runs closed loops, to find the maximum rate of a front.
 package load
 
 import (
--- a/internal/load/hls.go
+++ b/internal/load/hls.go
@@ -96,7 +96,8 @@
 			}
 		}()
 	}
-	// Session n is opened at n/Rate and reloaded once per ReloadInterval from then on, so that reloads are spread evenly.
+	// Session n is opened at n/Rate and reloaded once per ReloadInterval from then on, so that reloads are spread
+	// evenly.
 	startedAt := time.Now()
 	openingTime := time.Duration(float64(plan.Sessions) / plan.Rate * float64(time.Second))
 	totalTime := openingTime + plan.ReloadInterval + plan.Duration
--- a/internal/standin/listsim/listsim.go
+++ b/internal/standin/listsim/listsim.go
@@ -85,7 +85,8 @@
 	l.schedule(id, func() { delete(l.servers, id) })
 }
 
-// schedule applies a change after the delay. A change is dropped if a newer change of the same server was applied first.
+// schedule applies a change after the delay. A change is dropped if a newer change of the same server was applied
+// first.
 func (l *List) schedule(id uint32, change func()) {
 	l.mu.Lock()
 	delay := l.delay
@@ -125,7 +126,7 @@
 // SetEmpty makes every response an empty list while on is true.
 func (l *List) SetEmpty(on bool) { l.mu.Lock(); l.empty = on; l.notifyWaiters(); l.mu.Unlock() }
 
-// ResetIndex sets the index back to 1, as in a service restored from an old copy.
+// ResetIndex sets the index back to 1 and increments it for this change, as in a service restored from an old copy.
 func (l *List) ResetIndex() { l.mu.Lock(); l.index = 1; l.notifyWaiters(); l.mu.Unlock() }
 
 // entry is one element of the JSON response.
@@ -135,6 +136,8 @@
 	Checks  []map[string]any
 }
 
+// serve answers a query for the servers of a service. A query with the current index blocks until the list changes or
+// its wait time is over.
 func (l *List) serve(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet || !strings.HasPrefix(r.URL.Path, "/v1/health/service/") {
 		http.NotFound(w, r)
--- a/internal/standin/mediasim/serve.go
+++ b/internal/standin/mediasim/serve.go
@@ -212,8 +212,8 @@
 	return fmt.Appendf(nil, "link: %.4f\r\nuplink: %.4f\r\n", s.reported.linkUse, s.reported.uplinkUse)
 }
 
-// sendNotes sends each front that has streams here the delivered share while it is short, and the use of link and uplink
-// once per NoteInterval.
+// sendNotes sends notes on each connection with playing streams: the delivered share, at most once a second, while it
+// is below 0.98 and once more when it has recovered, and the use of link and uplink once per NoteInterval.
 func (s *Server) sendNotes(now time.Time) {
 	if s.stalled && !s.up || s.silent {
 		return
--- a/internal/standin/mediasim/server.go
+++ b/internal/standin/mediasim/server.go
@@ -107,7 +107,8 @@
 	f := Faults{s.stalled, s.silent, s.slow, s.errorRate, s.lossRate, s.garbageRate, s.truncationRate, 1 - s.linkFactor}
 	change(&f)
 	s.stalled, s.silent, s.slow, s.errorRate, s.lossRate, s.garbageRate, s.truncationRate, s.linkFactor =
-		f.Stalled, f.Silent, f.Slow, f.SetupErrors, f.LostReplies, f.GarbageReplies, f.TruncatedReplies, max(1-f.LinkTaken, 0.001)
+		f.Stalled, f.Silent, f.Slow, f.SetupErrors, f.LostReplies, f.GarbageReplies, f.TruncatedReplies,
+		max(1-f.LinkTaken, 0.001)
 }
 
 // Faults are the faults injected into a server.
@@ -230,8 +231,8 @@
 	AddressStalls = "stalls" // responds to OPTIONS, but to no set-up
 )
 
-// SetAddressMode sets the mode of the address of a network (tcp, tcp6, unix) for new connections. If the mode is a fault,
-// open connections to that address are closed.
+// SetAddressMode sets the mode of the address of a network (tcp, tcp6, unix) for new connections. If the mode is a
+// fault, open connections to that address are closed.
 func (s *Server) SetAddressMode(network, mode string) {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
@@ -288,7 +289,8 @@
 	}
 }
 
-// stop stops the process: its streams end and its connections are reset. overloaded says that it crashed under overload.
+// stop stops the process: its streams end and its connections are reset. overloaded says that it crashed under
+// overload.
 func (s *Server) stop(reason string, overloaded bool) {
 	s.farm.mu.Lock()
 	defer s.farm.mu.Unlock()
--- a/internal/standin/platformsim/servers.go
+++ b/internal/standin/platformsim/servers.go
@@ -23,7 +23,7 @@
 	DuplicateReply  bool          // sends a reply with an unknown session id first, and then the reply twice
 	CloseConn       bool          // closes the connection in place of a reply
 	HugeText        bool          // sends a reply whose text fits in a message, but not in a line to the viewer
-	EndOnFrontClose bool          // ends the sessions of a connection that the front closes, with releases in two halves
+	EndOnFrontClose bool          // ends the sessions of a connection that the front closes, each release in two parts
 }
 
 // Server is one stand-in server.
--- a/internal/standin/playersim/hls.go
+++ b/internal/standin/playersim/hls.go
@@ -14,8 +14,8 @@
 	"tealledge/internal/record"
 )
 
-// WatchHLS runs one HLS viewer: it opens the title, reloads the playlist as RFC 8216 requires, fetches the newest segment
-// of each playlist, and continues at another front when its own is unreachable.
+// WatchHLS runs one HLS viewer: it opens the title, reloads the playlist as RFC 8216 requires, fetches the newest
+// segment of each playlist, and continues at another front when its own is unreachable.
 func (c *Crowd) WatchHLS(ctx context.Context, viewer Viewer, pick func(int) (name, addr string)) {
 	c.Recorder.Add(record.Event{Source: "player", Kind: record.ViewerArrived, Viewer: HashViewer(viewer.Name),
 		Class: viewer.ClassIndex, Top: viewer.Top, Length: viewer.WatchTime.Seconds(),
--- a/internal/standin/playersim/playersim.go
+++ b/internal/standin/playersim/playersim.go
@@ -1,5 +1,5 @@
-// Package playersim is a stand-in for players: WebSocket and HLS clients that open sessions, watch, leave, retry and, on
-// command, misbehave. It records what crossed its own sockets.
+// Package playersim is a stand-in for players: WebSocket and HLS clients that open sessions, watch, leave, retry and,
+// on command, misbehave. It records what crossed its own sockets.
 package playersim
 
 import (
@@ -344,7 +344,8 @@
 // readSecondReply checks for a second reply to the request and records it.
 func (c *Crowd) readSecondReply(nc net.Conn, request record.Event) {
 	nc.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-	if text, err := wsutil.ReadServerText(nc); err == nil && strings.Contains(string(text), strconv.Quote(request.Ref)) {
+	if text, err := wsutil.ReadServerText(nc); err == nil &&
+		strings.Contains(string(text), strconv.Quote(request.Ref)) {
 		request.At, request.Kind, request.Text = 0, record.ReplyReceived, "second"
 		c.Recorder.Add(request)
 	}
--- a/internal/standin/ports/ports.go
+++ b/internal/standin/ports/ports.go
@@ -9,7 +9,8 @@
 	"syscall"
 )
 
-// Reservation is a set of addresses that stay reserved until Close, or until nothing refers to the Reservation any more.
+// Reservation is a set of addresses that stay reserved until Close, or until nothing refers to the Reservation any
+// more.
 type Reservation struct {
 	Addrs   []string
 	sockets []*os.File
