--- a/cmd/tealledge/demo.go
+++ b/cmd/tealledge/demo.go
@@ -44,7 +44,7 @@
 		Cells: settings.Cells, SetupTime: script.SetupTime, ReportInterval: script.ReportInterval,
 		NoteDelay:    time.Duration(settings.NoteDelay),
 		NoteInterval: time.Duration(settings.NoteInterval), InlineReports: true,
-		SessionTimeout: script.StreamTTL}, c.Servers, nil)
+		SessionTimeout: script.SessionTimeout}, c.Servers, nil)
 	if err != nil {
 		return err
 	}
--- a/decide/addresses/addresses.go
+++ b/decide/addresses/addresses.go
@@ -46,7 +46,7 @@
 var familyPenaltyNanos = [...]float64{Unix: 0, IPv6: 1e6, IPv4: 2e6}
 
 // Address is one address of a server with this front's record of it. The zero value has no record.
-type Path struct {
+type Address struct {
 	Addr   string
 	Family Family
 
@@ -61,78 +61,78 @@
 // Parse reads an address: HOST:PORT, [IPV6]:PORT, or the path of a Unix socket. An IPv4 address written as an IPv6
 // one (RFC 4291 section 2.5.5.2) becomes the IPv4 address: two notations of one address must not count as two
 // addresses.
-func Parse(addr string) (Path, error) {
+func Parse(addr string) (Address, error) {
 	if strings.HasPrefix(addr, "/") {
 		if len(addr) > 107 { // sockaddr_un
-			return Path{}, fmt.Errorf("%.40q...: the path of a Unix socket is limited to 107 bytes", addr)
+			return Address{}, fmt.Errorf("%.40q...: the path of a Unix socket is limited to 107 bytes", addr)
 		}
-		return Path{Addr: addr, Family: Unix}, nil
+		return Address{Addr: addr, Family: Unix}, nil
 	}
 	if ap, err := netip.ParseAddrPort(addr); err == nil {
 		ap = netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
 		if ap.Port() == 0 {
-			return Path{}, fmt.Errorf("%q: no port", addr)
+			return Address{}, fmt.Errorf("%q: no port", addr)
 		}
 		if ap.Addr().Is4() {
-			return Path{Addr: ap.String(), Family: IPv4}, nil
+			return Address{Addr: ap.String(), Family: IPv4}, nil
 		}
-		return Path{Addr: ap.String(), Family: IPv6}, nil
+		return Address{Addr: ap.String(), Family: IPv6}, nil
 	}
 	host, port, ok := strings.Cut(addr, ":")
 	if !ok || host == "" || port == "" || strings.ContainsAny(addr, " /[]") || strings.Contains(port, ":") {
-		return Path{}, fmt.Errorf("%q is neither HOST:PORT nor the path of a Unix socket", addr)
+		return Address{}, fmt.Errorf("%q is neither HOST:PORT nor the path of a Unix socket", addr)
 	}
-	return Path{Addr: addr, Family: IPv4}, nil
+	return Address{Addr: addr, Family: IPv4}, nil
 }
 
 // Set holds the addresses of one server.
-type Set struct{ Paths []Path }
+type Set struct{ Addresses []Address }
 
 // Update replaces the list of addresses. Addresses that stay keep their record; duplicates are dropped.
-func (s *Set) Update(list []Path) (changed bool) {
-	var out []Path
+func (s *Set) Update(list []Address) (changed bool) {
+	var out []Address
 	for _, p := range list {
-		if slices.ContainsFunc(out, func(o Path) bool { return o.Addr == p.Addr }) {
+		if slices.ContainsFunc(out, func(o Address) bool { return o.Addr == p.Addr }) {
 			continue
 		}
 		if i := s.index(p.Addr); i >= 0 {
-			p = s.Paths[i]
+			p = s.Addresses[i]
 		}
 		out = append(out, p)
 	}
-	changed = len(out) != len(s.Paths)
+	changed = len(out) != len(s.Addresses)
 	for i := range out {
-		changed = changed || out[i].Addr != s.Paths[i].Addr
+		changed = changed || out[i].Addr != s.Addresses[i].Addr
 	}
-	s.Paths = out
+	s.Addresses = out
 	return changed
 }
 
 func (s *Set) index(addr string) int {
-	return slices.IndexFunc(s.Paths, func(p Path) bool { return p.Addr == addr })
+	return slices.IndexFunc(s.Addresses, func(p Address) bool { return p.Addr == addr })
 }
 
 // score is the sort key of addresses; lower is better.
-func (p *Path) score(now Time) float64 {
+func (p *Address) score(now Time) float64 {
 	return familyPenaltyNanos[p.Family] + p.connectTime + failurePenaltyNanos*p.decayedFailures(now)
 }
 
-func (p *Path) decayedFailures(now Time) float64 {
+func (p *Address) decayedFailures(now Time) float64 {
 	return p.failures * math.Exp2(-float64(now-p.failedAt)/float64(failureHalfLife))
 }
 
 // InBackoff reports whether an address is not to be tried for now.
-func (p *Path) InBackoff(now Time) bool { return now < p.backoffUntil }
+func (p *Address) InBackoff(now Time) bool { return now < p.backoffUntil }
 
 // halfOpen reports whether the backoff of an address has ended without a response since: it is tried again by a connect
 // alone.
-func (p *Path) halfOpen(now Time) bool { return p.backoff > 0 && !p.InBackoff(now) }
+func (p *Address) halfOpen(now Time) bool { return p.backoff > 0 && !p.InBackoff(now) }
 
 // Order returns the addresses to connect to for a viewer's set-up, best first. Half-open addresses come after working
 // ones. Those in backoff are only returned if there are no others: a server all of whose addresses failed must be
 // found again.
 func (s *Set) Order(now Time) (list []int) {
-	rank := func(p *Path) int {
+	rank := func(p *Address) int {
 		switch {
 		case p.InBackoff(now):
 			return 2
@@ -141,11 +141,11 @@
 		}
 		return 0
 	}
-	for i := range s.Paths {
+	for i := range s.Addresses {
 		list = append(list, i)
 	}
 	slices.SortStableFunc(list, func(a, b int) int {
-		x, y := &s.Paths[a], &s.Paths[b]
+		x, y := &s.Addresses[a], &s.Addresses[b]
 		if c := rank(x) - rank(y); c != 0 {
 			return c
 		}
@@ -158,8 +158,8 @@
 		return 0
 	})
 	// While one address is usable, those in backoff are not tried for a viewer at all.
-	if len(list) > 0 && rank(&s.Paths[list[0]]) < 2 {
-		list = slices.DeleteFunc(list, func(i int) bool { return rank(&s.Paths[i]) == 2 })
+	if len(list) > 0 && rank(&s.Addresses[list[0]]) < 2 {
+		list = slices.DeleteFunc(list, func(i int) bool { return rank(&s.Addresses[i]) == 2 })
 	}
 	return list
 }
@@ -167,7 +167,7 @@
 // Delay returns how long after address i the next one is tried in parallel. timeLeft is the remaining time for
 // connecting; it is shared among the remaining addresses, so that the last one has a chance too.
 func (s *Set) Delay(i int, timeLeft Time, remaining int) Time {
-	d := Time(delayFactor * s.Paths[i].connectTime)
+	d := Time(delayFactor * s.Addresses[i].connectTime)
 	return min(max(d, minDelay), maxDelay, timeLeft/Time(remaining+1))
 }
 
@@ -177,7 +177,7 @@
 
 // Connected records a successful connect.
 func (s *Set) Connected(i int, now, took Time) {
-	p := &s.Paths[i]
+	p := &s.Addresses[i]
 	if p.connectTime == 0 {
 		p.connectTime = float64(took)
 	}
@@ -189,7 +189,7 @@
 
 // Responded records a response on an address: it not only accepts connections but works.
 func (s *Set) Responded(i int, now Time) {
-	p := &s.Paths[i]
+	p := &s.Addresses[i]
 	p.backoff, p.backoffUntil, p.workedAt = 0, 0, now
 }
 
@@ -200,7 +200,7 @@
 // then resets or never responds. The cost: an address that failed once by chance is not used for a second; the others
 // carry its load.
 func (s *Set) Failed(i int, now Time) {
-	p := &s.Paths[i]
+	p := &s.Addresses[i]
 	p.failures, p.failedAt = p.decayedFailures(now)+1, now
 	p.backoff = min(max(2*p.backoff, minBackoff), maxBackoff)
 	p.backoffUntil = now + p.backoff
@@ -208,8 +208,8 @@
 
 // ResetFailures clears all failures: the server's process is a new one, and they say nothing about it.
 func (s *Set) ResetFailures() {
-	for i := range s.Paths {
-		p := &s.Paths[i]
+	for i := range s.Addresses {
+		p := &s.Addresses[i]
 		p.failures, p.backoff, p.backoffUntil = 0, 0, 0
 	}
 }
@@ -224,8 +224,8 @@
 
 // Unreachable reports whether every address is in backoff: only then does the server itself count as unreachable.
 func (s *Set) Unreachable(now Time) bool {
-	for i := range s.Paths {
-		if !s.Paths[i].InBackoff(now) {
+	for i := range s.Addresses {
+		if !s.Addresses[i].InBackoff(now) {
 			return false
 		}
 	}
@@ -236,8 +236,8 @@
 // without a viewer's set-up on it; ok is false if there is none. It is for servers whose other addresses work:
 // otherwise viewers' set-ups try it soon enough.
 func (s *Set) RecheckDue(now Time) (i int, ok bool) {
-	for i := range s.Paths {
-		if s.Paths[i].halfOpen(now) {
+	for i := range s.Addresses {
+		if s.Addresses[i].halfOpen(now) {
 			return i, true
 		}
 	}
--- a/decide/addresses/addresses_test.go
+++ b/decide/addresses/addresses_test.go
@@ -14,7 +14,7 @@
 
 func threeAddresses() *Set {
 	s := &Set{}
-	s.Update([]Path{{Addr: "1.2.3.4:5", Family: IPv4}, {Addr: "[::1]:5", Family: IPv6}, {Addr: "/run/m", Family: Unix}})
+	s.Update([]Address{{Addr: "1.2.3.4:5", Family: IPv4}, {Addr: "[::1]:5", Family: IPv6}, {Addr: "/run/m", Family: Unix}})
 	return s
 }
 
@@ -43,7 +43,7 @@
 
 func TestServerIsUnreachableOnlyWhenAllAddressesFailed(t *testing.T) {
 	s := threeAddresses()
-	for i := range s.Paths {
+	for i := range s.Addresses {
 		if s.Unreachable(start) {
 			t.Fatal("unreachable although an address was not tried")
 		}
@@ -60,13 +60,13 @@
 	now := Time(start)
 	for _, want := range []Time{1, 2, 4, 8, 16, 30, 30} {
 		s.Failed(0, now)
-		if got := s.Paths[0].backoffUntil - now; got != want*policy.Second {
+		if got := s.Addresses[0].backoffUntil - now; got != want*policy.Second {
 			t.Fatalf("backoff %v, want %d s", got, want)
 		}
 		if _, ok := s.RecheckDue(now); ok {
 			t.Fatal("recheck due during the backoff")
 		}
-		now = s.Paths[0].backoffUntil
+		now = s.Addresses[0].backoffUntil
 		if i, ok := s.RecheckDue(now); !ok || i != 0 {
 			t.Fatal("no recheck due after the backoff")
 		}
@@ -76,7 +76,7 @@
 		}
 	}
 	s.Responded(0, now)
-	if _, ok := s.RecheckDue(now); ok || s.Paths[0].InBackoff(now) {
+	if _, ok := s.RecheckDue(now); ok || s.Addresses[0].InBackoff(now) {
 		t.Fatal("a response did not end the failed state")
 	}
 }
@@ -94,7 +94,7 @@
 	} {
 		s := threeAddresses()
 		s.ConnectionClosed(1, start, start-c.lifetime, c.responded)
-		if s.Paths[1].InBackoff(start) != c.backsOff {
+		if s.Addresses[1].InBackoff(start) != c.backsOff {
 			t.Errorf("%s: in backoff: %v", name, !c.backsOff)
 		}
 	}
@@ -120,14 +120,14 @@
 func TestUpdateKeepsRecordsAndDropsDuplicates(t *testing.T) {
 	s := threeAddresses()
 	s.Failed(1, start)
-	if !s.Update([]Path{{Addr: "[::1]:5", Family: IPv6}, {Addr: "[::1]:5", Family: IPv6},
+	if !s.Update([]Address{{Addr: "[::1]:5", Family: IPv6}, {Addr: "[::1]:5", Family: IPv6},
 		{Addr: "9.9.9.9:1", Family: IPv4}}) {
 		t.Error("a change was not reported")
 	}
-	if len(s.Paths) != 2 || !s.Paths[0].InBackoff(start) || s.Paths[1].InBackoff(start) {
-		t.Fatalf("%+v", s.Paths)
+	if len(s.Addresses) != 2 || !s.Addresses[0].InBackoff(start) || s.Addresses[1].InBackoff(start) {
+		t.Fatalf("%+v", s.Addresses)
 	}
-	if s.Update([]Path{{Addr: "[::1]:5", Family: IPv6},
+	if s.Update([]Address{{Addr: "[::1]:5", Family: IPv6},
 		{Addr: "9.9.9.9:1", Family: IPv4}}) {
 		t.Error("a change was reported where there is none")
 	}
@@ -173,7 +173,7 @@
 }
 
 func TestParse(t *testing.T) {
-	for in, want := range map[string]Path{
+	for in, want := range map[string]Address{
 		"10.0.0.1:554":          {Addr: "10.0.0.1:554", Family: IPv4},
 		"[::ffff:10.0.0.1]:554": {Addr: "10.0.0.1:554", Family: IPv4},
 		"[2001:db8:0::1]:554":   {Addr: "[2001:db8::1]:554", Family: IPv6},
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -118,7 +118,7 @@
 		NoteInterval: toDuration(service.NoteInterval), FullThreshold: service.FullThreshold,
 		InlineReports: service.InlineReports, WarmupTime: toDuration(service.WarmupTime),
 		ColdCapacity: service.ColdCapacity, OverloadFactor: service.OverloadFactor,
-		OverloadWindow: toDuration(service.OverloadWindow), SessionTimeout: s.StreamTTL,
+		OverloadWindow: toDuration(service.OverloadWindow), SessionTimeout: s.SessionTimeout,
 		HoldsTitle: s.holdsTitle, Seed: s.Seed,
 		ExtraFamilies: s.Families, SocketDir: w.options.Dir, ServeHLS: s.HLS > 0, TokenKeys: keys}, s.Servers,
 		w.records)
@@ -199,7 +199,7 @@
 // Judge shuts down the fronts, waits until the servers have ended orphaned streams, and audits the records.
 func (w *world) Judge(ctx context.Context) (*audit.Report, error) {
 	w.shutdownFronts()
-	if err := sleep(ctx, w.script.StreamTTL+500*time.Millisecond); err != nil {
+	if err := sleep(ctx, w.script.SessionTimeout+500*time.Millisecond); err != nil {
 		return nil, err
 	}
 	w.records.Add(record.Event{Source: "day", Kind: record.DayFinished})
--- a/internal/day/script.go
+++ b/internal/day/script.go
@@ -43,7 +43,7 @@
 	RateVariation    float64 // links and uplinks differ from their mean by up to this share
 	SetupTime        time.Duration
 	ReportInterval   time.Duration // interval at which servers refresh their load values
-	StreamTTL        time.Duration // how long servers keep a stream whose connection was lost
+	SessionTimeout   time.Duration // how long servers keep a stream whose connection was lost
 	Families         []string      // additional addresses of each server: ipv6, unix
 	Faults           []Fault
 	ServiceText      string // the (service ...) form as written
@@ -133,7 +133,7 @@
 	s := &Script{Seed: 1, Length: 20 * time.Second, Fronts: 2, Servers: 12, Titles: 20, Copies: 4, Rate: 5,
 		MinWatch: 2 * time.Second,
 		MaxWatch: 6 * time.Second, Slots: 24, LinkKB: 5000, UplinkKB: 20000, SetupTime: 4 * time.Millisecond,
-		ReportInterval: 300 * time.Millisecond, StreamTTL: 2 * time.Second}
+		ReportInterval: 300 * time.Millisecond, SessionTimeout: 2 * time.Second}
 	r := &config.Reader{}
 	root := &sexp.Node{Pos: sexp.Pos{File: path, Line: 1, Col: 1}, IsList: true,
 		List: append([]*sexp.Node{{Text: "file"}}, nodes...)}
@@ -220,7 +220,7 @@
 				"uneven":    floatField(&s.RateVariation, 0, 0.9),
 				"setup":     durationField(&s.SetupTime, time.Minute),
 				"report":    durationField(&s.ReportInterval, time.Minute),
-				"keep":      durationField(&s.StreamTTL, time.Minute),
+				"keep":      durationField(&s.SessionTimeout, time.Minute),
 				"families": func(n *sexp.Node) {
 					for _, a := range n.Args() {
 						if a.Text != "ipv6" && a.Text != "unix" {
--- a/internal/explore/attempts/world.go
+++ b/internal/explore/attempts/world.go
@@ -190,7 +190,7 @@
 		ProbeTimeout: policy.Second / 4, StallTimeout: 60 * policy.Second,
 		KeepAliveInterval: 3600 * policy.Second, ConnectTimeout: w.settings.ConnectTimeout,
 		TitleName: titleName, Random: zeroRandom,
-		Aims: []policy.Time{policy.Second, policy.Second, policy.Second}})
+		SetupTargets: []policy.Time{policy.Second, policy.Second, policy.Second}})
 	w.view = &serverview.View{}
 	w.applyList(w.listEntries())
 }
@@ -251,7 +251,7 @@
 	for _, e := range list {
 		server := rtspclient.Server{ID: e.Server, Addr: fmt.Sprintf("s%d:1", e.Server), StartedAt: e.Started}
 		for k := range max(w.cfg.Ways, 1) {
-			server.Paths = append(server.Paths, addresses.Path{Addr: fmt.Sprintf("s%d:%d", e.Server, k+1),
+			server.Addresses = append(server.Addresses, addresses.Address{Addr: fmt.Sprintf("s%d:%d", e.Server, k+1),
 				Family: addresses.IPv4})
 		}
 		known = append(known, server)
--- a/internal/front/actions.go
+++ b/internal/front/actions.go
@@ -57,7 +57,7 @@
 		c.stats.Probes++
 		c.emit(Probe{a.Server})
 	case policy.Subscribe:
-		c.emit(Follow{})
+		c.emit(Subscribe{})
 	case policy.Log:
 		c.emit(Log{a.Text})
 	}
--- a/internal/front/api.go
+++ b/internal/front/api.go
@@ -162,7 +162,7 @@
 type Probe struct{ Server uint32 }
 
 // Follow requests the server list and its changes.
-type Follow struct{}
+type Subscribe struct{}
 
 // Plays is the answer to a request whose session plays. Each Request gets exactly one of Plays, Refused and Failed,
 // unless its player leaves.
--- a/internal/platform/node/owner.go
+++ b/internal/platform/node/owner.go
@@ -215,7 +215,7 @@
 			n.log.Info().Str("from", "module").Msg(e.Text)
 		case front.Fault:
 			n.log.Error().Msg("fault: " + e.Text)
-		case front.Follow: // the journal is always followed
+		case front.Subscribe: // the journal is always followed
 		case front.Plays:
 			if !n.viewers.Apply(now, e) {
 				ended = append(ended, e.Session)
--- a/internal/rtspclient/race.go
+++ b/internal/rtspclient/race.go
@@ -32,7 +32,7 @@
 }
 
 func (s *peerState) addressIndex(addr string) int {
-	return slices.IndexFunc(s.addresses.Paths, func(p addresses.Path) bool { return p.Addr == addr })
+	return slices.IndexFunc(s.addresses.Addresses, func(p addresses.Address) bool { return p.Addr == addr })
 }
 
 // dial starts a race, unless a connection is established or a race is running.
@@ -43,7 +43,7 @@
 	peer.connState = connecting
 	peer.race = &race{deadline: p.now + p.cfg.ConnectTimeout}
 	for _, i := range peer.addresses.Order(p.now) {
-		peer.race.remaining = append(peer.race.remaining, peer.addresses.Paths[i].Addr)
+		peer.race.remaining = append(peer.race.remaining, peer.addresses.Addresses[i].Addr)
 	}
 	p.dialNext(peer)
 }
@@ -212,7 +212,7 @@
 	case peer.recheck == nil && peer.race == nil && peer.listed:
 		// Tests whether the address works again without risking a viewer's set-up.
 		if i, ok := peer.addresses.RecheckDue(p.now); ok && p.pacer.Allow(peer.server, p.now, false) {
-			peer.recheck = p.startDial(peer, peer.addresses.Paths[i].Addr, p.cfg.ConnectTimeout)
+			peer.recheck = p.startDial(peer, peer.addresses.Addresses[i].Addr, p.cfg.ConnectTimeout)
 		}
 	}
 	if peer.connState == connected && p.cfg.IdleTimeout > 0 && len(peer.streams) == 0 && len(peer.requests) == 0 &&
@@ -246,8 +246,8 @@
 	}
 	first := slices.MinFunc(peer.unsent, func(a, b *attempt) int { return cmp.Compare(a.startedAt, b.startedAt) })
 	aim := Time(0)
-	if class := first.setup.Class; class >= 0 && class < len(p.cfg.Aims) {
-		aim = p.cfg.Aims[class]
+	if class := first.setup.Class; class >= 0 && class < len(p.cfg.SetupTargets) {
+		aim = p.cfg.SetupTargets[class]
 	}
 	return addresses.FallbackFits(p.now-first.startedAt, aim)
 }
--- a/internal/rtspclient/rtspclient.go
+++ b/internal/rtspclient/rtspclient.go
@@ -39,7 +39,7 @@
 	TitleName         func(uint64) string
 	ConnectTimeout    Time           // a connection must be established and have answered once within this time
 	IdleTimeout       Time           // a connection without sessions that is unused for this long is closed; 0: never
-	Aims              []Time         // per class: a connect that takes too much of it is abandoned for the next holder
+	SetupTargets      []Time         // per class: a connect that takes too much of it is abandoned for the next holder
 	Random            func() float64 // from 0 to 1; spreads the fronts' dials after a server restart
 }
 
@@ -167,7 +167,7 @@
 type Server struct {
 	ID        uint32
 	Addr      string
-	Paths     []addresses.Path
+	Addresses []addresses.Address
 	StartedAt Time
 }
 
@@ -188,12 +188,12 @@
 			p.peers[s.ID] = peer
 			i, _ := slices.BinarySearch(p.peerOrder, s.ID)
 			p.peerOrder = slices.Insert(p.peerOrder, i, s.ID)
-			peer.addresses.Update(s.Paths)
+			peer.addresses.Update(s.Addresses)
 			peer.listed = true
 			continue
 		}
 		restarted := s.StartedAt > peer.processStartedAt && peer.processStartedAt > 0
-		changed := peer.addresses.Update(s.Paths)
+		changed := peer.addresses.Update(s.Addresses)
 		peer.addr, peer.processStartedAt, peer.listed = s.Addr, s.StartedAt, true
 		if restarted {
 			// A new process at the same addresses: replies of the old one don't apply to it.
@@ -276,7 +276,7 @@
 
 func (p *Protocol) probe(server uint32) {
 	peer := p.peers[server]
-	if peer == nil || len(peer.addresses.Paths) == 0 {
+	if peer == nil || len(peer.addresses.Addresses) == 0 {
 		p.events = append(p.events, front.Probed{Server: server, Status: policy.NoConnect})
 		return
 	}
--- a/internal/rtspclient/rtspclient_test.go
+++ b/internal/rtspclient/rtspclient_test.go
@@ -64,7 +64,7 @@
 func serverOne(started Time, addrs ...string) []Server {
 	s := Server{ID: 1, Addr: addrs[0], StartedAt: started}
 	for _, a := range addrs {
-		s.Paths = append(s.Paths, addresses.Path{Addr: a, Family: addresses.IPv4})
+		s.Addresses = append(s.Addresses, addresses.Address{Addr: a, Family: addresses.IPv4})
 	}
 	return []Server{s}
 }
@@ -464,7 +464,7 @@
 			}
 			closed = closed || a.Close && a.Conn == loser
 		}
-		if inBackoff := b.protocol.Addresses(1).Paths[0].InBackoff(b.now); inBackoff != lateFirst {
+		if inBackoff := b.protocol.Addresses(1).Addresses[0].InBackoff(b.now); inBackoff != lateFirst {
 			t.Errorf("first address, dialled with a head start, in backoff: %v", inBackoff)
 		}
 		if setups != 1 || !closed {
@@ -500,7 +500,7 @@
 	}
 	b.protocol.Received(b.now, 1, b.conn, &rtsp.Message{Status: 200, CSeq: 1})
 	b.collect()
-	if b.protocol.Addresses(1).Paths[0].InBackoff(b.now) || b.protocol.peers[1].recheck != nil {
+	if b.protocol.Addresses(1).Addresses[0].InBackoff(b.now) || b.protocol.peers[1].recheck != nil {
 		t.Error("the address is still in backoff or the recheck did not end")
 	}
 }
--- a/internal/rtspclient/setups.go
+++ b/internal/rtspclient/setups.go
@@ -18,7 +18,7 @@
 	p.attempts[e.Session] = a
 	peer := p.peers[e.Server]
 	switch {
-	case peer == nil || len(peer.addresses.Paths) == 0:
+	case peer == nil || len(peer.addresses.Addresses) == 0:
 		p.endAttempt(a, policy.NoConnect, nil) // listed without an address
 	case peer.connState == connected:
 		p.writeSetup(peer, a)
--- a/internal/serve/effects.go
+++ b/internal/serve/effects.go
@@ -100,7 +100,7 @@
 			call.Notify("session.ended", map[string]any{"session": name(e.Session), "reason": e.Reason})
 		}
 		s.forget(e.Session)
-	case front.Follow: // nothing to do: serverlist.Follow runs all the time
+	case front.Subscribe: // nothing to do: serverlist.Follow runs all the time
 	case front.Log:
 		s.log.Info().Str("from", "module").Msg(e.Text)
 	case front.Fault:
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -44,7 +44,7 @@
 	}
 	accepted := make([]serverlist.Entry, 0, len(list))
 	for _, e := range list {
-		accepted = append(accepted, serverlist.Entry{Entry: e, Addr: byID[e.Server].Addr, Paths: byID[e.Server].Paths,
+		accepted = append(accepted, serverlist.Entry{Entry: e, Addr: byID[e.Server].Addr, Addresses: byID[e.Server].Addresses,
 			HTTP: byID[e.Server].HTTP})
 	}
 	s.applyList(policy.ListFull, accepted, now)
@@ -67,7 +67,7 @@
 	s.httpAddrs = make(map[uint32]string, len(list))
 	for _, e := range list {
 		s.httpAddrs[e.Server] = e.HTTP
-		servers = append(servers, rtspclient.Server{ID: e.Server, Addr: e.Addr, Paths: e.Paths, StartedAt: e.Started})
+		servers = append(servers, rtspclient.Server{ID: e.Server, Addr: e.Addr, Addresses: e.Addresses, StartedAt: e.Started})
 		entry := s.withFleetState(e.Entry, now)
 		entries = append(entries, entry)
 		if entry.Health == policy.Ready {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -119,7 +119,7 @@
 		ProbeTimeout: policy.Time(cfg.Front.ProbeTimeout), StallTimeout: policy.Time(cfg.Front.StallTimeout),
 		KeepAliveInterval: policy.Time(cfg.Front.KeepAliveInterval), TitleName: s.titleName,
 		ConnectTimeout: cfg.Service.ConnectTimeout, IdleTimeout: idleTimeout,
-		Aims: setupTargets, Random: rand.Float64})
+		SetupTargets: setupTargets, Random: rand.Float64})
 	s.conns = media.New(sink{s}, time.Duration(cfg.Service.ConnectTimeout), cfg.Front.WriteTimeout, maxConnQueuedBytes)
 	names := serverlist.Names{Kinds: cfg.Kinds, Zones: cfg.Zones}
 	s.listCache = serverlist.Cache{Dir: cfg.Front.StateDir, Names: names}
--- a/internal/serve/sessionstore_test.go
+++ b/internal/serve/sessionstore_test.go
@@ -58,7 +58,7 @@
 			defer s.store.close()
 			now := s.now()
 			s.applyList(policy.ListFull, []serverlist.Entry{{Entry: policy.Entry{Server: 1, Size: 1},
-				Addr: "127.0.0.1:1", Paths: []addresses.Path{{Addr: "127.0.0.1:1", Family: addresses.IPv4}}}}, now)
+				Addr: "127.0.0.1:1", Addresses: []addresses.Address{{Addr: "127.0.0.1:1", Family: addresses.IPv4}}}}, now)
 			sendRequest := func() {
 				s.step(now, front.Request{Player: 1, ReadAt: now, Title: 1, Copies: 3, Class: 1, Viewer: 9, Top: 2})
 			}
--- a/internal/serverlist/serverlist.go
+++ b/internal/serverlist/serverlist.go
@@ -28,9 +28,9 @@
 // network.
 type Entry struct {
 	policy.Entry
-	Addr  string
-	Paths []addresses.Path
-	HTTP  string // HOST:PORT that serves HLS segments; "": none
+	Addr      string
+	Addresses []addresses.Address
+	HTTP      string // HOST:PORT that serves HLS segments; "": none
 }
 
 // setAddresses sets the addresses of the entry. An invalid address is an error; an empty list is not.
@@ -45,7 +45,7 @@
 		if e.Addr == "" && path.Family != addresses.Unix {
 			e.Addr = path.Addr
 		}
-		e.Paths = append(e.Paths, path)
+		e.Addresses = append(e.Addresses, path)
 	}
 	if len(list) > maxAddresses {
 		errs = append(errs, fmt.Errorf("%d addresses; the maximum is %d", len(list), maxAddresses))
@@ -339,7 +339,7 @@
 	var b strings.Builder
 	for _, e := range list {
 		fmt.Fprintf(&b, "(server %d (address", e.Server)
-		for _, p := range e.Paths {
+		for _, p := range e.Addresses {
 			fmt.Fprintf(&b, " %q", p.Addr)
 		}
 		fmt.Fprintf(&b, ") (cell %d)", e.Cell)
--- a/internal/serverlist/serverlist_test.go
+++ b/internal/serverlist/serverlist_test.go
@@ -25,7 +25,7 @@
 	}
 	want := Entry{policy.Entry{Server: 7, Zone: 1, Kind: 1, Cell: 3, Health: policy.Draining, Size: 2.5,
 		Started: 99}, "h:1",
-		[]addresses.Path{{Addr: "h:1", Family: addresses.IPv4}}, ""}
+		[]addresses.Address{{Addr: "h:1", Family: addresses.IPv4}}, ""}
 	if !reflect.DeepEqual(list[0], want) || list[1].Size != 1 || list[1].Health != policy.Ready {
 		t.Fatalf("%+v", list)
 	}
@@ -71,7 +71,7 @@
 	}
 	want := []Entry{{policy.Entry{Server: 3, Cell: 2, Zone: 1, Kind: 1, Size: 1.25, Started: 5,
 		Health: policy.Draining}, "h:3",
-		[]addresses.Path{{Addr: "/run/x", Family: addresses.Unix}, {Addr: "h:3", Family: addresses.IPv4},
+		[]addresses.Address{{Addr: "/run/x", Family: addresses.Unix}, {Addr: "h:3", Family: addresses.IPv4},
 			{Addr: "[::1]:3", Family: addresses.IPv6}}, "h:80"}}
 	if err := cache.Save(want); err != nil {
 		t.Fatal(err)
