--- a/internal/front/api.go
+++ b/internal/front/api.go
@@ -161,7 +161,7 @@
 // Probe asks a server for its load.
 type Probe struct{ Server uint32 }
 
-// Follow requests the server list and its changes.
+// Subscribe requests the server list and its changes.
 type Subscribe struct{}
 
 // Plays is the answer to a request whose session plays. Each Request gets exactly one of Plays, Refused and Failed,
--- a/internal/rtspclient/race.go
+++ b/internal/rtspclient/race.go
@@ -183,7 +183,7 @@
 	p.dialNext(peer)
 }
 
-// tickPaths dials the next address of a race when its delay is over, ends races past their deadline, rechecks addresses
+// tickAddresses dials the next address of a race when its delay is over, ends races past their deadline, rechecks addresses
 // after their backoff, closes idle connections, and dials for pending teardowns and for servers in frequent use.
 func (p *Protocol) tickAddresses(peer *peerState) {
 	if r := peer.race; r != nil {
@@ -268,7 +268,7 @@
 	return at, ok
 }
 
-// Paths returns the state of a server's addresses, for tests and the metrics page.
+// Addresses returns the state of a server's addresses, for tests and the metrics page.
 func (p *Protocol) Addresses(server uint32) *addresses.Set {
 	if peer := p.peers[server]; peer != nil {
 		return &peer.addresses
--- a/internal/serve/addresses_test.go
+++ b/internal/serve/addresses_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// setPathMode sets the behaviour of all servers' addresses of one network.
+// setAddressMode sets the behaviour of all servers' addresses of one network.
 func (x *site) setAddressMode(network, mode string) {
 	for _, m := range x.farm.Servers() {
 		m.SetAddressMode(network, mode)
--- a/internal/serve/players_test.go
+++ b/internal/serve/players_test.go
@@ -17,7 +17,7 @@
 	"tealledge/internal/standin/playersim"
 )
 
-// askWithDeadline requests a session with a deadline set by the player.
+// sendOpenWithDeadline requests a session with a deadline set by the player.
 func (p *player) sendOpenWithDeadline(class, title string, deadline time.Duration) string {
 	p.requestCount++
 	call := fmt.Sprintf("%p-%d", p, p.requestCount)
